--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared.py
@@ -73,7 +73,7 @@
             if track is None or track.started_unix_ms != item.started_unix_ms:
                 track = DeclaredTrack(item, self._pace)
                 self._cache.forget(item.upstream_id)
-            track.limit.places = item.places
+            track.limit.places = item.slots
             self._tracks[item.upstream_id] = track
         for upstream_id in former.keys() - self._tracks.keys():
             self._cache.forget(upstream_id)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_track.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_track.py
@@ -45,7 +45,7 @@
         self.failure_domain = upstream.failure_domain
         self.region = upstream.region
         self.started_unix_ms = upstream.started_unix_ms
-        self.limit = DeclaredLimit(upstream.places)
+        self.limit = DeclaredLimit(upstream.slots)
         self.pace = EnginePace(pool_pace)
         # What it is without the coldness, while it is cold.
         self.warm_pace = None
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/play.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/play.py
@@ -125,7 +125,7 @@
                 pool="dossiers",
                 version="v1",
                 address="127.0.0.1:1",
-                places=places,
+                slots=places,
             )
             for name in tokens_ms
         ]
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_offers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_offers.py
@@ -81,7 +81,7 @@
                 version="v1",
                 address="127.0.0.1:1",
                 failure_domain=name,
-                places=6,
+                slots=6,
             )
             for name in DOMAINS
         ]
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
@@ -31,7 +31,7 @@
         pool="assistant",
         version="v1",
         address="127.0.0.1:1",
-        places=4,
+        slots=4,
         cold_until_ms=cold_until_ms,
         listed_version=version,
     )
--- a/libs/decisions/src/hemlockhoist/decisions/work.py
+++ b/libs/decisions/src/hemlockhoist/decisions/work.py
@@ -104,7 +104,7 @@
     generation : str
         Hardware generation.
     state : UpstreamState
-    places : int
+    slots : int
         Requests that it says it works on at once; 0 where it does not say.
     started_unix_ms : int
         Tells its runs under one id apart; 0 where it does not say.
@@ -121,7 +121,7 @@
     failure_domain: str = ""
     generation: str = ""
     state: UpstreamState = UpstreamState.LIVE
-    places: int = 0
+    slots: int = 0
     started_unix_ms: int = 0
     listed_version: int = 0
     cold_until_ms: int = 0
