--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tracking.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
@@ -5,9 +5,9 @@
     SLOW_RATIO,
     Health,
     HealthState,
+    exceeds_ejection_bound,
     may_eject,
     reference_slowness,
-    too_many_out,
 )
 from hemlockhoist.decisions.scheduling.limits import (
     FirstTokenBaseline,
@@ -17,7 +17,7 @@
 from hemlockhoist.decisions.scheduling.prefixes import PrefixMap
 from hemlockhoist.decisions.scheduling.queue import short_first_ms
 from hemlockhoist.decisions.scheduling.recovery import RECOVERY_MS
-from hemlockhoist.decisions.scheduling.tracks import Tracks
+from hemlockhoist.decisions.scheduling.upstream_tracker import UpstreamTracker
 from hemlockhoist.decisions.work import OutcomeKind
 
 # A grant that has been held this many times longer than predicted counts as an
@@ -27,8 +27,8 @@
 MIN_OVERDUE = 3
 
 # Answers of fewer tokens say nothing of the time between them.
-MIN_TOKENS = 8
-POOL_WEIGHT = 0.05
+MIN_OUTPUT_TOKENS = 8
+POOL_EWMA_WEIGHT = 0.05
 INITIAL_HOLD_MS = 2_000.0
 # An engine computes prompts in the order they come. Made for long prompts beside short
 # ones: with more than this waiting there, a short request of the highest tier would
@@ -46,7 +46,7 @@
 )
 
 
-class UpstreamTrack:
+class AdaptiveUpstream:
     """Limit, health, speed and prefixes of one upstream."""
 
     __slots__ = (
@@ -77,9 +77,9 @@
             return 0
         return request.prompt_tokens * self.prefixes.match(hashes) // len(hashes)
 
-    def places(self, now_ms):
+    def slots(self, now_ms):
         """Return how many requests it may hold now."""
-        return self.health.places(self.limit.places, now_ms)
+        return self.health.slots(self.limit.places, now_ms)
 
     def on_grant(self, held, now_ms):
         """Count the request's prompt."""
@@ -106,7 +106,7 @@
         self.prompts_done_ms = min(self.prompts_done_ms, now_ms + rest_ms)
 
 
-class UpstreamTracks(Tracks):
+class AdaptiveTracker(UpstreamTracker):
     """The tracks of a pool shard's upstreams, and what a generation has in common."""
 
     __slots__ = (
@@ -115,14 +115,14 @@
         "_max_limit",
         "_speeds",
         "_token_ms",
-        "_tracks",
+        "_tracked",
         "_usable",
     )
     recovery_ms = RECOVERY_MS
 
     def __init__(self, max_limit):
         self._max_limit = max_limit
-        self._tracks = {}
+        self._tracked = {}
         self._usable = {}
         self._speeds = {}
         self._baselines = {}
@@ -132,16 +132,16 @@
     def set_max_limit(self, max_limit):
         """Take a changed upper bound of the limits."""
         self._max_limit = max_limit
-        for track in self._tracks.values():
-            track.limit.set_max(max_limit)
+        for tracked in self._tracked.values():
+            tracked.limit.set_max(max_limit)
 
-    def keep(self, upstreams):
+    def set_listed(self, upstreams):
         """Begin tracks for new upstreams, and drop those of vanished ones."""
-        former = self._tracks
-        self._tracks = {}
+        former = self._tracked
+        self._tracked = {}
         for item in upstreams:
-            track = former.get(item.upstream_id) or self._new(item)
-            self._tracks[item.upstream_id] = track
+            tracked = former.get(item.upstream_id) or self._new(item)
+            self._tracked[item.upstream_id] = tracked
 
     def set_usable(self, upstreams, now_ms):
         """Take the upstreams that are not leaving; the bound on ejections is theirs.
@@ -151,40 +151,40 @@
         let in again until the bound holds; a slow upstream is better than none.
         """
         self._usable = {
-            item.upstream_id: self._tracks[item.upstream_id] for item in upstreams
+            item.upstream_id: self._tracked[item.upstream_id] for item in upstreams
         }
-        healths = [track.health for track in self._usable.values()]
+        healths = [tracked.health for tracked in self._usable.values()]
         for health in healths:
-            if health.is_out and too_many_out(healths):
+            if health.is_ejected and exceeds_ejection_bound(healths):
                 health.readmit(now_ms)
 
     def get(self, upstream_id):
         """Return the track of a listed upstream, or None."""
-        return self._tracks.get(upstream_id)
+        return self._tracked.get(upstream_id)
 
     def cached_elsewhere(self, request, upstream_id):
         """Return the most prompt tokens that another upstream probably has cached."""
         others = (
-            track.cached_tokens(request)
-            for other_id, track in self._tracks.items()
+            tracked.cached_tokens(request)
+            for other_id, tracked in self._tracked.items()
             if other_id != upstream_id
         )
         return max(others, default=0)
 
-    def places(self, upstream_id, now_ms):
+    def slots(self, upstream_id, now_ms):
         """Return how many requests an upstream may hold."""
-        return self._tracks[upstream_id].places(now_ms)
+        return self._tracked[upstream_id].slots(now_ms)
 
-    def takes_more(self, upstream_id, now_ms):
+    def accepts_more(self, upstream_id, now_ms):
         """Return whether the prompts waiting at an upstream leave room for another."""
-        waiting_ms = self._tracks[upstream_id].prompts_done_ms - now_ms
+        waiting_ms = self._tracked[upstream_id].prompts_done_ms - now_ms
         return waiting_ms < MAX_PROMPT_WAIT_MS
 
     def hold_ms(self, request):
         """Return None: how long places are held is not known before limits are."""
         return
 
-    def turn_ms(self, arrived_ms, cost_ms, due_ms):
+    def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
         """Return when a request's turn is, within its customer's."""
         return short_first_ms(arrived_ms, cost_ms)
 
@@ -192,105 +192,105 @@
         """Return the upstream for a request, or None where only probes are left."""
         best, best_ms = None, None
         for item in choices:
-            track = self._tracks[item.upstream_id]
-            probing = track.health.state is HealthState.PROBING
+            tracked = self._tracked[item.upstream_id]
+            probing = tracked.health.state is HealthState.PROBING
             if probing and not request.idempotent:
                 continue
             if probing:
                 # A probe is due: it goes first, else a pool with room never probes.
                 return item
-            held, places = in_flight(item.upstream_id), track.places(now_ms)
-            score_ms = score(request, track, held, places, now_ms)
+            held, slots = in_flight(item.upstream_id), tracked.slots(now_ms)
+            score_ms = score(request, tracked, held, slots, now_ms)
             if best is None or score_ms < best_ms:
                 best, best_ms = item, score_ms
         return best
 
     def drift(self):
         """Let speeds that are not measured return to their generation's."""
-        for track in self._tracks.values():
-            track.speed.drift(self._speeds[track.generation])
+        for tracked in self._tracked.values():
+            tracked.speed.drift(self._speeds[tracked.generation])
 
     def on_grant(self, held, now_ms):
         """Count a grant."""
-        self._tracks[held.grant.upstream_id].on_grant(held, now_ms)
+        self._tracked[held.grant.upstream_id].on_grant(held, now_ms)
 
     def on_outcome(self, held, outcome, hold_ms, predicted_ms, now_ms):
         """Learn from a returned grant."""
-        track = self._tracks.get(held.grant.upstream_id)
-        if track is None:
+        tracked = self._tracked.get(held.grant.upstream_id)
+        if tracked is None:
             return
-        health = track.health
-        track.on_prompt_done(held, now_ms)
+        health = tracked.health
+        tracked.on_prompt_done(held, now_ms)
         if outcome.kind in _FAILURES:
             health.observe_failure(now_ms)
             health.observe_probe(False, now_ms)
         elif outcome.kind is OutcomeKind.SUCCESS:
-            self._learn_latency(track, held, outcome, now_ms)
+            self._learn_latency(tracked, held, outcome, now_ms)
             ratio = self._slowness(outcome, hold_ms, predicted_ms)
             health.observe_slowness(ratio, now_ms)
-            reference = reference_slowness(health, self._peers(track))
+            reference = reference_slowness(health, self._peers(tracked))
             is_good = reference is None or ratio <= RECOVERED_RATIO * reference
             health.observe_probe(is_good, now_ms)
             if health.state is HealthState.RAMPING:
-                track.speed.reset(self._speeds[track.generation])
-        self._eject_if_due(track, now_ms)
+                tracked.speed.reset(self._speeds[tracked.generation])
+        self._eject_if_due(tracked, now_ms)
 
     def on_first_token(self, held, first_token_ms, now_ms):
         """Learn from a first token that is told before the answer's end."""
-        track = self._tracks.get(held.grant.upstream_id)
-        if track is None or held.first_token_known:
+        tracked = self._tracked.get(held.grant.upstream_id)
+        if tracked is None or held.first_token_known:
             return
         held.first_token_known = True
-        track.on_prompt_done(held, now_ms)
+        tracked.on_prompt_done(held, now_ms)
         request = held.request
         cached = 0
         if request.prefix_hashes:
             blocks = len(request.prefix_hashes)
             cached = request.prompt_tokens * held.expected_blocks // blocks
         computed = request.prompt_tokens - cached
-        self._observe_first_token(track, held, computed, first_token_ms, now_ms)
+        self._observe_first_token(tracked, held, computed, first_token_ms, now_ms)
 
     def forget(self, held, now_ms):
         """Stop counting a grant whose outcome nobody will report."""
-        track = self._tracks.get(held.grant.upstream_id)
-        if track is not None:
-            track.on_prompt_done(held, now_ms)
+        tracked = self._tracked.get(held.grant.upstream_id)
+        if tracked is not None:
+            tracked.on_prompt_done(held, now_ms)
 
     def on_overdue(self, upstream_id, overdue, ratio, now_ms):
         """Take notice of grants that are held far longer than predicted."""
-        track = self._tracks.get(upstream_id)
-        if track is None or track.health.is_out or overdue < MIN_OVERDUE:
+        tracked = self._tracked.get(upstream_id)
+        if tracked is None or tracked.health.is_ejected or overdue < MIN_OVERDUE:
             return
-        reference = reference_slowness(track.health, self._peers(track)) or 1.0
+        reference = reference_slowness(tracked.health, self._peers(tracked)) or 1.0
         if ratio > OVERDUE_RATIO * reference and self._may_eject():
-            track.health.eject(now_ms)
+            tracked.health.eject(now_ms)
 
-    def _learn_latency(self, track, held, outcome, now_ms):
+    def _learn_latency(self, tracked, held, outcome, now_ms):
         request = held.request
-        track.speed.observe_outcome(outcome)
-        self._speeds[track.generation].observe_outcome(outcome)
+        tracked.speed.observe_outcome(outcome)
+        self._speeds[tracked.generation].observe_outcome(outcome)
         hashes = request.prefix_hashes
         if hashes and request.prompt_tokens:
             # Rounded up: the prompt's last, partial block has no hash.
             blocks = -(-outcome.cached_tokens * len(hashes) // request.prompt_tokens)
-            track.prefixes.observe(held.expected_blocks, blocks)
+            tracked.prefixes.observe(held.expected_blocks, blocks)
         first_ms = outcome.first_token_ms
         if first_ms < 0 and not outcome.output_tokens:
             # A plain service has no tokens; its whole answer shows its queue.
             first_ms = outcome.total_ms
         if first_ms >= 0 and not held.first_token_known:
             computed = request.prompt_tokens - outcome.cached_tokens
-            self._observe_first_token(track, held, computed, first_ms, now_ms)
+            self._observe_first_token(tracked, held, computed, first_ms, now_ms)
 
-    def _observe_first_token(self, track, held, computed, first_token_ms, now_ms):
+    def _observe_first_token(self, tracked, held, computed, first_token_ms, now_ms):
         prompt_ms = first_token_ms - held.prompt_wait_ms
-        track.speed.observe_prompt(computed, prompt_ms)
-        self._speeds[track.generation].observe_prompt(computed, prompt_ms)
-        baseline = self._baselines[track.generation]
+        tracked.speed.observe_prompt(computed, prompt_ms)
+        self._speeds[tracked.generation].observe_prompt(computed, prompt_ms)
+        baseline = self._baselines[tracked.generation]
         excess_ms = baseline.congestion(computed, first_token_ms)
-        self._hold_ms += POOL_WEIGHT * (held.cost_ms - self._hold_ms)
+        self._hold_ms += POOL_EWMA_WEIGHT * (held.cost_ms - self._hold_ms)
         excess_share = excess_ms / max(1.0, self._hold_ms)
-        track.limit.observe(excess_share, held.granted_ms, held.level, now_ms)
+        tracked.limit.observe(excess_share, held.granted_ms, held.level, now_ms)
 
     def _slowness(self, outcome, hold_ms, predicted_ms):
         """Return an answer's time over the expected one.
@@ -299,37 +299,37 @@
         prompts that happen to be computed before it, and a short request behind a
         long prompt would make a well engine look slow.
         """
-        if outcome.output_tokens < MIN_TOKENS or outcome.first_token_ms < 0:
+        if outcome.output_tokens < MIN_OUTPUT_TOKENS or outcome.first_token_ms < 0:
             return hold_ms / max(1.0, predicted_ms)
         decode_ms = outcome.total_ms - outcome.first_token_ms
         token_ms = decode_ms / (outcome.output_tokens - 1)
-        self._token_ms += POOL_WEIGHT * (token_ms - self._token_ms)
+        self._token_ms += POOL_EWMA_WEIGHT * (token_ms - self._token_ms)
         return token_ms / max(0.1, self._token_ms)
 
-    def _eject_if_due(self, track, now_ms):
-        health = track.health
-        if health.is_out or not self._may_eject():
+    def _eject_if_due(self, tracked, now_ms):
+        health = tracked.health
+        if health.is_ejected or not self._may_eject():
             return
         if health.failed_too_often():
             health.eject(now_ms)
             return
-        reference = reference_slowness(health, self._peers(track))
-        if reference is None or not health.known:
+        reference = reference_slowness(health, self._peers(tracked))
+        if reference is None or not health.has_enough_samples:
             return
         if health.slowness > SLOW_RATIO * reference:
             health.eject(now_ms)
 
     def _may_eject(self):
-        return may_eject([track.health for track in self._usable.values()])
+        return may_eject([tracked.health for tracked in self._usable.values()])
 
-    def _peers(self, track):
+    def _peers(self, tracked):
         return [
             item.health
-            for item in self._tracks.values()
-            if item is not track and item.generation == track.generation
+            for item in self._tracked.values()
+            if item is not tracked and item.generation == tracked.generation
         ]
 
     def _new(self, upstream):
         speed = self._speeds.setdefault(upstream.generation, Speed())
         self._baselines.setdefault(upstream.generation, FirstTokenBaseline())
-        return UpstreamTrack(upstream, self._max_limit, speed)
+        return AdaptiveUpstream(upstream, self._max_limit, speed)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -98,7 +98,7 @@
         """Return how many requests of a tier may wait."""
         return self._max_queued.get(rank, DEFAULT_MAX_QUEUED)
 
-    def note_grant(self, rank, cost_ms, now_ms):
+    def record_grant(self, rank, cost_ms, now_ms):
         """Count granted work."""
         self._rates.add(rank, cost_ms, now_ms)
         self._granted_ms[rank] = now_ms
@@ -157,7 +157,7 @@
         left_ms = request.deadline_ms - now_ms
         if left_ms <= 0:
             return ResultCode.DEADLINE_PASSED
-        if not estimate.known:
+        if not estimate.has_samples:
             return None
         longest_ms = hopeless_ms(request, estimate) - now_ms
         if longest_ms < 0:
@@ -185,7 +185,7 @@
     come. Failure: requests are held in a burst for places that they get when nobody
     waits any more; they end unanswered, instead of with a time to come back.
     """
-    hold_ms = estimate.hold_ms(request) if estimate.known else 0.0
+    hold_ms = estimate.hold_ms(request) if estimate.has_samples else 0.0
     by_deadline_ms = request.deadline_ms - HOPELESS_PART * hold_ms
     if request.leaves_ms is None:
         return int(by_deadline_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
@@ -1,6 +1,8 @@
 """Upstreams that declare how many requests they work on at once."""
 
-from hemlockhoist.decisions.scheduling.declared_track import DeclaredTrack
+from hemlockhoist.decisions.scheduling.declared_slots_upstream import (
+    DeclaredSlotsUpstream,
+)
 from hemlockhoist.decisions.scheduling.offers import (
     NO_PAUSE_BOUND_MS,
     Offer,
@@ -12,21 +14,21 @@
 from hemlockhoist.decisions.scheduling.pace import PoolPace
 from hemlockhoist.decisions.scheduling.prompt_cache import PromptCache
 from hemlockhoist.decisions.scheduling.recovery import DECLARED_RECOVERY_MS
-from hemlockhoist.decisions.scheduling.tracks import Tracks
+from hemlockhoist.decisions.scheduling.upstream_tracker import UpstreamTracker
 from hemlockhoist.decisions.scheduling.warmup import Warmup
 from hemlockhoist.decisions.work import OutcomeKind
 
 US_PER_MS = 1_000
 # A request waits for a better upstream only where it would be in time there with this
 # part of its time: what it waits for is an estimate.
-IN_TIME_PART = 0.8
+IN_TIME_FRACTION = 0.8
 # Part of a declared pause that prompts may take: the rest is for the tokens.
-PROMPT_PART = 0.8
+PROMPT_GAP_FRACTION = 0.8
 _FAILURES = frozenset({OutcomeKind.FAILED, OutcomeKind.BROKE_OFF, OutcomeKind.TIMEOUT})
 _UNREACHED = frozenset({OutcomeKind.CONNECT_FAILED})
 
 
-class DeclaredTracks(Tracks):
+class DeclaredSlotsTracker(UpstreamTracker):
     """The tracks of a pool's upstreams that declare their places.
 
     Parameters
@@ -42,7 +44,7 @@
         "_counted",
         "_gaps_ms",
         "_pace",
-        "_tracks",
+        "_tracked",
         "_unreached",
         "_usable",
         "_warmup",
@@ -52,7 +54,7 @@
     def __init__(self, cache_tokens=0, warmup=None):
         self._warmup = warmup or Warmup()
         self._cache = PromptCache(cache_tokens)
-        self._tracks = {}
+        self._tracked = {}
         # Those of the upstreams that are given work.
         self._usable = {}
         self._pace = PoolPace()
@@ -63,47 +65,47 @@
         # The upstreams whose places were counted last, and the count.
         self._counted = ((), 0)
 
-    def keep(self, upstreams):
+    def set_listed(self, upstreams):
         """Begin tracks for new upstreams, and drop those of vanished ones."""
-        former = self._tracks
+        former = self._tracked
         self._counted = ((), 0)
-        self._tracks = {}
+        self._tracked = {}
         for item in upstreams:
-            track = former.get(item.upstream_id)
-            if track is None or track.started_unix_ms != item.started_unix_ms:
-                track = DeclaredTrack(item, self._pace)
+            tracked = former.get(item.upstream_id)
+            if tracked is None or tracked.started_unix_ms != item.started_unix_ms:
+                tracked = DeclaredSlotsUpstream(item, self._pace)
                 self._cache.forget(item.upstream_id)
-            track.limit.places = item.slots
-            self._tracks[item.upstream_id] = track
-        for upstream_id in former.keys() - self._tracks.keys():
+            tracked.limit.places = item.slots
+            self._tracked[item.upstream_id] = tracked
+        for upstream_id in former.keys() - self._tracked.keys():
             self._cache.forget(upstream_id)
-        self._unreached &= self._tracks.keys()
-        self._warmup.keep(upstreams)
+        self._unreached &= self._tracked.keys()
+        self._warmup.set_listed(upstreams)
 
     def set_usable(self, upstreams, now_ms):
         """Take the upstreams that are given work."""
         self._usable = {
-            item.upstream_id: self._tracks[item.upstream_id] for item in upstreams
+            item.upstream_id: self._tracked[item.upstream_id] for item in upstreams
         }
 
     def get(self, upstream_id):
         """Return the track of a listed upstream, or None."""
-        return self._tracks.get(upstream_id)
+        return self._tracked.get(upstream_id)
 
-    def places(self, upstream_id, now_ms):
+    def slots(self, upstream_id, now_ms):
         """Return how many requests an upstream may hold."""
-        track = self._tracks[upstream_id]
-        if upstream_id in self._unreached and not track.is_open(now_ms):
+        tracked = self._tracked[upstream_id]
+        if upstream_id in self._unreached and not tracked.allows_request(now_ms):
             return 0
-        return track.limit.places
+        return tracked.limit.places
 
-    def takes_more(self, upstream_id, now_ms):
+    def accepts_more(self, upstream_id, now_ms):
         """Return whether an upstream may be given another request, places aside."""
         return self._warmup.allows(upstream_id, now_ms)
 
     def begin_takeover(self, now_ms):
         """Take notice that this home decides from here on, perhaps after another."""
-        self._warmup.begin(now_ms)
+        self._warmup.assume_limit_used(now_ms)
 
     def set_share(self, share):
         """Take the part of what is bounded over all hosts that is given out here."""
@@ -115,18 +117,18 @@
 
     def on_adopt(self, held, now_ms):
         """Count a grant of a former home."""
-        self._warmup.note_grant(held.grant.upstream_id, now_ms)
+        self._warmup.record_grant(held.grant.upstream_id, now_ms)
 
-    def with_place(self, upstreams, in_flight, now_ms):
+    def with_free_slot(self, upstreams, in_flight, now_ms):
         """Return those of some upstreams that may be given one more request.
 
         Load: asked for each request at the home of some hundred upstreams.
         """
-        tracks, unreached = self._tracks, self._unreached
+        tracked, unreached = self._tracked, self._unreached
         free = [
             item
             for item in upstreams
-            if in_flight(item.upstream_id) < tracks[item.upstream_id].limit.places
+            if in_flight(item.upstream_id) < tracked[item.upstream_id].limit.places
         ]
         if self._warmup.any_cold(now_ms):
             allows = self._warmup.allows
@@ -137,15 +139,15 @@
             item
             for item in free
             if item.upstream_id not in unreached
-            or tracks[item.upstream_id].is_open(now_ms)
+            or tracked[item.upstream_id].allows_request(now_ms)
         ]
 
-    def count_places(self, upstreams, now_ms):
+    def count_slots(self, upstreams, now_ms):
         """Return the places of some upstreams together."""
         if self._unreached:
-            return super().count_places(upstreams, now_ms)
+            return super().count_slots(upstreams, now_ms)
         if self._counted[0] is not upstreams:
-            count = super().count_places(upstreams, now_ms)
+            count = super().count_slots(upstreams, now_ms)
             self._counted = (upstreams, count)
         return self._counted[1]
 
@@ -153,7 +155,7 @@
         """Return for how long a request holds a place, at the pool's usual pace."""
         return self._pace.hold_ms(request)
 
-    def turn_ms(self, arrived_ms, cost_ms, due_ms):
+    def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
         """Return when a request's turn is, within its customer's.
 
         The request that would be late first goes first: a long prompt has to begin
@@ -168,7 +170,7 @@
         best = self._offers(request, work, choices, in_flight, most_ms, now_ms).taken(
             work.first_token_by_ms - now_ms
         )
-        if best is None or self._is_better_later(work, best, most_ms, ahead, now_ms):
+        if best is None or self._should_wait(work, best, most_ms, ahead, now_ms):
             return None
         return best
 
@@ -178,17 +180,17 @@
         counts = self._failure_counts(now_ms)
         offers = Offers()
         for item in choices:
-            track = self._tracks[item.upstream_id]
+            tracked = self._tracked[item.upstream_id]
             kept = kept_at.get(item.upstream_id, 0)
-            first_ms = track.first_token_ms(work, now_ms, kept)
-            spared_ms = saved_ms(track, kept)
-            is_near = work.failure_domain == track.failure_domain
+            first_ms = tracked.first_token_ms(work, now_ms, kept)
+            spared_ms = saved_ms(tracked, kept)
+            is_near = work.failure_domain == tracked.failure_domain
             # The rest of the cost is never below zero.
             if offers.is_hopeless(first_ms - spared_ms, is_near):
                 continue
             held = in_flight(item.upstream_id)
-            risk = risk_ms(work, track, held, counts, most_ms, now_ms)
-            cost = cost_ms(work, track, first_ms, held, now_ms) + risk - spared_ms
+            risk = risk_ms(work, tracked, held, counts, most_ms, now_ms)
+            cost = cost_ms(work, tracked, first_ms, held, now_ms) + risk - spared_ms
             offers.add(Offer(item, first_ms, cost, risk, is_near))
         return offers
 
@@ -196,14 +198,14 @@
         """Return by upstream how many tokens of a request's prompt it keeps."""
         if len(request.prefix_tokens) != len(request.prefix_hashes):
             return {}
-        return self._cache.kept(request.prefix_hashes, request.prefix_tokens)
+        return self._cache.cached_tokens(request.prefix_hashes, request.prefix_tokens)
 
     def cached_elsewhere(self, request, upstream_id):
         """Return how many tokens are computed here though another upstream has them."""
         kept_at = self._kept(request)
         return max(kept_at.values(), default=0) - kept_at.get(upstream_id, 0)
 
-    def _is_better_later(self, work, best, most_ms, ahead, now_ms):
+    def _should_wait(self, work, best, most_ms, ahead, now_ms):
         """Return whether a request should wait for an upstream that is full.
 
         Made for long prompts in a burst, on engines of unlike speed: the place that is
@@ -212,22 +214,22 @@
         It waits only where it would be late or do harm here, and neither there.
         """
         left_ms = work.first_token_by_ms - now_ms
-        here = self._tracks[best.upstream_id]
+        here = self._tracked[best.upstream_id]
         if left_ms <= 0:
             return False
         first_ms = here.first_token_ms(work, now_ms)
-        is_late = first_ms > left_ms or not here.ends_within(work, first_ms, now_ms)
+        is_late = first_ms > left_ms or not here.meets_deadline(work, first_ms, now_ms)
         if not is_late and here.prompts_ms(work) <= most_ms:
             return False
-        within_ms = IN_TIME_PART * left_ms
+        within_ms = IN_TIME_FRACTION * left_ms
         frees_per_ms = 0.0
         soonest_ms = None
-        for track in self._usable.values():
-            if track is here or not work.may_go_to(track.region):
+        for tracked in self._usable.values():
+            if tracked is here or not work.allows_region(tracked.region):
                 continue
-            first_ms = track.first_token_within(work, within_ms, most_ms, now_ms)
+            first_ms = tracked.first_token_within(work, within_ms, most_ms, now_ms)
             if first_ms is not None:
-                frees_per_ms += track.limit.places / max(1.0, track.hold_ms)
+                frees_per_ms += tracked.limit.places / max(1.0, tracked.hold_ms)
                 soonest_ms = min(first_ms, soonest_ms or first_ms)
         if not frees_per_ms:
             return False
@@ -244,17 +246,17 @@
         gap_ms = min(self._gaps_ms.values(), default=None)
         if gap_ms is None:
             return NO_PAUSE_BOUND_MS
-        most_ms = PROMPT_PART * gap_ms
-        for track in self._usable.values():
-            if track.prompts_ms(work) <= most_ms and track.is_open(now_ms):
+        most_ms = PROMPT_GAP_FRACTION * gap_ms
+        for tracked in self._usable.values():
+            if tracked.prompts_ms(work) <= most_ms and tracked.allows_request(now_ms):
                 return most_ms
         return NO_PAUSE_BOUND_MS
 
     def _failure_counts(self, now_ms):
         """Return the failures and the answers of all upstreams, lately."""
         failures = answers = 0.0
-        for track in self._usable.values():
-            failed, ended = track.failures.counts(now_ms)
+        for tracked in self._usable.values():
+            failed, ended = tracked.failures.counts(now_ms)
             failures += failed
             answers += ended
         return failures, answers
@@ -265,68 +267,70 @@
         if request.max_gap_ms > 0:
             self._gaps_ms[request.route] = request.max_gap_ms
         upstream_id = held.grant.upstream_id
-        track = self._tracks[upstream_id]
-        self._warmup.note_grant(upstream_id, now_ms)
+        tracked = self._tracked[upstream_id]
+        self._warmup.record_grant(upstream_id, now_ms)
         kept = self._kept(request).get(upstream_id, 0)
-        track.on_grant(held, self._pace.work(request), now_ms, kept)
+        tracked.on_grant(held, self._pace.work(request), now_ms, kept)
         if len(request.prefix_tokens) == len(request.prefix_hashes):
-            self._cache.note(upstream_id, request.prefix_hashes, request.prefix_tokens)
+            self._cache.record(
+                upstream_id, request.prefix_hashes, request.prefix_tokens
+            )
 
     def on_first_token(self, held, first_token_ms, now_ms):
         """Learn from a first token that is told before the answer's end."""
-        track = self._tracks.get(held.grant.upstream_id)
-        if track is None or held.first_token_known:
+        tracked = self._tracked.get(held.grant.upstream_id)
+        if tracked is None or held.first_token_known:
             return
         held.first_token_known = True
-        track.on_prompt_done(held, now_ms)
-        self._note_reached(held.grant.upstream_id, track, now_ms)
+        tracked.on_prompt_done(held, now_ms)
+        self._note_reached(held.grant.upstream_id, tracked, now_ms)
         is_whole = held.pending_tokens == held.request.prompt_tokens
         if held.prompt_wait_ms <= 0 and is_whole:
             # What is kept is only believed, and says nothing of an engine's pace.
-            track.pace.observe_first(held.request.prompt_tokens, first_token_ms)
+            tracked.pace.observe_first_token(held.request.prompt_tokens, first_token_ms)
 
     def on_outcome(self, held, outcome, hold_ms, predicted_ms, now_ms):
         """Learn from a returned grant."""
         upstream_id = held.grant.upstream_id
-        track = self._tracks.get(upstream_id)
-        if track is None:
+        tracked = self._tracked.get(upstream_id)
+        if tracked is None:
             return
-        track.on_prompt_done(held, now_ms)
+        tracked.on_prompt_done(held, now_ms)
         if outcome.kind in _UNREACHED:
-            track.reach.on_failed(now_ms)
+            tracked.breaker.on_connect_failure(now_ms)
             self._unreached.add(upstream_id)
         elif outcome.kind in _FAILURES:
-            track.failures.observe(True, now_ms)
+            tracked.failures.observe(True, now_ms)
         elif outcome.kind is OutcomeKind.SUCCESS:
-            track.on_success(hold_ms, now_ms)
+            tracked.on_success(hold_ms, now_ms)
             self._note_back(upstream_id, now_ms)
-            _learn_pace(track, outcome)
+            _learn_pace(tracked, outcome)
 
-    def _note_reached(self, upstream_id, track, now_ms):
-        track.reach.on_reached()
+    def _note_reached(self, upstream_id, tracked, now_ms):
+        tracked.breaker.on_reachable()
         self._note_back(upstream_id, now_ms)
 
     def _note_back(self, upstream_id, now_ms):
         """Take a sign of life; one that was out of reach may just have started."""
         if upstream_id in self._unreached:
             self._unreached.discard(upstream_id)
-            self._warmup.presume_cold(upstream_id, now_ms)
+            self._warmup.assume_cold(upstream_id, now_ms)
 
     def forget(self, held, now_ms):
         """Stop counting a grant whose outcome nobody will report."""
-        track = self._tracks.get(held.grant.upstream_id)
-        if track is not None:
-            track.on_prompt_done(held, now_ms)
+        tracked = self._tracked.get(held.grant.upstream_id)
+        if tracked is not None:
+            tracked.on_prompt_done(held, now_ms)
 
-    def review(self, now_ms):
+    def on_tick(self, now_ms):
         """Count what has stalled, and see what is cold; to be called at each tick."""
-        for upstream_id, track in self._tracks.items():
-            track.count_stalled(now_ms)
-            track.set_cold(self._warmup.is_cold(upstream_id, now_ms))
+        for upstream_id, tracked in self._tracked.items():
+            tracked.count_stalled(now_ms)
+            tracked.set_cold(self._warmup.is_cold(upstream_id, now_ms))
 
 
-def _learn_pace(track, outcome):
+def _learn_pace(tracked, outcome):
     if not outcome.output_tokens:
-        track.pace.observe_whole(outcome.total_ms)
+        tracked.pace.observe_service_call(outcome.total_ms)
     elif outcome.token_us > 0:
-        track.pace.observe_token(outcome.token_us / US_PER_MS)
+        tracked.pace.observe_token(outcome.token_us / US_PER_MS)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_track.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_upstream.py
@@ -2,7 +2,7 @@
 
 from hemlockhoist.decisions.scheduling.limits import DeclaredLimit
 from hemlockhoist.decisions.scheduling.pace import EnginePace
-from hemlockhoist.decisions.scheduling.reach import FailureRate, Reach
+from hemlockhoist.decisions.scheduling.reliability import CircuitBreaker, FailureRate
 
 # A request that is this much over its expected first token, and this many times, says
 # that its upstream has stalled.
@@ -10,13 +10,13 @@
 STALLED_ALLOWANCE_MS = 300.0
 # An answer's length is an estimate: an upstream counts as too slow for a request where
 # one that is this much longer would not end by the deadline.
-LENGTH_ALLOWANCE = 1.5
+LENGTH_MARGIN = 1.5
 # Until an upstream's first answer has ended.
 INITIAL_HOLD_MS = 500.0
-HOLD_WEIGHT = 0.1
+HOLD_EWMA_WEIGHT = 0.1
 
 
-class DeclaredTrack:
+class DeclaredSlotsUpstream:
     """Pace, reach, failures and pending prompts of one upstream.
 
     Parameters
@@ -34,7 +34,7 @@
         "pending",
         "pending_tokens",
         "prompts_done_ms",
-        "reach",
+        "breaker",
         "region",
         "stalled",
         "started_unix_ms",
@@ -49,7 +49,7 @@
         self.pace = EnginePace(pool_pace)
         # What it is without the coldness, while it is cold.
         self.warm_pace = None
-        self.reach = Reach()
+        self.breaker = CircuitBreaker()
         self.failures = FailureRate()
         self.prompts_done_ms = 0.0
         self.hold_ms = INITIAL_HOLD_MS
@@ -62,13 +62,13 @@
         """Take notice that it warms up, or is warm; each has a pace of its own."""
         if is_cold and self.warm_pace is None:
             self.warm_pace = self.pace
-            self.pace = self.warm_pace.cold()
+            self.pace = self.warm_pace.cold_copy()
         elif not is_cold and self.warm_pace is not None:
             self.pace, self.warm_pace = self.warm_pace, None
 
-    def is_open(self, now_ms):
+    def allows_request(self, now_ms):
         """Return whether it may be given a request, places aside."""
-        return self.reach.is_open(now_ms, len(self.pending))
+        return self.breaker.allows_request(now_ms, len(self.pending))
 
     def prompts_ms(self, work, kept=0):
         """Return for how long the prompts here and a request's take the engine."""
@@ -85,16 +85,16 @@
             Tokens of its prompt that need not be computed here.
         """
         wait_ms = self.prompts_done_ms - now_ms
-        first_tokens = work.first_tokens - work.prompt_part * kept
-        first_ms = self.pace.token_ms * first_tokens
+        first_token_cost = work.first_token_cost - work.prompt_token_cost * kept
+        first_ms = self.pace.token_ms * first_token_cost
         return wait_ms + first_ms if wait_ms > 0 else first_ms
 
-    def ends_within(self, work, first_token_ms, now_ms):
+    def meets_deadline(self, work, first_token_ms, now_ms):
         """Return whether a whole answer is expected here before the deadline."""
-        decode_ms = LENGTH_ALLOWANCE * self.pace.token_ms * work.output_tokens
+        decode_ms = LENGTH_MARGIN * self.pace.token_ms * work.output_tokens
         return now_ms + first_token_ms + decode_ms <= work.deadline_ms
 
-    def first_token_within(self, work, within_ms, most_prompts_ms, now_ms):
+    def first_token_within(self, work, within_ms, max_prompts_ms, now_ms):
         """Return the expected time until a request's first token here, or None.
 
         Load: asked of all upstreams for each request that may wait for one of them.
@@ -104,7 +104,7 @@
         work : hemlockhoist.decisions.scheduling.pace.Work
         within_ms : float
             Until then the first token has to come.
-        most_prompts_ms : float
+        max_prompts_ms : float
             For how long the prompts here may take the engine.
         now_ms : int
 
@@ -115,9 +115,11 @@
             answer would not end by the deadline, or no request may be given here.
         """
         first_ms = self.first_token_ms(work, now_ms)
-        if first_ms > within_ms or self.prompts_ms(work) > most_prompts_ms:
+        if first_ms > within_ms or self.prompts_ms(work) > max_prompts_ms:
             return None
-        if not self.is_open(now_ms) or not self.ends_within(work, first_ms, now_ms):
+        if not self.allows_request(now_ms) or not self.meets_deadline(
+            work, first_ms, now_ms
+        ):
             return None
         return first_ms
 
@@ -145,9 +147,9 @@
 
     def on_success(self, hold_ms, now_ms):
         """Take a whole answer, and for how long it held its place."""
-        self.reach.on_reached()
+        self.breaker.on_reachable()
         self.failures.observe(False, now_ms)
-        self.hold_ms += HOLD_WEIGHT * (hold_ms - self.hold_ms)
+        self.hold_ms += HOLD_EWMA_WEIGHT * (hold_ms - self.hold_ms)
 
     def count_stalled(self, now_ms):
         """Count the requests that are far over their expected first token."""
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
@@ -13,7 +13,7 @@
 MIN_SAMPLES = 4
 # Of the upstreams of a pool, at most one in this many is ejected at a time. Where
 # more are slow, the cause is the load, and ejecting makes the rest slower still.
-POOL_PART = 3
+UPSTREAMS_PER_EJECTION = 3
 FIRST_EJECTION_MS = 5_000
 MAX_EJECTION_MS = 60_000
 PROBES_TO_RECOVER = 2
@@ -59,16 +59,16 @@
         self._ejection_ms = FIRST_EJECTION_MS
 
     @property
-    def is_out(self):
+    def is_ejected(self):
         """Whether it counts against the pool's bound of ejected upstreams."""
         return self.state in (HealthState.EJECTED, HealthState.PROBING)
 
     @property
-    def known(self):
+    def has_enough_samples(self):
         """Whether there are enough answers to compare it by."""
         return self._samples >= MIN_SAMPLES
 
-    def places(self, limit, now_ms):
+    def slots(self, limit, now_ms):
         """Return how many of ``limit`` places may be used now."""
         if self.state is HealthState.HEALTHY:
             return limit
@@ -154,19 +154,23 @@
         The median of the healthy peers that have answered often enough. A generation
         that has one upstream is not compared: slower hardware is no fault.
     """
-    known = [item.slowness for item in peers if item.known and not item.is_out]
+    known = [
+        item.slowness
+        for item in peers
+        if item.has_enough_samples and not item.is_ejected
+    ]
     if not known:
         return None
     return statistics.median(known)
 
 
-def too_many_out(healths):
+def exceeds_ejection_bound(healths):
     """Return whether more upstreams are ejected than the pool's bound allows."""
-    out = sum(1 for item in healths if item.is_out)
-    return out * POOL_PART > len(healths)
+    out = sum(1 for item in healths if item.is_ejected)
+    return out * UPSTREAMS_PER_EJECTION > len(healths)
 
 
 def may_eject(healths):
     """Return whether one more upstream of the pool may be ejected."""
-    out = sum(1 for item in healths if item.is_out)
-    return (out + 1) * POOL_PART <= len(healths)
+    out = sum(1 for item in healths if item.is_ejected)
+    return (out + 1) * UPSTREAMS_PER_EJECTION <= len(healths)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/estimates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/estimates.py
@@ -53,7 +53,7 @@
         self._n = self._x = self._y = self._xx = self._xy = 0.0
 
     @property
-    def known(self):
+    def has_samples(self):
         """Whether any outcome was seen."""
         return self._n > 0
 
@@ -93,9 +93,9 @@
         self._first_token = LinearEstimate(0.0)
 
     @property
-    def known(self):
+    def has_samples(self):
         """Whether any outcome was seen."""
-        return self._hold.known
+        return self._hold.has_samples
 
     def hold_ms(self, request):
         """Return how long the request is expected to hold a place."""
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -5,7 +5,9 @@
 import msgspec
 
 from hemlockhoist.base import SettingError
-from hemlockhoist.decisions.scheduling.declared import DeclaredTracks
+from hemlockhoist.decisions.scheduling.declared_slots_tracker import (
+    DeclaredSlotsTracker,
+)
 from hemlockhoist.decisions.scheduling.out_of_turn import OutOfTurn
 from hemlockhoist.decisions.scheduling.returns import ReturnBook
 
@@ -83,11 +85,11 @@
         """Return what knows the requests that come back."""
         return NoReturns() if Mechanism.RETURNS in self.left_out else ReturnBook()
 
-    def declared_tracks(self, cache_tokens=0, warmup=None):
+    def declared_slots_tracker(self, cache_tokens=0, warmup=None):
         """Return the tracks of upstreams that declare their places."""
         if Mechanism.BETTER_LATER in self.left_out:
-            return FirstFreeTracks(cache_tokens, warmup)
-        return DeclaredTracks(cache_tokens, warmup)
+            return NoDeferralTracker(cache_tokens, warmup)
+        return DeclaredSlotsTracker(cache_tokens, warmup)
 
 
 class NoTurns(OutOfTurn):
@@ -113,10 +115,10 @@
         return
 
 
-class FirstFreeTracks(DeclaredTracks):
+class NoDeferralTracker(DeclaredSlotsTracker):
     """Takes the best of the upstreams that are free, and waits for no other."""
 
     __slots__ = ()
 
-    def _is_better_later(self, work, best, most_ms, ahead, now_ms):
+    def _should_wait(self, work, best, most_ms, ahead, now_ms):
         return False
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/giving.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/giving.py
@@ -95,7 +95,7 @@
         =======
         list of Granted
         """
-        free = self._fleet.free(now_ms)
+        free = self._fleet.free_upstreams(now_ms)
         decisions = self._grant_out_of_turn(free, changed, now_ms)
         held_back = []
         for rank in self._queue.ranks:
@@ -113,7 +113,7 @@
                     continue
                 self._check_turn(waiting.request)
                 decisions.append(self._grant(waiting, upstream, now_ms))
-                if not self._fleet.has_place(upstream, now_ms):
+                if not self._fleet.has_free_slot(upstream, now_ms):
                     free.remove(upstream)
         for waiting, due_ms in held_back:
             self._queue.push(waiting, due_ms)
@@ -142,9 +142,9 @@
                     waiting.passed_over = self._round
                     self._queue.push(waiting, due_ms)
                     break
-                self._turns.charge(self._fleet.tracks.hold_ms(waiting.request))
+                self._turns.charge(self._fleet.tracker.hold_ms(waiting.request))
                 decisions.append(self._grant(waiting, upstream, now_ms))
-                if not self._fleet.has_place(upstream, now_ms):
+                if not self._fleet.has_free_slot(upstream, now_ms):
                     free.remove(upstream)
         return decisions
 
@@ -155,7 +155,7 @@
         for version in self._policy.candidates(request, versions, now_ms):
             choices = [item for item in free if item.version == version]
             choices = _untried(request, _within(request, choices))
-            upstream = self._fleet.tracks.choose(
+            upstream = self._fleet.tracker.choose(
                 request, choices, self._grants.in_flight, now_ms, ahead
             )
             if upstream is not None:
@@ -167,7 +167,7 @@
         self._check_staying(request, upstream)
         self._turns.note(request.tier_rank, False, now_ms)
         self._queue.tier(request.tier_rank).charge(waiting)
-        self._admission.note_grant(request.tier_rank, waiting.cost_ms, now_ms)
+        self._admission.record_grant(request.tier_rank, waiting.cost_ms, now_ms)
         self._sequence += 1
         grant = Grant(
             grant_id=new_grant_id(self._incarnation, self._pool, self._sequence),
@@ -176,7 +176,7 @@
             address=upstream.address,
             version=upstream.version,
             expires_ms=now_ms + GRANT_TTL_MS,
-            is_cold=self._fleet.tracks.is_cold(upstream.upstream_id, now_ms),
+            is_cold=self._fleet.tracker.is_cold(upstream.upstream_id, now_ms),
         )
         held = Held(request, grant, now_ms, waiting.cost_ms)
         self._grants.add(held)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/offers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/offers.py
@@ -4,7 +4,7 @@
 
 # One way to another failure domain takes about 1.5 ms more, and a request makes a few
 # of them.
-OTHER_DOMAIN_MS = 6.0
+CROSS_DOMAIN_COST_MS = 6.0
 # An answer that fails costs its caller about this much: the time until it is tried
 # elsewhere. Counted by how much more often than others an upstream fails.
 FAILED_ANSWER_MS = 1_500.0
@@ -107,29 +107,29 @@
     return near.first_ms - best.first_ms <= NEAR_PART * max(0.0, left_ms)
 
 
-def cost_ms(work, track, first_ms, held, now_ms):
+def cost_ms(work, tracked, first_ms, held, now_ms):
     """Return what a request costs at an upstream, in its caller's time.
 
     Made for engines that differ several times in speed: a slow one is as good as any
     for a short prompt, and no good for a long one.
     """
-    token_ms = track.pace.token_ms
-    beside = held * work.base_tokens / max(1, track.limit.places)
+    token_ms = tracked.pace.token_ms
+    beside = held * work.base_cost / max(1, tracked.limit.places)
     total_ms = first_ms + token_ms * (DECODE_PART * work.output_tokens + beside)
-    if not track.ends_within(work, first_ms, now_ms):
+    if not tracked.meets_deadline(work, first_ms, now_ms):
         total_ms += FAILED_ANSWER_MS
-    if work.failure_domain != track.failure_domain:
-        total_ms += OTHER_DOMAIN_MS
-    return total_ms + ANSWERED_MS * track.failures.counts(now_ms)[1]
+    if work.failure_domain != tracked.failure_domain:
+        total_ms += CROSS_DOMAIN_COST_MS
+    return total_ms + ANSWERED_MS * tracked.failures.counts(now_ms)[1]
 
 
-def risk_ms(work, track, held, counts, most_ms, now_ms):
+def risk_ms(work, tracked, held, counts, most_ms, now_ms):
     """Return what an upstream's failures, stalls and pauses may cost, in time.
 
     Parameters
     ==========
     work : Work
-    track : DeclaredTrack
+    tracked : DeclaredTrack
     held : int
         Requests that the upstream has.
     counts : tuple of float
@@ -138,16 +138,16 @@
         For how long prompts may take an upstream before its answers pause.
     now_ms : int
     """
-    total_ms = STALLED_MS * track.stalled
-    total_ms += FAILED_ANSWER_MS * track.failures.excess(counts, now_ms)
-    if track.prompts_ms(work) > most_ms:
+    total_ms = STALLED_MS * tracked.stalled
+    total_ms += FAILED_ANSWER_MS * tracked.failures.excess(counts, now_ms)
+    if tracked.prompts_ms(work) > most_ms:
         total_ms += PAUSED_ANSWER_MS * max(1, held)
     return total_ms
 
 
-def saved_ms(track, kept):
+def saved_ms(tracked, kept):
     """Return what the kept part of a prompt spares the answers at an upstream."""
-    return SAVED_PART * track.pace.prompt_ms(kept) if kept else 0.0
+    return SAVED_PART * tracked.pace.prompt_ms(kept) if kept else 0.0
 
 
 NO_PAUSE_BOUND_MS = math.inf
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/passing.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/passing.py
@@ -33,21 +33,21 @@
         callable
             ``may_pass(request)``.
         """
-        tracks = self._fleet.tracks
+        tracker = self._fleet.tracker
         longest_ms = {}
 
         def may_pass(request):
             rank = request.tier_rank
             if rank not in longest_ms:
                 longest_ms[rank] = self._longest_ms(rank, now_ms)
-            hold_ms = tracks.hold_ms(request)
+            hold_ms = tracker.hold_ms(request)
             return hold_ms is not None and hold_ms <= longest_ms[rank]
 
         return may_pass
 
     def _longest_ms(self, rank, now_ms):
-        tracks = self._fleet.tracks
+        tracker = self._fleet.tracker
         above = [item.request for item in self._queue.first_above(rank)]
-        passed = [(item.tier_rank, tracks.hold_ms(item) or 0.0) for item in above]
-        places = self._fleet.places(now_ms)
+        passed = [(item.tier_rank, tracker.hold_ms(item) or 0.0) for item in above]
+        places = self._fleet.slots(now_ms)
         return self._turns.longest_ms(rank, passed, places, now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/placement.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/placement.py
@@ -2,15 +2,15 @@
 
 # One way to another failure domain takes about 1.5 ms more, and a request makes a
 # few of them.
-OTHER_DOMAIN_MS = 6.0
+CROSS_DOMAIN_COST_MS = 6.0
 # Added for each failure in a row. Made for upstreams that refuse connections while no
 # more may be ejected: with nothing in flight they would look the emptiest of all.
-FAILURE_MS = 2_000.0
+FAILURE_COST_MS = 2_000.0
 # Start values until a generation's first answers.
 INITIAL_TOKEN_MS = 20.0
 INITIAL_PROMPT_TOKEN_MS = 0.1
 # A full batch is about this much slower than an empty one.
-FULL_BATCH_STRETCH = 0.6
+FULL_BATCH_SLOWDOWN = 0.6
 # A prompt that is computed delays every answer under way at its engine, not only its
 # own: its time counts this many times. Weighed with prefix-heavy load: 1 wastes twice
 # the prompt tokens, and more than 4 sends requests to engines that are full.
@@ -19,7 +19,7 @@
 _SLOWER_WEIGHT = 0.15
 # Each second, an upstream's speed moves by this part towards its generation's: one
 # that was slow and so is not chosen would never be found to have recovered.
-DRIFT = 0.02
+DRIFT_FRACTION = 0.02
 
 
 class Speed:
@@ -54,9 +54,9 @@
 
     def drift(self, generation):
         """Move towards the speed of the generation."""
-        self.token_ms += DRIFT * (generation.token_ms - self.token_ms)
+        self.token_ms += DRIFT_FRACTION * (generation.token_ms - self.token_ms)
         part_ms = generation.prompt_token_ms - self.prompt_token_ms
-        self.prompt_token_ms += DRIFT * part_ms
+        self.prompt_token_ms += DRIFT_FRACTION * part_ms
 
     def reset(self, generation):
         """Take the speed of the generation."""
@@ -64,7 +64,7 @@
         self.prompt_token_ms = generation.prompt_token_ms
 
 
-def score(request, track, in_flight, places, now_ms):
+def score(request, tracked, in_flight, slots, now_ms):
     """Return the expected time of the request at an upstream; the least is best.
 
     Made for stale load reports and unlike generations. It uses this home's counts
@@ -76,8 +76,8 @@
     Parameters
     ==========
     request : hemlockhoist.decisions.WorkRequest
-    track : hemlockhoist.decisions.scheduling.tracking.UpstreamTrack
-    in_flight, places : int
+    tracked : hemlockhoist.decisions.scheduling.adaptive_tracker.UpstreamTrack
+    in_flight, slots : int
         Grants that the upstream holds, and may hold.
     now_ms : int
 
@@ -86,13 +86,13 @@
     float
         Milliseconds, from now.
     """
-    computed = request.prompt_tokens - track.cached_tokens(request)
-    used = in_flight / max(1, places)
-    decode_ms = request.output_tokens * track.speed.token_ms
-    score_ms = max(0.0, track.prompts_done_ms - now_ms)
-    score_ms += PROMPT_WEIGHT * computed * track.speed.prompt_token_ms
-    score_ms += FAILURE_MS * track.health.recent_failures(now_ms)
-    score_ms += decode_ms * (1.0 + FULL_BATCH_STRETCH * used)
-    if request.failure_domain != track.failure_domain:
-        score_ms += OTHER_DOMAIN_MS
+    computed = request.prompt_tokens - tracked.cached_tokens(request)
+    used = in_flight / max(1, slots)
+    decode_ms = request.output_tokens * tracked.speed.token_ms
+    score_ms = max(0.0, tracked.prompts_done_ms - now_ms)
+    score_ms += PROMPT_WEIGHT * computed * tracked.speed.prompt_token_ms
+    score_ms += FAILURE_COST_MS * tracked.health.recent_failures(now_ms)
+    score_ms += decode_ms * (1.0 + FULL_BATCH_SLOWDOWN * used)
+    if request.failure_domain != tracked.failure_domain:
+        score_ms += CROSS_DOMAIN_COST_MS
     return score_ms
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/prompt_cache.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/prompt_cache.py
@@ -4,7 +4,7 @@
 
 # Parts that all requests share are kept everywhere: what a few tokens would save is
 # less than the choice of an upstream should hang on.
-LEAST_TOKENS = 256
+MIN_CACHED_TOKENS = 256
 # Bound for engines that do not declare how much they keep.
 DEFAULT_CAPACITY_TOKENS = 100_000
 
@@ -25,11 +25,11 @@
     ========
     >>> from hemlockhoist.decisions.scheduling.prompt_cache import PromptCache
     >>> cache = PromptCache(capacity_tokens=1_000)
-    >>> cache.note("u1", (11, 12), (300, 400))
-    >>> cache.kept((11, 12), (300, 400)), cache.kept((11, 13), (300, 500))
+    >>> cache.record("u1", (11, 12), (300, 400))
+    >>> cache.cached_tokens((11, 12), (300, 400)), cache.cached_tokens((11, 13), (300, 500))
     ({'u1': 700}, {'u1': 300})
-    >>> cache.note("u1", (21,), (600,))
-    >>> cache.kept((11, 12), (300, 400))
+    >>> cache.record("u1", (21,), (600,))
+    >>> cache.cached_tokens((11, 12), (300, 400))
     {'u1': 300}
     """
 
@@ -43,7 +43,7 @@
         # By part, the upstreams that keep it.
         self._holders = {}
 
-    def note(self, upstream_id, hashes, tokens):
+    def record(self, upstream_id, hashes, tokens):
         """Take notice that an upstream is given a prompt.
 
         Parameters
@@ -65,7 +65,7 @@
         while self._tokens[upstream_id] > self._capacity and parts:
             self._drop(upstream_id, next(iter(parts)))
 
-    def kept(self, hashes, tokens):
+    def cached_tokens(self, hashes, tokens):
         """Return how many leading tokens of a prompt each upstream keeps.
 
         Returns
@@ -76,7 +76,7 @@
         kept = {}
         total = sum(tokens)
         for part, count in zip(reversed(hashes), reversed(tokens), strict=True):
-            if total < LEAST_TOKENS:
+            if total < MIN_CACHED_TOKENS:
                 break
             for upstream_id in self._holders.get(part, ()):
                 kept.setdefault(upstream_id, total)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/recovery.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/recovery.py
@@ -43,12 +43,12 @@
             self.end()
         return self._until_ms is not None
 
-    def note_grant(self, upstream_id, now_ms):
+    def record_grant(self, upstream_id, now_ms):
         """Count a grant that no report includes yet."""
         if self.is_active(now_ms):
             self._granted_ms.setdefault(upstream_id, []).append(now_ms)
 
-    def held(self, upstream_id, counted, report, now_ms):
+    def assumed_in_flight(self, upstream_id, counted, report, now_ms):
         """Return how many requests an upstream is taken to hold, or None if unknown.
 
         Parameters
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/reach.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/reliability.py
@@ -7,31 +7,31 @@
 # has crashed while the list still shows it: without it each request tries it first, as
 # it looks the emptiest of all. A refusal comes within milliseconds and a restart takes
 # seconds, so that the first pause is short and the longest not much more than a restart.
-FIRST_PAUSE_MS = 250
-MAX_PAUSE_MS = 2_000
+INITIAL_BACKOFF_MS = 250
+MAX_BACKOFF_MS = 2_000
 # Failures are forgotten by half in this time, so that an upstream that has recovered
 # is used again without answers to show it.
 FAILURE_HALF_LIFE_MS = 2_500
 # Standard deviations of a failure rate that are put down to chance.
-CHANCE = 1.5
+TOLERATED_DEVIATIONS = 1.5
 # Until it has answered this often, an upstream is taken to fail as often as others.
-USUAL_ANSWERS = 4.0
+PRIOR_ANSWERS = 4.0
 
 
-class Reach:
+class CircuitBreaker:
     """Whether an upstream takes connections.
 
     Examples
     ========
-    >>> from hemlockhoist.decisions.scheduling.reach import Reach
-    >>> reach = Reach()
-    >>> reach.on_failed(now_ms=1_000)
-    >>> reach.is_open(1_100, in_flight=0), reach.is_open(1_250, in_flight=0)
+    >>> from hemlockhoist.decisions.scheduling.reliability import CircuitBreaker
+    >>> breaker = CircuitBreaker()
+    >>> breaker.on_connect_failure(now_ms=1_000)
+    >>> breaker.allows_request(1_100, in_flight=0), breaker.allows_request(1_250, in_flight=0)
     (False, True)
-    >>> reach.is_open(1_250, in_flight=1)
+    >>> breaker.allows_request(1_250, in_flight=1)
     False
-    >>> reach.on_reached()
-    >>> reach.is_open(1_250, in_flight=1)
+    >>> breaker.on_reachable()
+    >>> breaker.allows_request(1_250, in_flight=1)
     True
     """
 
@@ -41,19 +41,21 @@
         self._pause_ms = 0
         self._closed_until_ms = 0
 
-    def on_failed(self, now_ms):
+    def on_connect_failure(self, now_ms):
         """Take a failed connection."""
         if now_ms < self._closed_until_ms:
             return
-        self._pause_ms = min(MAX_PAUSE_MS, max(FIRST_PAUSE_MS, 2 * self._pause_ms))
+        self._pause_ms = min(
+            MAX_BACKOFF_MS, max(INITIAL_BACKOFF_MS, 2 * self._pause_ms)
+        )
         self._closed_until_ms = now_ms + self._pause_ms
 
-    def on_reached(self):
+    def on_reachable(self):
         """Take a sign of life."""
         self._pause_ms = 0
         self._closed_until_ms = 0
 
-    def is_open(self, now_ms, in_flight):
+    def allows_request(self, now_ms, in_flight):
         """Return whether it may be given a request."""
         if not self._pause_ms:
             return True
@@ -99,10 +101,10 @@
         if not failures:
             return 0.0
         usual = (counts[0] - failures) / (counts[1] - answers + 1.0)
-        known = answers + USUAL_ANSWERS
-        rate = (failures + USUAL_ANSWERS * usual) / known
+        known = answers + PRIOR_ANSWERS
+        rate = (failures + PRIOR_ANSWERS * usual) / known
         by_chance = math.sqrt(usual * (1.0 - usual) / known)
-        return max(0.0, rate - usual - CHANCE * by_chance)
+        return max(0.0, rate - usual - TOLERATED_DEVIATIONS * by_chance)
 
     def _kept(self, now_ms):
         passed = max(0, now_ms - self._at_ms) / FAILURE_HALF_LIFE_MS
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -2,6 +2,7 @@
 
 from hemlockhoist.base import InvariantLog, ResultCode
 from hemlockhoist.decisions.policy import VersionPolicy
+from hemlockhoist.decisions.scheduling.adaptive_tracker import AdaptiveTracker
 from hemlockhoist.decisions.scheduling.admission import (
     LATE_REVIEW_MS,
     Admission,
@@ -16,7 +17,6 @@
 from hemlockhoist.decisions.scheduling.passing import Passing
 from hemlockhoist.decisions.scheduling.queue import RequestQueue, Waiting
 from hemlockhoist.decisions.scheduling.shedding import Shedder
-from hemlockhoist.decisions.scheduling.tracking import UpstreamTracks
 from hemlockhoist.decisions.work import Granted, OutcomeKind
 
 # A grant is counted no longer than this after its request's deadline. Made for a
@@ -49,7 +49,7 @@
     )
 
     def __init__(
-        self, pool, tiers, incarnation, policy, invariants, tracks, experiments
+        self, pool, tiers, incarnation, policy, invariants, tracker, experiments
     ):
         self._experiments = experiments
         self._policy = policy
@@ -57,7 +57,7 @@
         self._queue = RequestQueue([tier.rank for tier in tiers])
         self._estimate = ServiceEstimate()
         self._grants = GrantBook()
-        self._fleet = Fleet(self._grants, tracks)
+        self._fleet = Fleet(self._grants, tracker)
         turns = experiments.turns()
         self._returns = experiments.returns()
         self._passing = Passing(self._queue, self._fleet, turns)
@@ -92,7 +92,7 @@
         incarnation,
         policy=None,
         invariants=None,
-        tracks=None,
+        tracker=None,
         experiments=None,
     ):
         """Return a scheduler without upstreams.
@@ -106,7 +106,7 @@
         policy : VersionPolicy, optional
         invariants : hemlockhoist.base.InvariantLog, optional
             Takes the checks of tier order and of leaving upstreams.
-        tracks : DeclaredTracks, optional
+        tracker : DeclaredSlotsTracker, optional
             For upstreams that declare their places; by default their limits are
             found.
         experiments : Experiments, optional
@@ -118,7 +118,7 @@
             incarnation,
             policy or VersionPolicy(),
             invariants or InvariantLog(fatal=False),
-            tracks or UpstreamTracks(pool.max_in_flight_per_upstream),
+            tracker or AdaptiveTracker(pool.max_in_flight_per_upstream),
             experiments or Experiments(),
         )
 
@@ -147,12 +147,12 @@
 
     def cached_elsewhere(self, request, upstream_id):
         """Return the most prompt tokens that another upstream probably has cached."""
-        return self._fleet.tracks.cached_elsewhere(request, upstream_id)
+        return self._fleet.tracker.cached_elsewhere(request, upstream_id)
 
     def reconfigure(self, pool, tiers, now_ms):
         """Take changed declarations without losing queue or grants."""
         self._admission.set_tiers(tiers)
-        self._fleet.tracks.set_max_limit(pool.max_in_flight_per_upstream)
+        self._fleet.tracker.set_max_limit(pool.max_in_flight_per_upstream)
         return self._drain(now_ms)
 
     def submit(self, request, now_ms):
@@ -208,7 +208,7 @@
         held = self._grants.get(grant_id)
         if held is None:
             return []
-        self._fleet.tracks.on_first_token(held, first_token_ms, now_ms)
+        self._fleet.tracker.on_first_token(held, first_token_ms, now_ms)
         return self._decide(now_ms, held.grant.upstream_id)
 
     def adopt(self, request, grant, now_ms):
@@ -228,12 +228,12 @@
     def begin_recovery(self, now_ms):
         """Begin the time in which grants of a former home are still unknown."""
         self._fleet.recovery.begin(now_ms)
-        self._fleet.tracks.begin_takeover(now_ms)
+        self._fleet.tracker.begin_takeover(now_ms)
         return []
 
     def set_share(self, share):
         """Take the part of what is bounded over all hosts that is given out here."""
-        self._fleet.tracks.set_share(share)
+        self._fleet.tracker.set_share(share)
 
     def end_recovery(self, now_ms):
         """Take notice that all entry hosts have reported the grants they hold."""
@@ -265,7 +265,7 @@
         """
         self._grants.forget_ended(now_ms)
         self._queue.forget_idle()
-        self._fleet.review(self._estimate, now_ms)
+        self._fleet.on_tick(self._estimate, now_ms)
         for grant_id in self._grants.past_deadline(now_ms - LOST_GRANT_MS):
             self._lose(grant_id, now_ms)
         return self._drain(now_ms)
@@ -290,7 +290,7 @@
         if is_returned:
             wait_ms = hopeless_ms(request, self._estimate) - now_ms
         due_ms = int(now_ms + max(1, wait_ms))
-        turn_ms = self._fleet.tracks.turn_ms(now_ms, cost_ms, due_ms)
+        turn_ms = self._fleet.tracker.sort_key_ms(now_ms, cost_ms, due_ms)
         waiting = Waiting(
             request, cost_ms, turn_ms, self._order, is_returned=is_returned
         )
@@ -312,7 +312,7 @@
             return None
         if self._admission.shed_above(request.tier_rank, self._queue):
             return ResultCode.OVERLOADED
-        places = self._fleet.places(now_ms)
+        places = self._fleet.slots(now_ms)
         return self._admission.prospect(
             request, self._queue, places, self._estimate, now_ms
         )
@@ -381,14 +381,14 @@
         held = self._grants.get(grant_id)
         self._grants.remove(grant_id)
         if held is not None:
-            self._fleet.tracks.forget(held, now_ms)
+            self._fleet.tracker.forget(held, now_ms)
             self._policy.on_forget(held.request, held.grant.version, now_ms)
 
     def _learn(self, held, outcome, now_ms):
         request = held.request
         hold_ms = now_ms - held.granted_ms
         predicted_ms = self._estimate.hold_ms(request)
-        self._fleet.tracks.on_outcome(held, outcome, hold_ms, predicted_ms, now_ms)
+        self._fleet.tracker.on_outcome(held, outcome, hold_ms, predicted_ms, now_ms)
         if outcome.kind is OutcomeKind.SUCCESS:
             self._estimate.observe(request, hold_ms, outcome.first_token_ms)
         if outcome.kind not in _NOT_SENT:
@@ -399,8 +399,8 @@
         )
 
     def _retry_after_ms(self, request, now_ms):
-        places = self._fleet.places(now_ms)
-        hold_ms = self._fleet.tracks.hold_ms(request)
+        places = self._fleet.slots(now_ms)
+        hold_ms = self._fleet.tracker.hold_ms(request)
         return_ms = self._returns.return_ms(request, hold_ms, now_ms)
         has_rest = places or self._fleet.table.is_evacuated()
         if has_rest and return_ms is not None:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/play.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/play.py
@@ -109,7 +109,7 @@
             (),
             "i1",
             invariants=self.invariants,
-            tracks=experiments.declared_tracks(),
+            tracker=experiments.declared_slots_tracker(),
             experiments=experiments,
         )
         self.engines = {name: _Engine(ms) for name, ms in tokens_ms.items()}
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
@@ -2,7 +2,7 @@
 import unittest
 import unittest.mock
 
-from hemlockhoist.decisions.scheduling import declared, out_of_turn
+from hemlockhoist.decisions.scheduling import declared_slots_tracker, out_of_turn
 from hemlockhoist.decisions.scheduling.out_of_turn import OutOfTurn
 from hemlockhoist.decisions.scheduling.returns import ReturnBook, longest_return_ms
 from hemlockhoist.decisions.scheduling.tests import builders as b
@@ -73,9 +73,12 @@
         play = Play(dict(zip(map(str, range(41)), paces, strict=False)), places=4)
         for kind, every_ms in ((BULLETIN, 6.4), (NOTICE, 2.8), (TAG, 3.2)):
             play.send_each(kind, every_ms, 0, 3_000)
-        choose = declared.DeclaredTracks.choose
+        choose = declared_slots_tracker.DeclaredSlotsTracker.choose
         with unittest.mock.patch.object(
-            declared.DeclaredTracks, "choose", autospec=True, side_effect=choose
+            declared_slots_tracker.DeclaredSlotsTracker,
+            "choose",
+            autospec=True,
+            side_effect=choose,
         ) as chosen:
             play.run(8_000)
         arrived = sum(sum(ends.values()) for ends in play.ends.values())
@@ -159,4 +162,6 @@
         placed = play.placed["bulletin"]
         self.assertLess(placed["slow"], 0.02 * sum(placed.values()))
         prompt_ms = 0.0075 * BULLETIN.prompt_tokens * PACES_MS["slow"]
-        self.assertGreater(prompt_ms, declared.PROMPT_PART * BULLETIN.max_gap_ms)
+        self.assertGreater(
+            prompt_ms, declared_slots_tracker.PROMPT_GAP_FRACTION * BULLETIN.max_gap_ms
+        )
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
@@ -2,7 +2,12 @@
 import unittest
 
 from hemlockhoist.decisions import Granted, Outcome, OutcomeKind, Upstream
-from hemlockhoist.decisions.scheduling import DeclaredTracks, PoolScheduler, pace, reach
+from hemlockhoist.decisions.scheduling import (
+    DeclaredSlotsTracker,
+    PoolScheduler,
+    pace,
+    reliability,
+)
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.declarations import Pool, PoolKind
 
@@ -18,7 +23,7 @@
 
 def scheduler(*names):
     pool = Pool(name="dossiers", kind=PoolKind.MODEL, stable_version="")
-    made = PoolScheduler.from_config(pool, (), "i1", tracks=DeclaredTracks())
+    made = PoolScheduler.from_config(pool, (), "i1", tracker=DeclaredSlotsTracker())
     made.set_upstreams([upstream(name) for name in names], 0)
     return made
 
@@ -200,5 +205,5 @@
 
 class ExampleTests(unittest.TestCase):
     def test_examples_run(self):
-        for module in (pace, reach):
+        for module in (pace, reliability):
             self.assertEqual(doctest.testmod(module).failed, 0)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
@@ -8,7 +8,7 @@
     Upstream,
     UpstreamState,
 )
-from hemlockhoist.decisions.scheduling import DeclaredTracks, PoolScheduler
+from hemlockhoist.decisions.scheduling import DeclaredSlotsTracker, PoolScheduler
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.declarations import Pool, PoolKind
 
@@ -32,7 +32,7 @@
 
 def scheduler(*upstreams):
     pool = Pool(name="assistant", kind=PoolKind.MODEL, stable_version="")
-    made = PoolScheduler.from_config(pool, (), "i1", tracks=DeclaredTracks())
+    made = PoolScheduler.from_config(pool, (), "i1", tracker=DeclaredSlotsTracker())
     made.set_upstreams(upstreams, 0)
     return made
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_offers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_offers.py
@@ -1,9 +1,9 @@
 import unittest
 
 from hemlockhoist.decisions import Granted, Outcome, OutcomeKind, Upstream
-from hemlockhoist.decisions.scheduling import DeclaredTracks, PoolScheduler
+from hemlockhoist.decisions.scheduling import DeclaredSlotsTracker, PoolScheduler
 from hemlockhoist.decisions.scheduling.offers import NEAR_PART, Offer, Offers
-from hemlockhoist.decisions.scheduling.reach import FailureRate
+from hemlockhoist.decisions.scheduling.reliability import FailureRate
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.declarations import Pool, PoolKind
 
@@ -73,7 +73,9 @@
     def play(self, error_every=0, count=1_200):
         """Return how many of the answers came from another domain."""
         pool = Pool(name="halls", kind=PoolKind.SERVICE, stable_version="")
-        sched = PoolScheduler.from_config(pool, (), "i1", tracks=DeclaredTracks())
+        sched = PoolScheduler.from_config(
+            pool, (), "i1", tracker=DeclaredSlotsTracker()
+        )
         upstreams = [
             Upstream(
                 upstream_id=name,
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
@@ -1,10 +1,10 @@
 import unittest
 
 from hemlockhoist.decisions import Grant, LoadReport, Outcome, OutcomeKind, Upstream
+from hemlockhoist.decisions.scheduling.adaptive_tracker import AdaptiveTracker
 from hemlockhoist.decisions.scheduling.grants import Held
 from hemlockhoist.decisions.scheduling.prefixes import MAX_BLOCKS, PrefixMap
 from hemlockhoist.decisions.scheduling.tests import builders as b
-from hemlockhoist.decisions.scheduling.tracking import UpstreamTracks
 
 
 def _outcome(token_ms, cached_tokens=0):
@@ -97,9 +97,9 @@
         take their caches for smaller with each answer, forget the documents, and
         have other engines compute them again.
         """
-        tracks = UpstreamTracks(8)
-        tracks.keep(b.upstreams(1))
-        tracks.set_usable(b.upstreams(1), 0)
+        tracker = AdaptiveTracker(8)
+        tracker.set_listed(b.upstreams(1))
+        tracker.set_usable(b.upstreams(1), 0)
         for number in range(200):
             now_ms = 3_000 * number
             item = self._question(number % 4, number, now_ms)
@@ -112,10 +112,10 @@
                 expires_ms=0,
             )
             held = Held(item, grant, now_ms, 1_000.0)
-            tracks.on_grant(held, now_ms)
+            tracker.on_grant(held, now_ms)
             outcome = _outcome(20, 4_096 if number >= 4 else 0)
-            tracks.on_outcome(held, outcome, 1_100, 1_000.0, now_ms + 1_100)
-        known = tracks.get("u0").prefixes
+            tracker.on_outcome(held, outcome, 1_100, 1_000.0, now_ms + 1_100)
+        known = tracker.get("u0").prefixes
         for document in range(4):
             hashes = self._question(document, 999, 0).prefix_hashes
             self.assertEqual(known.match(hashes), 64)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from hemlockhoist.decisions import Granted, Upstream
-from hemlockhoist.decisions.scheduling import DeclaredTracks, PoolScheduler
+from hemlockhoist.decisions.scheduling import DeclaredSlotsTracker, PoolScheduler
 from hemlockhoist.decisions.scheduling import prompt_cache as module
 from hemlockhoist.decisions.scheduling.prompt_cache import PromptCache
 from hemlockhoist.decisions.scheduling.tests import builders as b
@@ -21,20 +21,20 @@
     def test_parts_of_a_few_tokens_do_not_bind_a_prompt(self):
         """All prompts share their first part, and would all go to one engine."""
         cache = PromptCache(CAPACITY)
-        cache.note("u1", (1, 2), (60, 700))
-        self.assertEqual(cache.kept((1, 3), (60, 700)), {})
+        cache.record("u1", (1, 2), (60, 700))
+        self.assertEqual(cache.cached_tokens((1, 3), (60, 700)), {})
 
     def test_upstream_that_is_gone_keeps_nothing(self):
         cache = PromptCache(CAPACITY)
-        cache.note("u1", (1,), (500,))
+        cache.record("u1", (1,), (500,))
         cache.forget("u1")
         cache.forget("unknown")
-        self.assertEqual(cache.kept((1,), (500,)), {})
+        self.assertEqual(cache.cached_tokens((1,), (500,)), {})
 
     def test_capacity_that_is_not_declared(self):
         cache = PromptCache(0)
-        cache.note("u1", (1,), (500,))
-        self.assertEqual(cache.kept((1,), (500,)), {"u1": 500})
+        cache.record("u1", (1,), (500,))
+        self.assertEqual(cache.cached_tokens((1,), (500,)), {"u1": 500})
 
     @given(
         st.lists(
@@ -46,7 +46,7 @@
         cache, sizes = PromptCache(CAPACITY), {}
         for upstream, part, tokens in notes:
             tokens = sizes.setdefault(part, tokens)
-            cache.note(f"u{upstream}", (part,), (tokens,))
+            cache.record(f"u{upstream}", (part,), (tokens,))
             for name in ("u0", "u1", "u2"):
                 kept = sum(
                     size
@@ -62,7 +62,7 @@
     def setUp(self):
         pool = Pool(name="dossiers", kind=PoolKind.MODEL, stable_version="")
         self.sched = PoolScheduler.from_config(
-            pool, (), "i1", tracks=DeclaredTracks(cache_tokens=40_000)
+            pool, (), "i1", tracker=DeclaredSlotsTracker(cache_tokens=40_000)
         )
         self.names = [f"u{number}" for number in range(8)]
         self.sched.set_upstreams([self.upstream(name) for name in self.names], 0)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
@@ -7,19 +7,21 @@
 
 from hemlockhoist.decisions import Granted, Outcome, OutcomeKind, Upstream
 from hemlockhoist.decisions.scheduling import (
-    ColdBound,
-    DeclaredTracks,
+    ColdStartLimit,
+    DeclaredSlotsTracker,
     PoolScheduler,
     Warmup,
     warmup,
 )
-from hemlockhoist.decisions.scheduling.declared_track import DeclaredTrack
+from hemlockhoist.decisions.scheduling.declared_slots_upstream import (
+    DeclaredSlotsUpstream,
+)
 from hemlockhoist.decisions.scheduling.pace import PoolPace
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.declarations import Pool, PoolKind
 
 COLD_MS = 3_000
-BOUND = ColdBound(cold_ms=COLD_MS, requests_per_s=14.9)
+BOUND = ColdStartLimit(cold_ms=COLD_MS, requests_per_s=14.9)
 SHORT_MS = 40
 # The longest that requests are under way from a home to an upstream.
 MOST_DELAY_MS = warmup.WINDOW_MS - 1_000
@@ -39,8 +41,8 @@
 
 def scheduler(*upstreams, bound=BOUND):
     pool = Pool(name="assistant", kind=PoolKind.MODEL, stable_version="")
-    tracks = DeclaredTracks(warmup=Warmup(lambda: bound))
-    made = PoolScheduler.from_config(pool, (), "i1", tracks=tracks)
+    tracker = DeclaredSlotsTracker(warmup=Warmup(lambda: bound))
+    made = PoolScheduler.from_config(pool, (), "i1", tracker=tracker)
     made.set_upstreams(upstreams, 0)
     return made
 
@@ -145,7 +147,7 @@
         self.assertEqual(flood.count("cold", 0, 1_000), 0)
 
     def test_service_without_a_bound_is_given_its_places(self):
-        bound = ColdBound(cold_ms=COLD_MS)
+        bound = ColdStartLimit(cold_ms=COLD_MS)
         sched = scheduler(upstream("cold", COLD_MS), upstream("warm"), bound=bound)
         flood = Flood(sched)
         flood.run(0, 1_000)
@@ -154,7 +156,7 @@
     def test_cold_engine_does_not_teach_the_pace_of_warm_ones(self):
         """All engines are taken for slow while a few warm up, and prompts wait."""
         pool = PoolPace()
-        warm, other = (DeclaredTrack(upstream("u"), pool) for _ in range(2))
+        warm, other = (DeclaredSlotsUpstream(upstream("u"), pool) for _ in range(2))
         for _ in range(20):
             warm.pace.observe_token(2.0)
         warm.set_cold(True)
@@ -170,11 +172,11 @@
         """Grants that are under way for some time arrive in heaps."""
         rng = random.Random(seed)
         made = Warmup(lambda: BOUND)
-        made.presume_cold("u", 0)
+        made.assume_cold("u", 0)
         arrivals = []
         for now_ms in range(0, COLD_MS, 7):
             if made.allows("u", now_ms):
-                made.note_grant("u", now_ms)
+                made.record_grant("u", now_ms)
                 arrivals.append(now_ms + rng.randrange(MOST_DELAY_MS))
         for start in arrivals:
             inside = sum(start <= at <= start + 1_000 for at in arrivals)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tracks.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/upstream_tracker.py
@@ -1,11 +1,11 @@
 """What a pool's scheduler asks of the tracks of its upstreams."""
 
 
-class Tracks:
+class UpstreamTracker:
     """What a home knows of each upstream, and where it places a request by it.
 
     Upstreams that declare how many requests they work on at once have
-    ``DeclaredTracks``; for others ``UpstreamTracks`` finds their limits.
+    ``DeclaredSlotsTracker``; for others ``AdaptiveTracker`` finds their limits.
 
     Attributes
     ==========
@@ -16,7 +16,7 @@
     __slots__ = ()
     recovery_ms = 0
 
-    def keep(self, upstreams):
+    def set_listed(self, upstreams):
         """Begin tracks for new upstreams, and drop those of vanished ones."""
         raise NotImplementedError
 
@@ -24,7 +24,7 @@
         """Return the track of a listed upstream, or None."""
         raise NotImplementedError
 
-    def places(self, upstream_id, now_ms):
+    def slots(self, upstream_id, now_ms):
         """Return how many requests an upstream may hold."""
         raise NotImplementedError
 
@@ -48,7 +48,7 @@
         """Return for how long a request holds a place, or None where not known."""
         raise NotImplementedError
 
-    def turn_ms(self, arrived_ms, cost_ms, due_ms):
+    def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
         """Return when a request's turn is, within its customer's."""
         raise NotImplementedError
 
@@ -102,11 +102,11 @@
         """Return the most prompt tokens that another upstream probably has cached."""
         return 0
 
-    def takes_more(self, upstream_id, now_ms):
+    def accepts_more(self, upstream_id, now_ms):
         """Return whether an upstream may be given another request, places aside."""
         return True
 
-    def with_place(self, upstreams, in_flight, now_ms):
+    def with_free_slot(self, upstreams, in_flight, now_ms):
         """Return those of some upstreams that may be given one more request.
 
         Parameters
@@ -119,13 +119,13 @@
         return [
             item
             for item in upstreams
-            if in_flight(item.upstream_id) < self.places(item.upstream_id, now_ms)
-            and self.takes_more(item.upstream_id, now_ms)
+            if in_flight(item.upstream_id) < self.slots(item.upstream_id, now_ms)
+            and self.accepts_more(item.upstream_id, now_ms)
         ]
 
-    def count_places(self, upstreams, now_ms):
+    def count_slots(self, upstreams, now_ms):
         """Return the places of some upstreams together."""
-        return sum(self.places(item.upstream_id, now_ms) for item in upstreams)
+        return sum(self.slots(item.upstream_id, now_ms) for item in upstreams)
 
     def on_overdue(self, upstream_id, overdue, ratio, now_ms):
         """Take notice of grants that are held far longer than predicted.
@@ -140,7 +140,7 @@
         now_ms : int
         """
 
-    def review(self, now_ms):
+    def on_tick(self, now_ms):
         """Do what time alone brings about; to be called at each tick."""
 
     def drift(self):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/warmup.py
@@ -10,13 +10,13 @@
 # little more than a second may arrive within one.
 WINDOW_MS = MS_PER_S + 300
 # Of the bound, what is given out. The rest is for grants whose way took longer still.
-USED_SHARE = 0.85
+USED_FRACTION = 0.85
 # A home that hears more than half of the fleet gives each cold upstream one request a
 # window, however low the bound.
-HOME_SHARE = 0.5
+MAJORITY_FRACTION = 0.5
 
 
-class ColdBound(msgspec.Struct, frozen=True, kw_only=True):
+class ColdStartLimit(msgspec.Struct, frozen=True, kw_only=True):
     """What is declared of the cold upstreams of a pool.
 
     Parameters
@@ -32,7 +32,7 @@
     requests_per_s: float = 0.0
 
 
-NOT_BOUNDED = ColdBound()
+UNLIMITED = ColdStartLimit()
 
 
 class Warmup:
@@ -45,24 +45,24 @@
 
     Parameters
     ==========
-    bound_of : callable
-        Returns the ``ColdBound`` that is declared at present.
+    get_limit : callable
+        Returns the ``ColdStartLimit`` that is declared at present.
 
     Examples
     ========
-    >>> from hemlockhoist.decisions.scheduling.warmup import ColdBound, Warmup
-    >>> warmup = Warmup(lambda: ColdBound(cold_ms=3_000, requests_per_s=4.0))
-    >>> warmup.presume_cold("u1", now_ms=0)
+    >>> from hemlockhoist.decisions.scheduling.warmup import ColdStartLimit, Warmup
+    >>> warmup = Warmup(lambda: ColdStartLimit(cold_ms=3_000, requests_per_s=4.0))
+    >>> warmup.assume_cold("u1", now_ms=0)
     >>> for at_ms in range(3):
-    ...     warmup.note_grant("u1", at_ms)
+    ...     warmup.record_grant("u1", at_ms)
     >>> warmup.allows("u1", 500), warmup.allows("u1", 1_400), warmup.allows("u2", 500)
     (False, True, True)
     """
 
-    __slots__ = ("_bound_of", "_cold_until_ms", "_grants", "_since_ms", "_share")
+    __slots__ = ("_get_limit", "_cold_until_ms", "_grants", "_since_ms", "_share")
 
-    def __init__(self, bound_of=lambda: NOT_BOUNDED):
-        self._bound_of = bound_of
+    def __init__(self, get_limit=lambda: UNLIMITED):
+        self._get_limit = get_limit
         self._cold_until_ms = {}
         self._grants = {}
         self._since_ms = None
@@ -72,11 +72,11 @@
         """Take the part of the bound that is given out here; others give the rest."""
         self._share = share
 
-    def begin(self, now_ms):
+    def assume_limit_used(self, now_ms):
         """Take all bounds for spent: another home may have given them out just now."""
         self._since_ms = now_ms
 
-    def keep(self, upstreams):
+    def set_listed(self, upstreams):
         """Take what the list says of upstreams, and forget those that vanished."""
         listed = {item.upstream_id: item.cold_until_ms for item in upstreams}
         self._grants = {
@@ -89,13 +89,13 @@
             if until_ms or key in known
         }
 
-    def presume_cold(self, upstream_id, now_ms):
+    def assume_cold(self, upstream_id, now_ms):
         """Take an upstream that was out of reach and is back for one that has started.
 
         Failure: an upstream crashes and is back before the list shows it, and gets the
         requests of a warm one.
         """
-        until_ms = now_ms + self._bound_of().cold_ms
+        until_ms = now_ms + self._get_limit().cold_ms
         known_ms = self._cold_until_ms.get(upstream_id, 0)
         self._cold_until_ms[upstream_id] = max(until_ms, known_ms)
 
@@ -111,23 +111,23 @@
         """Return whether an upstream may be given another request now."""
         if not self.is_cold(upstream_id, now_ms):
             return True
-        bound = self._bound_of().requests_per_s
+        bound = self._get_limit().requests_per_s
         if not bound:
             return True
         if self._since_ms is not None and now_ms - self._since_ms < WINDOW_MS:
             return False
-        most = int(USED_SHARE * self._share * bound)
-        if self._share > HOME_SHARE:
+        most = int(USED_FRACTION * self._share * bound)
+        if self._share > MAJORITY_FRACTION:
             most = max(1, most)
         return self._count(upstream_id, now_ms) < most
 
-    def note_grant(self, upstream_id, now_ms):
+    def record_grant(self, upstream_id, now_ms):
         """Count a request that an upstream is given, also a warm one.
 
         Failure: an upstream turns cold while it serves, and what it was sent in the
         second before counts as well.
         """
-        if self._bound_of().requests_per_s:
+        if self._get_limit().requests_per_s:
             times = self._grants.setdefault(upstream_id, collections.deque())
             times.append(now_ms)
             _forget(times, now_ms)
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -37,7 +37,7 @@
 )
 from hemlockhoist.base.traces import Traces
 from hemlockhoist.decisions.limits import SpentLog, share_of_side
-from hemlockhoist.decisions.scheduling import ColdBound, Warmup
+from hemlockhoist.decisions.scheduling import ColdStartLimit, Warmup
 from hemlockhoist.declarations import Declarations, Pool, PoolKind, VersionRules
 from hemlockhoist.entry.context import EntryContext
 from hemlockhoist.entry.feeds import FeedStore
@@ -210,7 +210,7 @@
             context.bus.send,
             context.gate,
             cell_of=lambda pool: ONLY_CELL,
-            new_tracks=self._new_tracks,
+            new_tracker=self._new_tracker,
             experiments=self.settings.experiments,
         )
         context.grants = GrantClient(
@@ -285,7 +285,7 @@
         context.gate.allowances.declare(table.customers)
         context.homes.redeclare()
 
-    def _new_tracks(self, name):
+    def _new_tracker(self, name):
         """Return what is kept of the upstreams of a pool."""
         routes = self.context.knowledge.routes
         pool = routes.pool(name) if routes is not None else None
@@ -293,20 +293,20 @@
         cache_tokens = 0
         if pool is not None and pool.engine is not None:
             cache_tokens = pool.engine.cache_tokens
-        warmup = Warmup(lambda: self._cold_bound(name))
-        return experiments.declared_tracks(cache_tokens, warmup)
+        warmup = Warmup(lambda: self._cold_start_limit(name))
+        return experiments.declared_slots_tracker(cache_tokens, warmup)
 
-    def _cold_bound(self, name):
+    def _cold_start_limit(self, name):
         """Return what is declared at present of the cold upstreams of a pool."""
         routes, bounds = self.context.knowledge.routes, self.settings.bounds
         pool = routes.pool(name) if routes is not None else None
         if pool is None:
-            return ColdBound()
+            return ColdStartLimit()
         requests_per_s = 0.0
         if pool.cold_requests_per_s:
             requests_per_s = pool.cold_requests_per_s * bounds.cold_overshoot
             requests_per_s += bounds.cold_tolerance
-        return ColdBound(cold_ms=pool.cold_ms, requests_per_s=requests_per_s)
+        return ColdStartLimit(cold_ms=pool.cold_ms, requests_per_s=requests_per_s)
 
     def _on_upstreams(self):
         context = self.context
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -16,7 +16,7 @@
 STANDBY_IDLE_MS = 2_000
 
 
-def _no_tracks(pool):
+def _no_tracker(pool):
     """Return None: the scheduler finds the limits of its upstreams."""
     return
 
@@ -34,8 +34,8 @@
     cell_of : callable, optional
         ``cell_of(pool)`` names what is hashed to find a pool's home; pools of one
         cell have one home.
-    new_tracks : callable, optional
-        ``new_tracks(pool)`` makes what a scheduler keeps of a pool's upstreams.
+    new_tracker : callable, optional
+        ``new_tracker(pool)`` makes what a scheduler keeps of a pool's upstreams.
     experiments : Experiments, optional
         Mechanisms that the schedulers leave out.
     """
@@ -46,7 +46,7 @@
         "_experiments",
         "_gate",
         "_homes",
-        "_new_tracks",
+        "_new_tracker",
         "_send",
         "_share",
         "_standbys",
@@ -59,11 +59,11 @@
         send,
         gate=None,
         cell_of=str,
-        new_tracks=_no_tracks,
+        new_tracker=_no_tracker,
         experiments=None,
     ):
         self._experiments = experiments or Experiments()
-        self._new_tracks = new_tracks
+        self._new_tracker = new_tracker
         self._context = context
         self._send = send
         self._gate = gate
@@ -132,7 +132,7 @@
             self._context.identity.incarnation,
             policy,
             self._context.invariants,
-            self._new_tracks(pool.name),
+            self._new_tracker(pool.name),
             self._experiments,
         )
         home = PoolHome(
