--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_ordered.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_ordered.py
@@ -10,7 +10,7 @@
     order_state,
 )
 from hemlockhoist.decisions.versions import MoveRequest, MoveState, start_move
-from hemlockhoist.decisions.versions.move import take_back_move
+from hemlockhoist.decisions.versions.move import roll_back_move
 
 ORDER = MoveOrder(order_id="halls@7", pool="halls", to_version="v2", duration_ms=12_000)
 REQUEST = WorkRequest(
@@ -79,7 +79,7 @@
         self.assertIs(order_state(row, 0), OrderState.COMPLETED)
 
     def test_move_that_was_taken_back(self):
-        row = take_back_move(move(), ORDER.order_id, "bad", "home")
+        row = roll_back_move(move(), ORDER.order_id, "bad", "home")
         self.assertIs(order_state(row, 3), OrderState.ROLLED_BACK)
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/__init__.py
@@ -18,11 +18,11 @@
     MoveState,
     cancel_move,
     finish_move,
+    roll_back_move,
     start_move,
-    take_back_move,
     widen_move,
 )
-from hemlockhoist.decisions.versions.orders import Order, OrderBook, OrderState
+from hemlockhoist.decisions.versions.orders import Order, OrderState, OrderTracker
 from hemlockhoist.decisions.versions.trial import TrialBound
 
 __all__ = [
@@ -37,7 +37,7 @@
     "MoveRequest",
     "MoveState",
     "Order",
-    "OrderBook",
+    "OrderTracker",
     "OrderState",
     "TakenBack",
     "TrialBound",
@@ -46,6 +46,6 @@
     "cancel_move",
     "finish_move",
     "start_move",
-    "take_back_move",
+    "roll_back_move",
     "widen_move",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -4,6 +4,7 @@
 from hemlockhoist.decisions.policy import VersionPolicy
 from hemlockhoist.decisions.versions.checks import check_not_halted, check_share
 from hemlockhoist.decisions.versions.delays import DelayWatch
+from hemlockhoist.decisions.versions.evaluator import VersionEvaluator
 from hemlockhoist.decisions.versions.events import (
     Finished,
     Halted,
@@ -11,7 +12,6 @@
     Widened,
 )
 from hemlockhoist.decisions.versions.halts import HaltSet
-from hemlockhoist.decisions.versions.judge import Judge
 from hemlockhoist.decisions.versions.lanes import LaneTable
 from hemlockhoist.decisions.versions.move import (
     FULL_PERMILLE,
@@ -19,12 +19,12 @@
     MoveState,
     finish_move,
     is_newer,
-    take_back_move,
+    roll_back_move,
     widen_move,
 )
 from hemlockhoist.decisions.versions.planner import MAX_TRIAL_CALLS, Planner
 from hemlockhoist.decisions.versions.schedule import Schedule
-from hemlockhoist.decisions.versions.trial import UNBOUND
+from hemlockhoist.decisions.versions.trial import UNBOUNDED
 
 # Evidence is gathered this long after the end, while the old version can return.
 WATCH_MS = 600_000
@@ -35,7 +35,7 @@
 # come in the meantime, and cost more than one answer does.
 PLAN_EVERY_MS = 1_000
 AUTHOR = "hemlockhoist"
-_GOES_BACK = (MoveState.TAKEN_BACK, MoveState.CANCELLED)
+_GOES_BACK = (MoveState.ROLLED_BACK, MoveState.CANCELLED)
 
 
 class MoveController(VersionPolicy):
@@ -87,7 +87,7 @@
         now_ms,
         unix_ms,
         invariants=None,
-        trial=UNBOUND,
+        trial=UNBOUNDED,
         watch_ms=WATCH_MS,
     ):
         """Return a controller that goes on where the row stands.
@@ -112,7 +112,7 @@
         controller._events.clear()
         return controller
 
-    def note_unix_ms(self, now_ms, unix_ms):
+    def record_unix_ms(self, now_ms, unix_ms):
         """Take the date; the times of rows that come from here on are read by it.
 
         Made for a home that begins before it has heard the date from the store.
@@ -129,7 +129,7 @@
         return self._row
 
     @property
-    def set_apart_upstreams(self):
+    def excluded_upstreams(self):
         """Upstreams that are bad where others of their version are not."""
         return frozenset(self._judge.set_apart) if self._row else frozenset()
 
@@ -236,7 +236,7 @@
             return None
         reason = self._halts.reason(row.move_id, row.to_version)
         if reason is not None:
-            return take_back_move(row, row.move_id, reason, AUTHOR)
+            return roll_back_move(row, row.move_id, reason, AUTHOR)
         if row.state is not MoveState.RUNNING or not self._may_widen(fencing):
             return None
         if now_ms - self._planned_ms < PLAN_EVERY_MS:
@@ -325,7 +325,7 @@
         """Return whether the trial's bound allows one more request."""
         schedule = self._planner.schedule
         trial = list(self._lanes)
-        if schedule.passed_part(now_ms) >= self._trial.until_part:
+        if schedule.passed_part(now_ms) >= self._trial.until_fraction:
             if not schedule.is_unproven(lane.share_permille):
                 return True
             trial = [x for x in trial if schedule.is_unproven(x.share_permille)]
@@ -340,7 +340,7 @@
         end_ms = row.moved_by_unix_ms - self._unix_offset_ms
         self._row = row
         self._lanes = LaneTable(row, rules, now_ms)
-        self._judge = Judge(row, self._lanes)
+        self._judge = VersionEvaluator(row, self._lanes)
         self._planner = Planner(rules, Schedule(rules, start_ms, end_ms))
         self._delays = DelayWatch(row, self._planner)
         self._planned_ms = now_ms - PLAN_EVERY_MS
@@ -400,7 +400,9 @@
 
     def _wider_row(self, now_ms, fencing):
         lanes = tuple(self._lanes)
-        is_tried = self._planner.schedule.passed_part(now_ms) >= self._trial.end_part
+        is_tried = (
+            self._planner.schedule.passed_part(now_ms) >= self._trial.min_end_fraction
+        )
         if is_tried and lanes and all(x.share_permille >= FULL_PERMILLE for x in lanes):
             reason = "all routes are on the new version"
             unix_ms = now_ms + self._unix_offset_ms
--- a/libs/decisions/src/hemlockhoist/decisions/versions/judge.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evaluator.py
@@ -2,14 +2,14 @@
 
 import itertools
 
-from hemlockhoist.decisions.versions.blame import single_bad_upstream
 from hemlockhoist.decisions.versions.events import TakenBack, UpstreamSetApart
+from hemlockhoist.decisions.versions.fault_attribution import single_bad_upstream
 from hemlockhoist.decisions.versions.loads import VersionLoads
 from hemlockhoist.decisions.versions.sequential import Verdict
 from hemlockhoist.decisions.work import OutcomeKind
 
 
-class Judge:
+class VersionEvaluator:
     """Gathers evidence on a move's lanes and says when the version is bad.
 
     Parameters
--- a/libs/decisions/src/hemlockhoist/decisions/versions/move.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/move.py
@@ -19,7 +19,7 @@
 
     RUNNING = "running"
     FINISHED = "finished"
-    TAKEN_BACK = "taken_back"
+    ROLLED_BACK = "taken_back"
     CANCELLED = "cancelled"
 
 
@@ -229,7 +229,7 @@
     return msgspec.structs.replace(row, ended_unix_ms=unix_ms)
 
 
-def take_back_move(row, move_id, reason, author):
+def roll_back_move(row, move_id, reason, author):
     """Return the row with the move taken back.
 
     No fencing number is asked for: taking back is safe from any host at any time,
@@ -241,9 +241,9 @@
         ``MOVE_UNKNOWN`` where the row is another move's.
     """
     _check_same(row, move_id)
-    if row.state in (MoveState.TAKEN_BACK, MoveState.CANCELLED):
+    if row.state in (MoveState.ROLLED_BACK, MoveState.CANCELLED):
         return row
-    return _end(row, MoveState.TAKEN_BACK, reason, author)
+    return _end(row, MoveState.ROLLED_BACK, reason, author)
 
 
 def is_newer(row, former):
@@ -253,7 +253,7 @@
     in whatever order they are heard.
     """
     if former.state is not MoveState.RUNNING:
-        taken_back = row.state is MoveState.TAKEN_BACK
+        taken_back = row.state is MoveState.ROLLED_BACK
         return taken_back and former.state is MoveState.FINISHED
     if row.state is not MoveState.RUNNING:
         return True
--- a/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
@@ -54,7 +54,7 @@
         self.sent_ms = 0
 
 
-class OrderBook:
+class OrderTracker:
     """What one lease holder has ordered, and what is to be sent now.
 
     Parameters
@@ -68,7 +68,7 @@
 
     Examples
     ========
-    >>> book = OrderBook.from_config(checks_fencing=True, fencing=3, lease_until_ms=9_000, now_ms=0)
+    >>> book = OrderTracker.from_config(checks_fencing=True, fencing=3, lease_until_ms=9_000, now_ms=0)
     >>> book.want("engine-1", "v2")
     >>> [order.version for order in book.due(10)]
     ['v2']
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_controller.py
@@ -131,7 +131,7 @@
     def test_a_version_that_fails_at_once_gets_a_handful(self):
         traffic = Traffic()
         traffic.serve(bad, 3000)
-        self.assertEqual(traffic.row.state, MoveState.TAKEN_BACK)
+        self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
         self.assertLessEqual(traffic.counts["v2"], 8)
         self.assertIn("failed", traffic.told(TakenBack)[0].reason)
 
@@ -145,7 +145,7 @@
         traffic.serve(good, 15_000)
         before = traffic.counts["v2"]
         traffic.serve(bad, 1000)
-        self.assertEqual(traffic.row.state, MoveState.TAKEN_BACK)
+        self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
         self.assertLessEqual(traffic.counts["v2"] - before, 12)
 
     def test_badness_after_the_end_is_taken_back(self):
@@ -153,7 +153,7 @@
         while not traffic.told(Finished):
             traffic.serve(good, 1000)
         traffic.serve(bad, 100)
-        self.assertEqual(traffic.row.state, MoveState.TAKEN_BACK)
+        self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
 
     def test_one_bad_upstream_is_not_a_bad_version(self):
         """One of the new version's three upstreams sits on a broken host.
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_move.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_move.py
@@ -10,8 +10,8 @@
     MoveState,
     cancel_move,
     finish_move,
+    roll_back_move,
     start_move,
-    take_back_move,
     widen_move,
 )
 
@@ -84,10 +84,10 @@
 
     def test_taking_back_asks_for_no_lease_and_is_final(self):
         row = finish_move(self.row, "m1", "done", "hemlockhoist", 8, 9_000)
-        row = take_back_move(row, "m1", "fails", "hemlockhoist")
-        self.assertEqual(row.state, MoveState.TAKEN_BACK)
+        row = roll_back_move(row, "m1", "fails", "hemlockhoist")
+        self.assertEqual(row.state, MoveState.ROLLED_BACK)
         self.assertEqual(row.serving_version, "v1")
-        self.assertIs(take_back_move(row, "m1", "again", "x"), row)
+        self.assertIs(roll_back_move(row, "m1", "again", "x"), row)
         with self.assertRaises(MoveError):
             widen_move(row, "m1", self.lanes, 9)
         with self.assertRaises(MoveError):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
@@ -6,8 +6,8 @@
 
 from hemlockhoist.decisions.versions.orders import (
     RESEND_MS,
-    OrderBook,
     OrderState,
+    OrderTracker,
 )
 
 LEASE_MS = 10_000
@@ -15,7 +15,7 @@
 
 
 def book(checks_fencing=True, fencing=1, now_ms=0):
-    return OrderBook.from_config(
+    return OrderTracker.from_config(
         checks_fencing, fencing, now_ms + LEASE_MS, now_ms, longest_pause_ms=PAUSE_MS
     )
 
@@ -84,7 +84,7 @@
         self.taken_ms = 0
 
     def new_book(self, fencing):
-        made = OrderBook.from_config(
+        made = OrderTracker.from_config(
             self.checks_fencing,
             fencing,
             self.now_ms + LEASE_MS,
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
@@ -36,7 +36,7 @@
         self.assertEqual(traffic.counts["v2"], before)
         traffic.store_up = True
         traffic.advance(100)
-        self.assertEqual(traffic.row.state, MoveState.TAKEN_BACK)
+        self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
 
     def test_no_share_widens(self):
         traffic = Traffic()
--- a/libs/decisions/src/hemlockhoist/decisions/versions/trial.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/trial.py
@@ -18,11 +18,11 @@
         Of the pool's requests since the move began.
     requests : int
         Beside that share.
-    until_part : float
+    until_fraction : float
         Part of the move's time during which the bound holds for all routes, proven ones
         too: a version may turn bad later, or under load, and counts as bad from its
         first request.
-    end_part : float
+    min_end_fraction : float
         Part of its time before which the move does not end, so that the version is
         seen under its whole load while the old one can return.
 
@@ -38,8 +38,8 @@
 
     share_permille: int
     requests: int
-    until_part: float = 0.0
-    end_part: float = 0.0
+    until_fraction: float = 0.0
+    min_end_fraction: float = 0.0
 
     def allows(self, new, granted):
         """Return whether the version may get one more request.
@@ -56,4 +56,4 @@
 
 
 # Where the share of each route is the only bound.
-UNBOUND = TrialBound(share_permille=FULL_PERMILLE, requests=1)
+UNBOUNDED = TrialBound(share_permille=FULL_PERMILLE, requests=1)
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -60,8 +60,8 @@
     return TrialBound(
         share_permille=int(1_000 * TRIAL_PART * bounds.trial_share),
         requests=int(TRIAL_PART * bounds.trial_tolerance),
-        until_part=TRIAL_UNTIL_PART,
-        end_part=TRIAL_END_PART,
+        until_fraction=TRIAL_UNTIL_PART,
+        min_end_fraction=TRIAL_END_PART,
     )
 
 
--- a/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
@@ -145,7 +145,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 trial = self.play(is_bad, seed)
-                self.assertIs(trial.state, MoveState.TAKEN_BACK)
+                self.assertIs(trial.state, MoveState.ROLLED_BACK)
                 allowed = BOUNDS.trial_share * trial.total + BOUNDS.trial_tolerance
                 self.assertLessEqual(trial.new, allowed)
 
--- a/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
@@ -64,7 +64,7 @@
     def __init__(self, row):
         self.row = row
 
-    def note_unix_ms(self, now_ms, unix_ms):
+    def record_unix_ms(self, now_ms, unix_ms):
         """Nothing here depends on dates."""
 
     def observe_row(self, row, now_ms):
--- a/libs/host/src/hemlockhoist/host/moves.py
+++ b/libs/host/src/hemlockhoist/host/moves.py
@@ -277,7 +277,7 @@
             return
         now_ms = self._context.clock.now_ms()
         move = row.value
-        controller.note_unix_ms(now_ms, self._shared_ms())
+        controller.record_unix_ms(now_ms, self._shared_ms())
         controller.observe_row(move, now_ms)
         if self._is_halted(move):
             controller.halt(move.to_version, "halted by another host", now_ms)
--- a/libs/host/src/hemlockhoist/host/tests/test_moves.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_moves.py
@@ -150,7 +150,7 @@
         self.assertEqual({host for host, _ in halts}, {"h1", "h2"})
         self.tables.out = False
         await asyncio.sleep(5)
-        self.assertIs(self._row().state, MoveState.TAKEN_BACK)
+        self.assertIs(self._row().state, MoveState.ROLLED_BACK)
 
     async def test_outage_of_the_store_is_no_storm_of_writes(self):
         """
--- a/libs/standins/src/hemlockhoist/standins/measure_versions.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_versions.py
@@ -201,7 +201,7 @@
 
     def _place(self, version, loads, sequence):
         """Return the least loaded upstream that is not set apart."""
-        apart = getattr(self.driver.policy, "set_apart_upstreams", ())
+        apart = getattr(self.driver.policy, "excluded_upstreams", ())
         best = None
         for i in range(len(loads)):
             place = (i + sequence) % len(loads)
