--- a/libs/decisions/src/hemlockhoist/decisions/entry/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/__init__.py
@@ -6,18 +6,18 @@
 from hemlockhoist.decisions.entry.freshness import Freshness
 from hemlockhoist.decisions.entry.halted import HaltedVersions
 from hemlockhoist.decisions.entry.listing import UpstreamListing
-from hemlockhoist.decisions.entry.naming import members_near
-from hemlockhoist.decisions.entry.ordered import (
-    HeldBackPolicy,
+from hemlockhoist.decisions.entry.locality import nearby_members
+from hemlockhoist.decisions.entry.move_orders import (
     MoveOrder,
     OrderState,
-    former_version,
+    WithheldVersionPolicy,
     live_versions,
     order_state,
+    source_version,
 )
 from hemlockhoist.decisions.entry.prefixes import chained_hashes
 from hemlockhoist.decisions.entry.readers import (
-    MAX_DIRECT,
+    MAX_DIRECT_READERS,
     find_readers,
     reader_for,
 )
@@ -25,14 +25,14 @@
 from hemlockhoist.decisions.entry.sweep import StaleEntries
 
 __all__ = [
-    "MAX_DIRECT",
+    "MAX_DIRECT_READERS",
     "chained_hashes",
     "AttemptEnd",
     "DomainOrder",
     "EvacuatedDomains",
     "Freshness",
     "HaltedVersions",
-    "HeldBackPolicy",
+    "WithheldVersionPolicy",
     "MoveOrder",
     "OrderState",
     "PoolChooser",
@@ -41,9 +41,9 @@
     "TableCopy",
     "UpstreamListing",
     "find_readers",
-    "former_version",
+    "source_version",
     "live_versions",
-    "members_near",
+    "nearby_members",
     "next_step",
     "order_state",
     "reader_for",
--- a/libs/decisions/src/hemlockhoist/decisions/entry/attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/attempts.py
@@ -10,7 +10,7 @@
     NOT_RUN = "not run"
     FAILED_ANSWER = "failed answer"
     BROKEN = "broken"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
 
 
 class Step(enum.Enum):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/copies.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/copies.py
@@ -41,7 +41,7 @@
         self._dropped.clear()
         # What was dropped before this reading is not known.
         self._oldest = reading.version
-        self._note(reading)
+        self._record(reading)
 
     def apply(self, reading):
         """Take a reading of changes."""
@@ -56,9 +56,9 @@
         while len(self._dropped) > MAX_DROPPED:
             _, row = self._dropped.popitem(last=False)
             self._oldest = max(self._oldest, row.version)
-        self._note(reading)
+        self._record(reading)
 
-    def _note(self, reading):
+    def _record(self, reading):
         self.version = max(self.version, reading.version)
         self.store_ms = max(self.store_ms, reading.store_ms)
 
--- a/libs/decisions/src/hemlockhoist/decisions/entry/evacuation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/evacuation.py
@@ -32,7 +32,7 @@
     ========
     >>> from hemlockhoist.decisions.entry import DomainOrder, EvacuatedDomains
     >>> domains = EvacuatedDomains()
-    >>> domains.take(
+    >>> domains.apply(
     ...     DomainOrder(failure_domain="coast", is_evacuated=True, version=7)
     ... )
     True
@@ -51,7 +51,7 @@
     def __init__(self):
         self._orders = {}
 
-    def take(self, order):
+    def apply(self, order):
         """Take an order; return whether it changes anything."""
         if order.is_evacuated is None:
             return False
@@ -71,7 +71,7 @@
             if name not in standing
         )
         return tuple(
-            order.failure_domain for order in (*orders, *ended) if self.take(order)
+            order.failure_domain for order in (*orders, *ended) if self.apply(order)
         )
 
     def version(self, failure_domain):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/freshness.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/freshness.py
@@ -23,8 +23,8 @@
     >>> freshness = Freshness()
     >>> freshness.age_ms(now_ms=1_000) is None
     True
-    >>> freshness.note(sent_ms=1_000, store_ms=52_005)
-    >>> freshness.note(sent_ms=1_010, store_ms=54_010)
+    >>> freshness.record(sent_ms=1_000, store_ms=52_005)
+    >>> freshness.record(sent_ms=1_010, store_ms=54_010)
     >>> freshness.age_ms(now_ms=3_500)
     495
     """
@@ -35,7 +35,7 @@
         self._offset_ms = None
         self._proven_ms = None
 
-    def note(self, sent_ms, store_ms):
+    def record(self, sent_ms, store_ms):
         """Take a reading of this host's own.
 
         Parameters
@@ -48,7 +48,7 @@
         self._note_offset(sent_ms - store_ms)
         self._note_proven(max(sent_ms, store_ms + self._offset_ms))
 
-    def note_relayed(self, sent_ms, store_ms, clock_ms):
+    def record_relayed(self, sent_ms, store_ms, clock_ms):
         """Take another host's reading that was passed on to this one.
 
         The reading may be older than the question for it. The other host's account of
--- a/libs/decisions/src/hemlockhoist/decisions/entry/halted.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/halted.py
@@ -11,7 +11,7 @@
     ========
 
     >>> halted = HaltedVersions()
-    >>> halted.note("halls", "v2", "halls@8")
+    >>> halted.record("halls", "v2", "halls@8")
     >>> halted.has("halls", "v2", "halls@8"), halted.has("halls", "v2", "halls@14")
     (True, False)
     """
@@ -21,7 +21,7 @@
     def __init__(self):
         self._orders = {}
 
-    def note(self, pool, version, order_id):
+    def record(self, pool, version, order_id):
         """Note that a version was halted under an order."""
         self._orders.setdefault((pool, version), set()).add(order_id)
 
--- a/libs/decisions/src/hemlockhoist/decisions/entry/listing.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/listing.py
@@ -10,10 +10,10 @@
 # much longer where its pool has no other. Made for an outage of the store: all entries
 # lapse together, and are back within two seconds of its return. It is less than the
 # time within which a removed upstream must get nothing more.
-LAPSE_MS = 1_500
+VANISHED_GRACE_MS = 1_500
 # Entries that are gone, remembered with the version at which they went, so that others
 # can be told of it. A fleet replaces some upstreams a minute.
-MAX_LEFT = 1_024
+MAX_REMOVED = 1_024
 
 
 class UpstreamListing:
@@ -66,10 +66,10 @@
         if upstream is not None and upstream.state is UpstreamState.LIVE:
             self._vanished[upstream_id] = (upstream, now_ms)
         self._left[upstream_id] = max(version, self._left.get(upstream_id, 0))
-        if len(self._left) > MAX_LEFT:
+        if len(self._left) > MAX_REMOVED:
             self._left.popitem(last=False)
 
-    def left_version(self, upstream_id):
+    def removed_version(self, upstream_id):
         """Return the version of the list at which an upstream left, or None.
 
         None also stands for one that was never listed here: this host may be behind.
@@ -79,7 +79,7 @@
             return upstream.listed_version
         return self._left.get(upstream_id)
 
-    def believe_left(self, upstream_id, version, now_ms):
+    def mark_removed(self, upstream_id, version, now_ms):
         """Drop an entry that another host knows to have left; return whether it was.
 
         Failure: a host was cut off from the store when an upstream left, and goes on
@@ -92,7 +92,7 @@
         self.drop(upstream_id, now_ms, version)
         return True
 
-    def believe_cold(self, upstream_id, version, cold_until_ms):
+    def mark_cold(self, upstream_id, version, cold_until_ms):
         """Take another host's word that an upstream is cold; return whether it was.
 
         An entry that is as new as what the other knows says it itself.
@@ -123,7 +123,7 @@
 
     def next_change_ms(self):
         """Return when a vanished upstream is given up, or None."""
-        times = [at_ms + LAPSE_MS for _, at_ms in self._vanished.values()]
+        times = [at_ms + VANISHED_GRACE_MS for _, at_ms in self._vanished.values()]
         return min(times, default=None)
 
     def usable(self, now_ms):
@@ -136,7 +136,7 @@
         self._vanished = {
             key: (item, at_ms)
             for key, (item, at_ms) in self._vanished.items()
-            if now_ms - at_ms < LAPSE_MS
+            if now_ms - at_ms < VANISHED_GRACE_MS
         }
         lapsed = [item for item, _ in self._vanished.values()]
         kept = [item for item in lapsed if not self._served[item.pool]]
@@ -151,6 +151,6 @@
         if upstream is not None:
             return upstream
         upstream, at_ms = self._vanished.get(upstream_id, (None, 0))
-        if upstream is None or now_ms - at_ms >= LAPSE_MS:
+        if upstream is None or now_ms - at_ms >= VANISHED_GRACE_MS:
             return None
         return None if self._served[upstream.pool] else upstream
--- a/libs/decisions/src/hemlockhoist/decisions/entry/naming.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/locality.py
@@ -1,7 +1,7 @@
 """Which hosts a caller is told of."""
 
 
-def members_near(members, regions_by_domain, caller_region, allowed):
+def nearby_members(members, regions_by_domain, caller_region, allowed):
     """Return the members that a caller should use.
 
     Harm prevented: a body goes through a region where it may not be kept, because the
--- a/libs/decisions/src/hemlockhoist/decisions/entry/ordered.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/move_orders.py
@@ -57,7 +57,7 @@
     )
 
 
-def former_version(order, counts):
+def source_version(order, counts):
     """Return the version that an order moves away from, or "" where there is none.
 
     That of most live upstreams beside the ordered one: a few upstreams of a third
@@ -93,7 +93,7 @@
     return OrderState.ROLLED_BACK
 
 
-class HeldBackPolicy(VersionPolicy):
+class WithheldVersionPolicy(VersionPolicy):
     """Keeps a version back whose move has been ordered and has not begun.
 
     Failure: the new version's upstreams are listed together with the order, and the
--- a/libs/decisions/src/hemlockhoist/decisions/entry/readers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/readers.py
@@ -1,10 +1,10 @@
 """Which hosts read the store, and pass its rows on to the others."""
 
-from hemlockhoist.decisions.membership import rank_members, strong_members
+from hemlockhoist.decisions.membership import high_capacity_members, rank_members
 
 # Up to this many hosts each read the store themselves. A host's feeds are some calls a
 # minute; at twelve hosts they cost less than what passing rows on would add in time.
-MAX_DIRECT = 12
+MAX_DIRECT_READERS = 12
 READER_RANK = "store readers"
 
 
@@ -27,10 +27,10 @@
         Of failure domain to ``Member``; empty where all hosts read for themselves.
     """
     members = list(members)
-    if len(members) <= MAX_DIRECT:
+    if len(members) <= MAX_DIRECT_READERS:
         return {}
     readers = {}
-    for member in rank_members(strong_members(members), READER_RANK):
+    for member in rank_members(high_capacity_members(members), READER_RANK):
         readers.setdefault(member.failure_domain, member)
     return readers
 
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
@@ -26,7 +26,7 @@
 
 class BookingTests(unittest.TestCase):
     @given(
-        st.sampled_from([AttemptEnd.BROKEN, AttemptEnd.SILENT, AttemptEnd.NOT_RUN]),
+        st.sampled_from([AttemptEnd.BROKEN, AttemptEnd.TIMED_OUT, AttemptEnd.NOT_RUN]),
         st.integers(1, 5),
         st.integers(0, 5),
     )
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_evacuation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_evacuation.py
@@ -13,17 +13,17 @@
 class EvacuationTests(unittest.TestCase):
     def setUp(self):
         self.domains = EvacuatedDomains()
-        self.domains.take(order("a", True, 5))
+        self.domains.apply(order("a", True, 5))
 
     def test_older_reading_ends_no_evacuation(self):
         """A zone gets requests again as a host reads a list from before the order."""
         self.assertEqual(self.domains.replace((), 4), ())
-        self.assertFalse(self.domains.take(order("a", False, 3)))
+        self.assertFalse(self.domains.apply(order("a", False, 3)))
         self.assertEqual(self.domains.names(), ("a",))
 
     def test_older_reading_begins_no_evacuation_that_has_ended(self):
         """A zone that was taken back stays empty, as a list from before is read."""
-        self.domains.take(order("a", False, 7))
+        self.domains.apply(order("a", False, 7))
         self.assertEqual(self.domains.replace((order("a", True, 5),), 6), ())
         self.assertEqual(self.domains.names(), ())
 
@@ -36,14 +36,14 @@
 
     def test_order_that_can_not_be_read_leaves_what_holds(self):
         """An evacuated zone is used again because its order was overwritten."""
-        self.assertFalse(self.domains.take(order("a", None, 8)))
+        self.assertFalse(self.domains.apply(order("a", None, 8)))
         self.assertEqual(self.domains.replace((order("a", None, 8),), 9), ())
-        self.assertFalse(self.domains.take(order("b", None, 8)))
+        self.assertFalse(self.domains.apply(order("b", None, 8)))
         self.assertEqual(self.domains.names(), ("a",))
 
     def test_order_again_after_its_end_counts(self):
-        self.domains.take(order("a", False, 7))
-        self.assertTrue(self.domains.take(order("a", True, 8)))
+        self.domains.apply(order("a", False, 7))
+        self.assertTrue(self.domains.apply(order("a", True, 8)))
         self.assertEqual(self.domains.names(), ("a",))
 
     def test_examples_run(self):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_freshness.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_freshness.py
@@ -23,7 +23,7 @@
                 sent_ms = now_ms
                 answered_ms = sent_ms + draw.randint(0, 3_000)
                 arrived_ms = answered_ms + draw.randint(0, 3_000)
-                freshness.note(HOST_MS + sent_ms, STORE_MS + answered_ms)
+                freshness.record(HOST_MS + sent_ms, STORE_MS + answered_ms)
                 proven_ms = max(answered_ms, proven_ms or 0)
                 now_ms = arrived_ms + draw.randint(0, 500)
                 age_ms = freshness.age_ms(HOST_MS + now_ms)
@@ -36,14 +36,14 @@
         proof would be seconds old when it comes.
         """
         freshness = Freshness()
-        freshness.note(HOST_MS, STORE_MS + 4)
-        freshness.note(HOST_MS + 10, STORE_MS + 2_410)
+        freshness.record(HOST_MS, STORE_MS + 4)
+        freshness.record(HOST_MS + 10, STORE_MS + 2_410)
         self.assertLessEqual(freshness.age_ms(HOST_MS + 2_420), 20)
 
     def test_older_answer_that_comes_late_changes_nothing(self):
         freshness = Freshness()
-        freshness.note(HOST_MS + 1_000, STORE_MS + 1_004)
-        freshness.note(HOST_MS, STORE_MS + 900)
+        freshness.record(HOST_MS + 1_000, STORE_MS + 1_004)
+        freshness.record(HOST_MS, STORE_MS + 900)
         self.assertEqual(freshness.age_ms(HOST_MS + 1_500), 500)
 
     def test_age_of_a_relayed_reading_is_never_understated(self):
@@ -62,10 +62,10 @@
                 sent_ms = now_ms
                 read_ms = sent_ms + draw.randint(0, 3_000)
                 now_ms = read_ms + draw.randint(0, 3_000)
-                reader.note(reader_host_ms + sent_ms, STORE_MS + read_ms)
+                reader.record(reader_host_ms + sent_ms, STORE_MS + read_ms)
                 asked_ms = now_ms
                 left_ms = asked_ms + draw.randint(0, 2_000)
-                asker.note_relayed(
+                asker.record_relayed(
                     HOST_MS + asked_ms,
                     STORE_MS + read_ms,
                     reader.store_ms(reader_host_ms + left_ms),
@@ -76,7 +76,7 @@
 
     def test_relayed_reading_is_about_as_fresh_as_the_reader_has_it(self):
         reader, asker = Freshness(), Freshness()
-        reader.note(HOST_MS, STORE_MS + 4)
+        reader.record(HOST_MS, STORE_MS + 4)
         clock_ms = reader.store_ms(HOST_MS + 902)
-        asker.note_relayed(HOST_MS + 900, STORE_MS + 4, clock_ms)
+        asker.record_relayed(HOST_MS + 900, STORE_MS + 4, clock_ms)
         self.assertLessEqual(asker.age_ms(HOST_MS + 904), 910)
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
@@ -8,15 +8,15 @@
     def test_late_news_of_an_old_halt_leaves_the_next_order_in_force(self):
         """A mended version, ordered again, is rolled back by its former halt."""
         versions = HaltedVersions()
-        versions.note("halls", "v2", "halls@8")
+        versions.record("halls", "v2", "halls@8")
         versions.keep_only("halls", "v2", "halls@14")
-        versions.note("halls", "v2", "halls@8")
+        versions.record("halls", "v2", "halls@8")
         self.assertFalse(versions.has("halls", "v2", "halls@14"))
 
     def test_halt_heard_before_its_order_counts_when_the_order_comes(self):
         """A host uses grants of a halted version: the store's row came last."""
         versions = HaltedVersions()
-        versions.note("halls", "v2", "halls@14")
+        versions.record("halls", "v2", "halls@14")
         self.assertTrue(versions.has("halls", "v2"))
         versions.keep_only("halls", "v2", "halls@14")
         self.assertTrue(versions.has("halls", "v2", "halls@14"))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_listing.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_listing.py
@@ -2,7 +2,7 @@
 
 from hemlockhoist.decisions import Upstream, UpstreamState
 from hemlockhoist.decisions.entry import UpstreamListing
-from hemlockhoist.decisions.entry.listing import LAPSE_MS, MAX_LEFT
+from hemlockhoist.decisions.entry.listing import MAX_REMOVED, VANISHED_GRACE_MS
 
 
 def upstream(name, pool="halls", state=UpstreamState.LIVE, listed_version=0):
@@ -38,8 +38,8 @@
 
     def test_what_does_not_come_back_is_given_up(self):
         self.listing.replace([], 1_000)
-        self.assertEqual(self.listing.next_change_ms(), 1_000 + LAPSE_MS)
-        self.assertEqual(names(self.listing, 1_000 + LAPSE_MS), [])
+        self.assertEqual(self.listing.next_change_ms(), 1_000 + VANISHED_GRACE_MS)
+        self.assertEqual(names(self.listing, 1_000 + VANISHED_GRACE_MS), [])
 
     def test_one_that_vanishes_beside_others_gets_nothing_more(self):
         """A replica that was removed gets bookings that nobody answers."""
@@ -56,7 +56,7 @@
     def test_get_agrees_with_usable(self):
         self.listing.put(upstream("c", pool="labels"))
         self.listing.replace([upstream("c", pool="labels")], 1_000)
-        for now_ms in (1_000, 1_000 + LAPSE_MS - 1, 1_000 + LAPSE_MS):
+        for now_ms in (1_000, 1_000 + VANISHED_GRACE_MS - 1, 1_000 + VANISHED_GRACE_MS):
             usable = names(self.listing, now_ms)
             for name in ("a", "b", "c", "d"):
                 found = self.listing.get(name, now_ms) is not None
@@ -72,7 +72,7 @@
         self.listing.put(upstream("b", listed_version=6))
 
     def test_newer_word_drops_an_entry_and_older_rows_do_not_bring_it_back(self):
-        self.assertTrue(self.listing.believe_left("a", 9, 1_000))
+        self.assertTrue(self.listing.mark_removed("a", 9, 1_000))
         self.assertEqual(names(self.listing, 1_000), ["b"])
         self.listing.put(upstream("a", listed_version=8))
         self.assertEqual(names(self.listing, 1_000), ["b"])
@@ -81,24 +81,24 @@
 
     def test_word_of_a_host_that_is_behind_changes_nothing(self):
         """A new upstream is refused by a host that has not read of it yet."""
-        self.assertFalse(self.listing.believe_left("a", 5, 1_000))
-        self.assertFalse(self.listing.believe_left("unknown", 9, 1_000))
+        self.assertFalse(self.listing.mark_removed("a", 5, 1_000))
+        self.assertFalse(self.listing.mark_removed("unknown", 9, 1_000))
         self.assertEqual(names(self.listing, 1_000), ["a", "b"])
 
     def test_version_at_which_an_upstream_left(self):
         self.listing.put(upstream("a", state=UpstreamState.LEAVING, listed_version=7))
         self.listing.drop("b", 1_000, 8)
-        self.assertEqual(self.listing.left_version("a"), 7)
-        self.assertEqual(self.listing.left_version("b"), 8)
-        self.assertIsNone(self.listing.left_version("never listed"))
+        self.assertEqual(self.listing.removed_version("a"), 7)
+        self.assertEqual(self.listing.removed_version("b"), 8)
+        self.assertIsNone(self.listing.removed_version("never listed"))
 
     def test_missing_from_a_whole_list(self):
         """The list is at least as new as its newest entry, and may be no newer."""
         self.listing.replace([upstream("b", listed_version=6)], 1_000)
-        self.assertEqual(self.listing.left_version("a"), 6)
+        self.assertEqual(self.listing.removed_version("a"), 6)
 
     def test_memory_of_what_left_is_bounded(self):
-        for number in range(2 * MAX_LEFT):
+        for number in range(2 * MAX_REMOVED):
             self.listing.drop(f"u{number}", 1_000, number)
-        self.assertIsNone(self.listing.left_version("u0"))
-        self.assertEqual(self.listing.left_version(f"u{2 * MAX_LEFT - 1}"), 2_047)
+        self.assertIsNone(self.listing.removed_version("u0"))
+        self.assertEqual(self.listing.removed_version(f"u{2 * MAX_REMOVED - 1}"), 2_047)
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_naming.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_locality.py
@@ -1,6 +1,6 @@
 import unittest
 
-from hemlockhoist.decisions.entry import members_near
+from hemlockhoist.decisions.entry import nearby_members
 from hemlockhoist.messages import Member
 
 REGIONS = {"n1": "north", "n2": "north", "s1": "south"}
@@ -15,7 +15,7 @@
 
 class NamingTests(unittest.TestCase):
     def near(self, domains, region, allowed=()):
-        found = members_near(members(*domains), REGIONS, region, allowed)
+        found = nearby_members(members(*domains), REGIONS, region, allowed)
         return [item.failure_domain for item in found]
 
     def test_callers_are_told_of_hosts_of_their_region(self):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_ordered.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_move_orders.py
@@ -2,12 +2,12 @@
 
 from hemlockhoist.decisions import Upstream, UpstreamState, VersionPolicy, WorkRequest
 from hemlockhoist.decisions.entry import (
-    HeldBackPolicy,
     MoveOrder,
     OrderState,
-    former_version,
+    WithheldVersionPolicy,
     live_versions,
     order_state,
+    source_version,
 )
 from hemlockhoist.decisions.versions import MoveRequest, MoveState, start_move
 from hemlockhoist.decisions.versions.move import take_back_move
@@ -65,8 +65,8 @@
 
     def test_move_is_away_from_the_version_of_most_upstreams(self):
         counts = {"v0": 1, "v1": 4, "v2": 5}
-        self.assertEqual(former_version(ORDER, counts), "v1")
-        self.assertEqual(former_version(ORDER, {"v2": 5}), "")
+        self.assertEqual(source_version(ORDER, counts), "v1")
+        self.assertEqual(source_version(ORDER, {"v2": 5}), "")
 
 
 class OrderStateTests(unittest.TestCase):
@@ -85,12 +85,12 @@
 
 class HeldBackTests(unittest.TestCase):
     def test_ordered_version_gets_nothing_before_its_move(self):
-        policy = HeldBackPolicy(NoMove(), lambda: ORDER)
+        policy = WithheldVersionPolicy(NoMove(), lambda: ORDER)
         self.assertEqual(policy.candidates(REQUEST, ("v1", "v2"), 0), ("v1",))
         self.assertEqual(policy.candidates(REQUEST, ("v2",), 0), ())
 
     def test_without_an_order_all_versions_serve(self):
-        policy = HeldBackPolicy(NoMove(), lambda: None)
+        policy = WithheldVersionPolicy(NoMove(), lambda: None)
         self.assertEqual(policy.candidates(REQUEST, ("v1", "v2"), 0), ("v1", "v2"))
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/limits/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/__init__.py
@@ -1,20 +1,20 @@
 """Bounds over all hosts: customers' allowances and retries."""
 
-from hemlockhoist.decisions.limits.allowances import (
-    AllowanceBook,
-    AllowanceBounds,
-    SpentLog,
+from hemlockhoist.decisions.limits.coverage import UnknownUsage, UsageCoverage
+from hemlockhoist.decisions.limits.partitions import partition_share
+from hemlockhoist.decisions.limits.quotas import (
+    QuotaBounds,
+    QuotaTracker,
+    UsageLog,
 )
-from hemlockhoist.decisions.limits.history import SpendingHistory, UnknownPast
-from hemlockhoist.decisions.limits.retry_window import RetryWindow
-from hemlockhoist.decisions.limits.sides import share_of_side
+from hemlockhoist.decisions.limits.retry_limiter import RetryLimiter
 
 __all__ = [
-    "AllowanceBook",
-    "AllowanceBounds",
-    "RetryWindow",
-    "SpendingHistory",
-    "SpentLog",
-    "UnknownPast",
-    "share_of_side",
+    "QuotaTracker",
+    "QuotaBounds",
+    "RetryLimiter",
+    "UsageCoverage",
+    "UsageLog",
+    "UnknownUsage",
+    "partition_share",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/limits/history.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/coverage.py
@@ -6,22 +6,22 @@
 SAME_TAKEOVER_MS = 100
 
 
-class UnknownPast(msgspec.Struct, frozen=True, kw_only=True):
+class UnknownUsage(msgspec.Struct, frozen=True, kw_only=True):
     """The part of a window's past that nobody could tell.
 
     Parameters
     ==========
-    part : float
+    fraction : float
         Of the hosts, by number: those that had not run for a window when they were
         asked, or were not heard of.
     since_ms : int
         From when on everything is known.
     """
 
-    part: float = 0.0
+    fraction: float = 0.0
     since_ms: int = 0
 
-    def share(self, window_ms, now_ms):
+    def fraction_at(self, window_ms, now_ms):
         """Return which part of the window that ends now is not known.
 
         It is not less for a later moment of the same window: what is not known may all
@@ -29,17 +29,17 @@
 
         Examples
         ========
-        >>> from hemlockhoist.decisions.limits import UnknownPast
-        >>> past = UnknownPast(part=0.5, since_ms=1_000)
-        >>> past.share(window_ms=8_000, now_ms=3_000)
+        >>> from hemlockhoist.decisions.limits import UnknownUsage
+        >>> past = UnknownUsage(fraction=0.5, since_ms=1_000)
+        >>> past.fraction_at(window_ms=8_000, now_ms=3_000)
         0.5
-        >>> past.share(window_ms=8_000, now_ms=9_000)
+        >>> past.fraction_at(window_ms=8_000, now_ms=9_000)
         0.0
         """
-        return self.part if now_ms - self.since_ms < window_ms else 0.0
+        return self.fraction if now_ms - self.since_ms < window_ms else 0.0
 
 
-class SpendingHistory:
+class UsageCoverage:
     """Which hosts have told a home what was spent before it took over.
 
     Failure: all hosts are killed while a customer is at its bound. The new home finds
@@ -54,13 +54,13 @@
 
     Examples
     ========
-    >>> from hemlockhoist.decisions.limits import SpendingHistory
-    >>> history = SpendingHistory(window_ms=8_000, now_ms=0)
-    >>> history.ask({"a", "b"})
-    >>> history.unknown().part
+    >>> from hemlockhoist.decisions.limits import UsageCoverage
+    >>> history = UsageCoverage(window_ms=8_000, now_ms=0)
+    >>> history.record_queried({"a", "b"})
+    >>> history.unknown().fraction
     1.0
-    >>> history.tell("a", up_ms=60_000)
-    >>> history.unknown().part
+    >>> history.record_report("a", up_ms=60_000)
+    >>> history.unknown().fraction
     0.5
     """
 
@@ -72,21 +72,21 @@
         self._asked = set()
         self._told = set()
 
-    def is_of(self, now_ms):
+    def is_same_takeover(self, now_ms):
         """Return whether it is that of a takeover now, of another pool."""
         return now_ms - self._since_ms < SAME_TAKEOVER_MS
 
-    def ask(self, hosts):
+    def record_queried(self, hosts):
         """Take notice of the hosts that the home asks."""
         self._asked.update(hosts)
 
-    def tell(self, host, up_ms):
+    def record_report(self, host, up_ms):
         """Take notice of a host's answer, and of how long it had run by then."""
         self._asked.add(host)
         if up_ms >= self._window_ms:
             self._told.add(host)
 
     def unknown(self):
-        """Return the ``UnknownPast`` as it stands."""
-        part = 1.0 - len(self._told) / max(1, len(self._asked))
-        return UnknownPast(part=part, since_ms=self._since_ms)
+        """Return the ``UnknownUsage`` as it stands."""
+        fraction = 1.0 - len(self._told) / max(1, len(self._asked))
+        return UnknownUsage(fraction=fraction, since_ms=self._since_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/sides.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/partitions.py
@@ -6,7 +6,7 @@
 ALONE_PART = 0.5
 
 
-def share_of_side(heard, known, is_home):
+def partition_share(heard, known, is_home):
     """Return the part of all bounds that a host gives out.
 
     Failure: hosts are cut off from one another, and each side gives a customer its
@@ -25,12 +25,12 @@
 
     Examples
     ========
-    >>> from hemlockhoist.decisions.limits import share_of_side
-    >>> share_of_side(heard=8, known=8, is_home=True)
+    >>> from hemlockhoist.decisions.limits import partition_share
+    >>> partition_share(heard=8, known=8, is_home=True)
     1.0
-    >>> share_of_side(heard=6, known=8, is_home=True)
+    >>> partition_share(heard=6, known=8, is_home=True)
     0.875
-    >>> share_of_side(heard=1, known=8, is_home=True)
+    >>> partition_share(heard=1, known=8, is_home=True)
     0.0625
     """
     alone = ALONE_PART / max(1, known)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/allowances.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
@@ -1,10 +1,10 @@
 """Customers' allowances, counted over a sliding window."""
 
-from hemlockhoist.decisions.limits.history import UnknownPast
-from hemlockhoist.decisions.limits.spending import (
+from hemlockhoist.decisions.limits.coverage import UnknownUsage
+from hemlockhoist.decisions.limits.usage import (
     Account,
-    CustomerSpending,
-    SpendingWindow,
+    CustomerUsage,
+    UsageWindow,
 )
 
 FULL_SHARE = 1.0
@@ -19,7 +19,7 @@
 RECORDED_SHARE = 0.3
 
 
-class AllowanceBounds:
+class QuotaBounds:
     """The window in which customers are held to their allowances, and its tolerance.
 
     Parameters
@@ -45,7 +45,7 @@
         return declared * (1.0 + self.overshoot) + self.tolerance
 
 
-class AllowanceBook:
+class QuotaTracker:
     """What each customer has spent, and may still send.
 
     Load: one customer sends several times its usual, and others theirs. Harm without
@@ -60,13 +60,13 @@
     Examples
     ========
     >>> from hemlockhoist.declarations import Allowance, KeyedCustomer
-    >>> from hemlockhoist.decisions.limits import AllowanceBook, AllowanceBounds
-    >>> book = AllowanceBook(AllowanceBounds(window_ms=8_000))
+    >>> from hemlockhoist.decisions.limits import QuotaTracker, QuotaBounds
+    >>> book = QuotaTracker(QuotaBounds(window_ms=8_000))
     >>> allowance = Allowance(units_per_s=10, burst_units=20)
     >>> book.declare([KeyedCustomer(name="port", allowance=allowance)])
-    >>> book.take("port", 90, now_ms=0), book.take("port", 5, now_ms=0)
+    >>> book.acquire("port", 90, now_ms=0), book.acquire("port", 5, now_ms=0)
     (0, 8500)
-    >>> book.take("port", 5, now_ms=9_000)
+    >>> book.acquire("port", 5, now_ms=9_000)
     0
     """
 
@@ -74,7 +74,7 @@
 
     def __init__(self, bounds):
         self._bounds = bounds
-        self._past = UnknownPast()
+        self._past = UnknownUsage()
         self._spending = {}
         self._share = FULL_SHARE
 
@@ -92,7 +92,7 @@
                 continue
             spending = former.get(customer.name)
             if spending is None:
-                spending = CustomerSpending(self._bounds.window_ms)
+                spending = CustomerUsage(self._bounds.window_ms)
             spending.allowance = customer.allowance
             self._spending[customer.name] = spending
 
@@ -106,7 +106,7 @@
         """
         self._share = share
 
-    def set_past(self, past):
+    def set_unknown_usage(self, past):
         """Take how much of what was spent lately is not known.
 
         Parameters
@@ -115,7 +115,7 @@
         """
         self._past = past
 
-    def take(self, customer, units, now_ms):
+    def acquire(self, customer, units, now_ms):
         """Take units of a customer's allowance.
 
         Returns
@@ -135,21 +135,21 @@
         spending.add(units, now_ms)
         return 0
 
-    def give_back(self, customer, units, now_ms):
+    def refund(self, customer, units, now_ms):
         """Put back what was taken for a request that did not run."""
         spending = self._spending.get(customer)
         if spending is not None:
             spending.forget(now_ms)
-            spending.take_back(units)
+            spending.subtract(units)
 
-    def move(self, customer, units, from_ms, now_ms):
+    def retime(self, customer, units, from_ms, now_ms):
         """Count units that were taken earlier from now on."""
         spending = self._spending.get(customer)
         if spending is not None:
             spending.forget(now_ms)
-            spending.move(units, from_ms, now_ms)
+            spending.retime(units, from_ms, now_ms)
 
-    def add_spent(self, source, spent, now_ms):
+    def add_reported(self, source, spent, now_ms):
         """Count what an entry host says was spent under homes before this one.
 
         Parameters
@@ -165,15 +165,15 @@
             spending = self._spending.get(customer)
             if spending is not None:
                 account = _account(parts, now_ms)
-                spending.note_told(source, account, self._most(spending), now_ms)
+                spending.record_report(source, account, self._most(spending), now_ms)
 
-    def notable(self, now_ms):
+    def usage_to_record(self, now_ms):
         """Return the customers that the next home has to know of, after a loss of all.
 
         Returns
         =======
         tuple
-            Of ``(customer, ((age_ms, units), …))``, as ``add_spent`` takes it.
+            Of ``(customer, ((age_ms, units), …))``, as ``add_reported`` takes it.
         """
         found = []
         for customer, spending in self._spending.items():
@@ -195,7 +195,7 @@
         home : str
             That wrote the record.
         spent : iterable of (str, sequence of (int, int))
-            As ``notable`` gave it.
+            As ``usage_to_record`` gave it.
         written_ms : int
             When, on this host's clock.
         now_ms : int
@@ -204,7 +204,7 @@
             spending = self._spending.get(customer)
             if spending is not None:
                 account = _account(parts, written_ms)
-                spending.note_record(home, account, self._most(spending), now_ms)
+                spending.add_home_record(home, account, self._most(spending), now_ms)
 
     def counted(self, customer):
         """Return all that was ever counted of a customer, as a part of its bound."""
@@ -229,14 +229,14 @@
         recorded_ms = spending.recorded_ms
         if recorded_ms is not None and recorded_ms >= self._past.since_ms:
             return 0.0
-        return self._past.share(self._bounds.window_ms, now_ms)
+        return self._past.fraction_at(self._bounds.window_ms, now_ms)
 
     def _bound(self, spending, now_ms):
         part = USED_SHARE - RECORDED_SHARE * self._unknown(spending, now_ms)
         return part * self._share * self._bounds.units(spending.allowance)
 
 
-class SpentLog:
+class UsageLog:
     """What an entry host's requests have spent lately, for a home that takes over.
 
     Failure: the home dies while a customer is at its bound. The next one knows nothing
@@ -260,7 +260,7 @@
         key = (pool, home_run, customer)
         spending = self._spent.get(key)
         if spending is None:
-            spending = self._spent[key] = SpendingWindow(self._window_ms)
+            spending = self._spent[key] = UsageWindow(self._window_ms)
         spending.forget(now_ms)
         spending.add(units, now_ms)
 
--- a/libs/decisions/src/hemlockhoist/decisions/limits/retry_window.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/retry_limiter.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from hemlockhoist.decisions.limits.history import UnknownPast
+from hemlockhoist.decisions.limits.coverage import UnknownUsage
 
 # The window is kept in this many parts; a part leaves it as a whole.
 PARTS = 20
@@ -14,7 +14,7 @@
 PRESUMED_SHARE = 0.4
 
 
-class RetryWindow:
+class RetryLimiter:
     """Bounds the sends beyond the first of each request.
 
     Load: an upstream that fails most of its answers, or a burst in which many are
@@ -34,9 +34,9 @@
 
     Examples
     ========
-    >>> from hemlockhoist.decisions.limits import RetryWindow
-    >>> window = RetryWindow(window_ms=10_000, ratio=0.0, base=2.0)
-    >>> [window.take(now_ms=at) for at in (0, 10, 20, 12_000)]
+    >>> from hemlockhoist.decisions.limits import RetryLimiter
+    >>> window = RetryLimiter(window_ms=10_000, ratio=0.0, base=2.0)
+    >>> [window.acquire(now_ms=at) for at in (0, 10, 20, 12_000)]
     [True, False, False, True]
     """
 
@@ -46,8 +46,8 @@
         "_parts",
         "_ratio",
         "_window_ms",
-        "past",
         "share",
+        "unknown_usage",
     )
 
     def __init__(self, window_ms, ratio, base, share=1.0):
@@ -57,18 +57,18 @@
         self._base = base
         self._parts = collections.deque()
         self.share = share
-        self.past = UnknownPast()
+        self.unknown_usage = UnknownUsage()
 
     def count_request(self, now_ms):
         """Count a request that a caller sent."""
         self._part(now_ms)[1] += 1
 
-    def take(self, now_ms):
+    def acquire(self, now_ms):
         """Return whether one more send is allowed, and count it if so."""
         part = self._part(now_ms)
         requests = sum(item[1] for item in self._parts)
         retries = sum(item[2] for item in self._parts)
-        unknown = self.past.share(self._window_ms, now_ms)
+        unknown = self.unknown_usage.fraction_at(self._window_ms, now_ms)
         bound = USED_SHARE * self._ratio * requests
         base_share = USED_SHARE - PRESUMED_SHARE * unknown
         bound += base_share * (self.share * self._base)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_retry_window.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_retry_limiter.py
@@ -1,7 +1,7 @@
 import doctest
 import unittest
 
-from hemlockhoist.decisions.limits import RetryWindow, UnknownPast, retry_window
+from hemlockhoist.decisions.limits import RetryLimiter, UnknownUsage, retry_limiter
 
 
 class RetryWindowTests(unittest.TestCase):
@@ -11,31 +11,31 @@
         Without a bound the upstreams get twice their load in the moment in which they
         can bear the least.
         """
-        window = RetryWindow(window_ms=10_000, ratio=0.2, base=10)
+        window = RetryLimiter(window_ms=10_000, ratio=0.2, base=10)
         retries = 0
         for at in range(1_000):
             window.count_request(at * 10)
-            retries += window.take(at * 10)
+            retries += window.acquire(at * 10)
         self.assertLessEqual(retries, 0.2 * 1_000 + 10)
         self.assertGreater(retries, 100)
 
     def test_quiet_fleet_may_retry_a_few(self):
-        window = RetryWindow(window_ms=10_000, ratio=0.2, base=10)
-        self.assertEqual(sum(window.take(5) for _ in range(100)), 7)
+        window = RetryLimiter(window_ms=10_000, ratio=0.2, base=10)
+        self.assertEqual(sum(window.acquire(5) for _ in range(100)), 7)
 
     def test_part_of_a_cut_fleet_has_its_part(self):
-        window = RetryWindow(window_ms=10_000, ratio=0.2, base=100, share=0.1)
-        self.assertEqual(sum(window.take(5) for _ in range(100)), 7)
+        window = RetryLimiter(window_ms=10_000, ratio=0.2, base=100, share=0.1)
+        self.assertEqual(sum(window.acquire(5) for _ in range(100)), 7)
 
     def test_restart_of_all_hosts_does_not_double_the_bound(self):
         """All hosts are killed in an outage, and each retry is allowed once more."""
-        former = RetryWindow(window_ms=10_000, ratio=0.2, base=100)
-        before = sum(former.take(0) for _ in range(1_000))
-        window = RetryWindow(window_ms=10_000, ratio=0.2, base=100)
-        window.past = UnknownPast(part=1.0, since_ms=500)
-        after = sum(window.take(at) for at in range(500, 10_000, 10))
+        former = RetryLimiter(window_ms=10_000, ratio=0.2, base=100)
+        before = sum(former.acquire(0) for _ in range(1_000))
+        window = RetryLimiter(window_ms=10_000, ratio=0.2, base=100)
+        window.unknown_usage = UnknownUsage(fraction=1.0, since_ms=500)
+        after = sum(window.acquire(at) for at in range(500, 10_000, 10))
         self.assertLessEqual(before + after, 100)
         self.assertGreater(after, 20)
 
     def test_examples_run(self):
-        self.assertEqual(doctest.testmod(retry_window).failed, 0)
+        self.assertEqual(doctest.testmod(retry_limiter).failed, 0)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/spending.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/usage.py
@@ -8,7 +8,7 @@
 PARTS = 16
 
 
-class SpendingWindow:
+class UsageWindow:
     """Units in the parts of a sliding window.
 
     Parameters
@@ -17,8 +17,8 @@
 
     Examples
     ========
-    >>> from hemlockhoist.decisions.limits.spending import SpendingWindow
-    >>> window = SpendingWindow(window_ms=8_000)
+    >>> from hemlockhoist.decisions.limits.usage import UsageWindow
+    >>> window = UsageWindow(window_ms=8_000)
     >>> window.add(40, now_ms=0)
     >>> window.add(2, now_ms=4_000)
     >>> window.forget(now_ms=9_000)
@@ -47,7 +47,7 @@
         if len(self._parts) > 1 and self._parts[-2][0] > number:
             self._parts = collections.deque(sorted(self._parts))
 
-    def take_back(self, units):
+    def subtract(self, units):
         """Stop counting units, of what was counted last.
 
         Failure: units that were taken back later than they were counted made a later
@@ -62,7 +62,7 @@
             if not units:
                 return
 
-    def move(self, units, from_ms, now_ms):
+    def retime(self, units, from_ms, now_ms):
         """Count units from now on that were counted at an earlier time."""
         number = from_ms // self._part_ms
         for part in self._parts:
@@ -132,7 +132,7 @@
         return int(total)
 
 
-class CustomerSpending:
+class CustomerUsage:
     """What a customer has spent: counted here, told by hosts, and on record.
 
     Failure: a host is home, hands over, and is home again within one window. What
@@ -169,8 +169,8 @@
         self.recorded_ms = None
         self.counted = 0
         self._window_ms = window_ms
-        self._own = SpendingWindow(window_ms)
-        self._elsewhere = SpendingWindow(window_ms)
+        self._own = UsageWindow(window_ms)
+        self._elsewhere = UsageWindow(window_ms)
         self._told = {}
         self._records = {}
 
@@ -184,20 +184,20 @@
         self._own.add(units, now_ms)
         self.counted += units
 
-    def take_back(self, units):
+    def subtract(self, units):
         """Stop counting units of a request that did not run."""
-        self._own.take_back(units)
+        self._own.subtract(units)
 
-    def move(self, units, from_ms, now_ms):
+    def retime(self, units, from_ms, now_ms):
         """Count units that were given out here from now on."""
-        self._own.move(units, from_ms, now_ms)
+        self._own.retime(units, from_ms, now_ms)
 
     def forget(self, now_ms):
         """Drop what has left the window."""
         self._own.forget(now_ms)
         self._elsewhere.forget(now_ms)
 
-    def note_told(self, source, account, most_units, now_ms):
+    def record_report(self, source, account, most_units, now_ms):
         """Take what a host says was spent there under other homes.
 
         Parameters
@@ -212,7 +212,7 @@
         self._told[source] = account
         self._count_elsewhere(most_units, now_ms)
 
-    def note_record(self, source, account, most_units, now_ms):
+    def add_home_record(self, source, account, most_units, now_ms):
         """Take what a home has put on record."""
         self.recorded_ms = now_ms
         self._records[source] = account
@@ -234,7 +234,7 @@
         parts += self._untold(since_ms)
         left = most_units
         former = self._elsewhere.total
-        self._elsewhere = SpendingWindow(self._window_ms)
+        self._elsewhere = UsageWindow(self._window_ms)
         for at_ms, units in sorted(parts, reverse=True):
             counted = min(units, left)
             if counted <= 0:
--- a/libs/decisions/src/hemlockhoist/decisions/membership/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/__init__.py
@@ -11,8 +11,8 @@
     SuccessorNamed,
 )
 from hemlockhoist.decisions.membership.rendezvous import (
+    high_capacity_members,
     rank_members,
-    strong_members,
 )
 from hemlockhoist.decisions.membership.upstreams import UpstreamView
 
@@ -27,5 +27,5 @@
     "SuccessorNamed",
     "UpstreamView",
     "rank_members",
-    "strong_members",
+    "high_capacity_members",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
@@ -7,7 +7,7 @@
 MAX_ADDRESSES = 4
 # Long enough that asking is no load (40,000 requests a second from callers that keep
 # it), short enough that a leaving host is asked by nobody new after half a minute.
-KEEP_MS = 30_000
+ANSWER_TTL_MS = 30_000
 
 
 def choose_addresses(members, rng):
@@ -35,4 +35,4 @@
         chosen.append(by_domain[domain].pop().caller_address)
         if by_domain[domain]:
             domains.append(domain)
-    return AddressAnswer(addresses=tuple(chosen), keep_ms=KEEP_MS)
+    return AddressAnswer(addresses=tuple(chosen), ttl_ms=ANSWER_TTL_MS)
--- a/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
@@ -15,8 +15,8 @@
 from hemlockhoist.decisions.membership.prober import Prober, is_overdue
 from hemlockhoist.decisions.membership.records import Outgoing
 from hemlockhoist.decisions.membership.rendezvous import (
+    high_capacity_members,
     rank_members,
-    strong_members,
 )
 from hemlockhoist.decisions.membership.table import MemberTable
 from hemlockhoist.messages.membership import (
@@ -33,9 +33,9 @@
 LEAVE_FANOUT = 64
 # A host that starts introduces itself to those that may be home or read the store, and
 # to so many others: the rest hear of it within a few periods.
-INTRODUCED_TO = 12
-GONE_KEPT_MS = 600_000
-REFUTED_REST_MS = 5_000
+INTRODUCTION_FANOUT = 12
+GONE_RETENTION_MS = 600_000
+REFUTATION_GRACE_MS = 5_000
 # Reading the whole list again heals what gossip has lost; at 1,300 hosts that is
 # 170 KB, so it is done about every five minutes.
 REFRESH_MS = 300_000
@@ -143,7 +143,7 @@
 
     def tick(self, now_ms):
         """Do what is due; return the ``Outgoing`` messages. Call a few times a second."""
-        if self.prober.note_time(now_ms):
+        if self.prober.record_time(now_ms):
             for entry in self.table:
                 entry.changed_ms = now_ms
         self._fail_probes(now_ms)
@@ -157,8 +157,8 @@
 
     def on_message(self, message, now_ms):
         """Take a peer's message; return the ``Outgoing`` messages that follow."""
-        protocol.take_updates(self, (message.sender,), now_ms)
-        protocol.take_updates(self, getattr(message, "updates", ()), now_ms)
+        protocol.apply_updates(self, (message.sender,), now_ms)
+        protocol.apply_updates(self, getattr(message, "updates", ()), now_ms)
         return protocol.respond(message, self, now_ms)
 
     def introduce(self):
@@ -171,8 +171,8 @@
         each, it was a third of all bytes between failure domains.
         """
         message = Probe(number=0, sender=self.own, updates=())
-        strong = (member.address for member in strong_members(self._usable()))
-        addresses = {*strong, *self._some_others(INTRODUCED_TO)}
+        strong = (member.address for member in high_capacity_members(self._usable()))
+        addresses = {*strong, *self._some_others(INTRODUCTION_FANOUT)}
         addresses.discard(self.own.member.address)
         return [Outgoing(address, message) for address in sorted(addresses)]
 
@@ -194,7 +194,7 @@
         message = Probe(number=0, sender=own, updates=())
         return [Outgoing(address, message) for address in self._some_others()]
 
-    def report_silent(self, address, now_ms):
+    def report_unresponsive(self, address, now_ms):
         """Take a host's silence to repeated questions as a failed probe.
 
         Made for a home that is frozen: a whole pool waits for it, and a probe may come
@@ -210,7 +210,7 @@
         if entry is None or entry.update.health is not Health.ALIVE:
             return []
         refuted = entry.update.revision > 0
-        if refuted and now_ms - entry.changed_ms < REFUTED_REST_MS:
+        if refuted and now_ms - entry.changed_ms < REFUTATION_GRACE_MS:
             return []
         self._suspect(address, now_ms)
         return [
@@ -218,7 +218,7 @@
             for item in {*self._some_others(), address}
         ]
 
-    def report_refused(self, address, now_ms):
+    def report_connection_refused(self, address, now_ms):
         """Take a refused connection after a broken one: nobody listens there.
 
         Waiting out a suspicion would leave the pools that the host was home of without
@@ -241,7 +241,7 @@
         members = [entry.member for entry in self.table if entry.is_live]
         return sorted(members, key=lambda item: item.address)
 
-    def steady(self):
+    def confirmed_members(self):
         """Return the members that have been heard of and neither leave nor miss probes.
 
         This host is among them, unless it leaves.
@@ -249,9 +249,9 @@
         return [member for member in self._answering() if member.incarnation]
 
     @property
-    def is_strong(self):
+    def is_high_capacity(self):
         """Whether this host is among those that may be home, as far as it knows."""
-        return self.own.member in strong_members(self._usable())
+        return self.own.member in high_capacity_members(self._usable())
 
     def count_lost(self, now_ms, within_ms):
         """Return how many hosts were lost lately without having said that they leave.
@@ -260,7 +260,7 @@
         """
         return sum(
             1
-            for entry in self.table.troubled()
+            for entry in self.table.unhealthy()
             if not entry.is_live
             and not entry.is_leaving
             and now_ms - entry.changed_ms < within_ms
@@ -299,7 +299,7 @@
         name = (pool, shard, domains)
         if name not in self._homes:
             ranked = rank_members(
-                strong_members(self._answering()),
+                high_capacity_members(self._answering()),
                 f"{pool}/{shard}",
                 upstreams_by_domain,
             )
@@ -318,9 +318,9 @@
         """Return the callers' addresses of all hosts that are neither suspect nor
         leaving, in a random order.
         """
-        return [member.caller_address for member in self.named_members()]
+        return [member.caller_address for member in self.advertised_members()]
 
-    def named_members(self):
+    def advertised_members(self):
         """Return the members that callers may be told of, in a random order."""
         members = self._named()
         self._rng.shuffle(members)
@@ -335,15 +335,15 @@
             and entry.member.caller_address
         ]
 
-    def news_for(self, address):
+    def updates_for(self, address):
         """Return the updates for the next message to ``address``.
 
         What is held against the addressee itself is always among them: only it can
         refute that, under a higher revision.
         """
-        return (*self.held_against(address), *self.gossip.take(len(self.table)))
+        return (*self.suspicions_about(address), *self.gossip.take(len(self.table)))
 
-    def held_against(self, address):
+    def suspicions_about(self, address):
         """Return what is held against a host, for itself to refute; mostly nothing."""
         entry = self.table.get(address)
         if entry is None or entry.update.health is Health.ALIVE:
@@ -392,17 +392,19 @@
         if target is None:
             return []
         number = self.prober.probe(target, now_ms)
-        message = Probe(number=number, sender=self.own, updates=self.news_for(target))
+        message = Probe(
+            number=number, sender=self.own, updates=self.updates_for(target)
+        )
         return [Outgoing(target, message)]
 
     def _probe_gone(self):
         self._probes += 1
-        gone = [e.member.address for e in self.table.troubled() if not e.is_live]
+        gone = [e.member.address for e in self.table.unhealthy() if not e.is_live]
         listed = [address for address in gone if address in self._listed]
         if not listed or self._probes % _GONE_PROBE_EVERY:
             return []
         target = self._rng.choice(listed)
-        message = Probe(number=0, sender=self.own, updates=self.news_for(target))
+        message = Probe(number=0, sender=self.own, updates=self.updates_for(target))
         return [Outgoing(target, message)]
 
     def _indirect_probes(self, now_ms):
@@ -433,14 +435,14 @@
 
     def _expire(self, now_ms):
         suspicion_ms = self.prober.suspicion_ms(len(self.table))
-        for entry in self.table.troubled():
+        for entry in self.table.unhealthy():
             if is_overdue(entry, suspicion_ms, now_ms):
                 self._set_health(entry, Health.GONE, now_ms)
             elif self._is_forgettable(entry, now_ms):
                 self.table.remove(entry.member.address)
 
     def _is_forgettable(self, entry, now_ms):
-        old = now_ms - entry.changed_ms > GONE_KEPT_MS
+        old = now_ms - entry.changed_ms > GONE_RETENTION_MS
         return old and not entry.is_live and entry.member.address not in self._listed
 
     def _refresh(self, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/membership/prober.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/prober.py
@@ -68,7 +68,7 @@
         self._failures = 0
         self.relays = {}
 
-    def note_time(self, now_ms):
+    def record_time(self, now_ms):
         """Take the time; return how long this process stood still, in milliseconds.
 
         Failure: a process is frozen for a minute. On waking, every probe it had sent
--- a/libs/decisions/src/hemlockhoist/decisions/membership/protocol.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/protocol.py
@@ -19,7 +19,7 @@
 MEMBERS_PER_PAGE = 64
 
 
-def take_updates(membership, updates, now_ms):
+def apply_updates(membership, updates, now_ms):
     """Merge accounts of members, pass news on, and refute what is said of this host."""
     own = membership.own
     for update in updates:
@@ -62,11 +62,11 @@
 def _(message: Probe, membership, now_ms):
     address = message.sender.member.address
     if message.number:
-        updates = membership.news_for(address)
+        updates = membership.updates_for(address)
     elif message.sender.leaving:
         return []
     else:
-        updates = membership.held_against(address)
+        updates = membership.suspicions_about(address)
     ack = ProbeAck(number=message.number, sender=membership.own, updates=updates)
     return [Outgoing(address, ack)]
 
--- a/libs/decisions/src/hemlockhoist/decisions/membership/records.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/records.py
@@ -65,10 +65,10 @@
     ==========
     addresses : tuple of str
         For callers, in the order to try them.
-    keep_ms : int
+    ttl_ms : int
         How long a caller may keep the answer. A leaving host serves callers for at
         least this long.
     """
 
     addresses: tuple[str, ...]
-    keep_ms: int
+    ttl_ms: int
--- a/libs/decisions/src/hemlockhoist/decisions/membership/rendezvous.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/rendezvous.py
@@ -7,11 +7,11 @@
 # A host in the failure domain of all of a shard's upstreams is this much likelier to
 # be its home than one in a domain without any: near enough to save a domain's 1.5 ms
 # on most grants, and still spread when one domain holds most upstreams.
-NEAR_WEIGHT = 8
+LOCALITY_WEIGHT = 8
 _HASH_SPACE = 1 << 64
 # Hosts of at least this part of the strongest one's processor may be home: among unlike
 # machines some are several times as strong, and one that varies a little is as good.
-STRONG_PART = 0.5
+HIGH_CAPACITY_FRACTION = 0.5
 
 
 def rank_members(members, name, upstreams_by_domain=None):
@@ -36,13 +36,13 @@
     scored = []
     for member in members:
         share = domains.get(member.failure_domain, 0) / total if total else 0
-        score = _score(member.address, name, 1 + NEAR_WEIGHT * share)
+        score = _score(member.address, name, 1 + LOCALITY_WEIGHT * share)
         scored.append((score, member.address, member))
     scored.sort(key=lambda item: item[:2], reverse=True)
     return [item[2] for item in scored]
 
 
-def strong_members(members):
+def high_capacity_members(members):
     """Return the members that are about as strong as the strongest.
 
     Load: a fleet of 59 hosts, most of half a core and some of two, that sends 300
@@ -63,7 +63,7 @@
     return [
         member
         for member in members
-        if STRONG_PART * most <= (member.processor_millicores or most)
+        if HIGH_CAPACITY_FRACTION * most <= (member.processor_millicores or most)
     ]
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/membership/table.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/table.py
@@ -51,13 +51,13 @@
     own : MemberUpdate
     """
 
-    __slots__ = ("_entries", "_troubled", "events", "own", "version")
+    __slots__ = ("_entries", "_unhealthy", "events", "own", "version")
 
     def __init__(self, own):
         self.own = own
         self.version = 0
         self.events = []
-        self._troubled = set()
+        self._unhealthy = set()
         self._entries = {own.member.address: MemberEntry(own, 0)}
 
     def __len__(self):
@@ -75,15 +75,15 @@
         """Whether any host is suspect."""
         return any(
             self._entries[address].update.health is Health.SUSPECT
-            for address in self._troubled
+            for address in self._unhealthy
         )
 
-    def troubled(self):
+    def unhealthy(self):
         """Return the entries of hosts that are suspect or gone.
 
         There are few of them, so that a tick costs the same in a fleet of any size.
         """
-        return [self._entries[address] for address in sorted(self._troubled)]
+        return [self._entries[address] for address in sorted(self._unhealthy)]
 
     def set_own(self, **fields):
         """Change this host's account of itself under a higher revision."""
@@ -156,14 +156,14 @@
     def remove(self, address):
         """Forget a member that has long been gone."""
         del self._entries[address]
-        self._troubled.discard(address)
+        self._unhealthy.discard(address)
         self.version += 1
 
     def _note_trouble(self, address):
         if self._entries[address].update.health is Health.ALIVE:
-            self._troubled.discard(address)
+            self._unhealthy.discard(address)
         else:
-            self._troubled.add(address)
+            self._unhealthy.add(address)
 
     def _note_new(self, update):
         self.version += 1
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_failover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_failover.py
@@ -25,7 +25,7 @@
         """
         self.fleet.stop(self.number)
         watcher = self.fleet.host(self.watcher)
-        watcher.report_refused(self.home, self.fleet.now_ms)
+        watcher.report_connection_refused(self.home, self.fleet.now_ms)
         self.assertNotEqual(self._home_at(self.watcher), self.home)
         self.fleet.run(3_000)
         for number in self._others():
@@ -39,7 +39,7 @@
         """
         self.fleet.frozen.add(self.home)
         watcher = self.fleet.host(self.watcher)
-        outgoing = watcher.report_silent(self.home, self.fleet.now_ms)
+        outgoing = watcher.report_unresponsive(self.home, self.fleet.now_ms)
         self.fleet.carry(self.fleet.members[self.watcher].address, outgoing)
         names = {self._home_at(number) for number in self._others()}
         self.assertEqual(len(names), 1)
@@ -51,18 +51,18 @@
         pools back; the next report within seconds changes nothing.
         """
         watcher = self.fleet.host(self.watcher)
-        outgoing = watcher.report_silent(self.home, self.fleet.now_ms)
+        outgoing = watcher.report_unresponsive(self.home, self.fleet.now_ms)
         self.fleet.carry(self.fleet.members[self.watcher].address, outgoing)
         self.fleet.run(2_000)
         self.assertEqual(self._home_at(self.watcher), self.home)
-        again = watcher.report_silent(self.home, self.fleet.now_ms)
+        again = watcher.report_unresponsive(self.home, self.fleet.now_ms)
         self.assertEqual(again, [])
         self.assertEqual(self._home_at(self.watcher), self.home)
 
     def test_host_wrongly_reported_as_refusing_comes_back(self):
         """A live host that was called gone refutes it and is home again."""
         watcher = self.fleet.host(self.watcher)
-        watcher.report_refused(self.home, self.fleet.now_ms)
+        watcher.report_connection_refused(self.home, self.fleet.now_ms)
         self.fleet.run(20_000)
         self.assertEqual(self._home_at(self.watcher), self.home)
 
@@ -70,5 +70,5 @@
         """A host that hears nobody keeps naming homes; it may be cut off itself."""
         watcher = self.fleet.host(self.watcher)
         for member in self.fleet.members:
-            watcher.report_silent(member.address, self.fleet.now_ms)
+            watcher.report_unresponsive(member.address, self.fleet.now_ms)
         self.assertTrue(watcher.homes("hall", 0))
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_large_fleets.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_large_fleets.py
@@ -21,12 +21,12 @@
     """Return hosts of unlike strength, spread over failure domains."""
     found = []
     for number in range(HOSTS):
-        is_strong = number % STRONG_EVERY == 0
+        is_high_capacity = number % STRONG_EVERY == 0
         found.append(
             msgspec.structs.replace(
                 make_member(number, domains=DOMAINS),
                 processor_millicores=STRONG_MILLICORES
-                if is_strong
+                if is_high_capacity
                 else WEAK_MILLICORES,
             )
         )
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_membership.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_membership.py
@@ -6,7 +6,7 @@
     MemberLeaving,
     Membership,
     SuccessorNamed,
-    strong_members,
+    high_capacity_members,
 )
 from hemlockhoist.decisions.membership.membership import LEAVE_FANOUT
 from hemlockhoist.decisions.membership.tests.fleet import Fleet, list_of, make_member
@@ -234,14 +234,14 @@
         names = [f"10.0.0.{number}:1" for number in range(58)]
         weak = [Member(address=a, processor_millicores=516) for a in names[:50]]
         strong = [Member(address=a, processor_millicores=2_151) for a in names[50:]]
-        self.assertEqual(strong_members([*weak, *strong]), strong)
-        self.assertEqual(strong_members(weak), weak)
+        self.assertEqual(high_capacity_members([*weak, *strong]), strong)
+        self.assertEqual(high_capacity_members(weak), weak)
         untold = Member(address="10.0.1.1:1")
-        self.assertEqual(strong_members([*weak, untold]), [*weak, untold])
+        self.assertEqual(high_capacity_members([*weak, untold]), [*weak, untold])
 
     def test_addresses_spread_over_domains(self):
         """An answer names four hosts of four failure domains."""
         answer = self.host.address_answer(0)
         numbers = [int(a.split(":")[0].split(".")[-1]) % 4 for a in answer.addresses]
         self.assertEqual(sorted(numbers), [0, 1, 2, 3])
-        self.assertGreater(answer.keep_ms, 0)
+        self.assertGreater(answer.ttl_ms, 0)
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_upstreams.py
@@ -23,17 +23,17 @@
         """
         self.view.on_leaving("u1", 100)
         self.view.set_list([upstream(1), upstream(2)], 200)
-        self.assertEqual(set(self.view.placeable()), {"u2"})
+        self.assertEqual(set(self.view.assignable()), {"u2"})
         with self.assertRaises(PropertyViolation):
             self.view.check_grant("u1", 10_000)
 
     def test_list_alone_is_enough(self):
         """An upstream that only the list calls leaving gets no new work."""
         self.view.set_list([upstream(1, UpstreamState.LEAVING), upstream(2)], 200)
-        self.assertEqual(set(self.view.placeable()), {"u2"})
+        self.assertEqual(set(self.view.assignable()), {"u2"})
 
     def test_empty_list_is_not_all_are_gone(self):
         """An empty or lost list leaves the upstreams as they were."""
         self.view.set_list([], 100)
         self.view.set_list(None, 200)
-        self.assertEqual(set(self.view.placeable()), {"u1", "u2"})
+        self.assertEqual(set(self.view.assignable()), {"u1", "u2"})
--- a/libs/decisions/src/hemlockhoist/decisions/membership/upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/upstreams.py
@@ -49,7 +49,7 @@
         """Take an upstream's own word that it leaves; it holds at once."""
         self._leaving_ms.setdefault(upstream_id, now_ms)
 
-    def placeable(self):
+    def assignable(self):
         """Return the upstreams that may get new work, by id."""
         return {
             upstream_id: item
--- a/libs/entry/src/hemlockhoist/entry/attempt.py
+++ b/libs/entry/src/hemlockhoist/entry/attempt.py
@@ -8,7 +8,7 @@
     AttemptEnd.NOT_RUN: OutcomeKind.FAILED,
     AttemptEnd.FAILED_ANSWER: OutcomeKind.FAILED,
     AttemptEnd.BROKEN: OutcomeKind.BROKE_OFF,
-    AttemptEnd.SILENT: OutcomeKind.TIMEOUT,
+    AttemptEnd.TIMED_OUT: OutcomeKind.TIMEOUT,
 }
 
 
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -303,7 +303,7 @@
         except DispatchError as error:
             attempt.reason = error.message
             if error.code is ResultCode.UPSTREAM_TIMEOUT:
-                return None, AttemptEnd.SILENT
+                return None, AttemptEnd.TIMED_OUT
             return None, AttemptEnd.BROKEN
         if end is AttemptEnd.NOT_RUN:
             self._may_have_run = may_have_run
@@ -412,7 +412,7 @@
             code = ResultCode.CONNECT_FAILED
             raise Refused(self._reason or end.value, code, RETRY_AFTER_MS)
         code = ResultCode.OUTCOME_UNKNOWN
-        if end is AttemptEnd.SILENT:
+        if end is AttemptEnd.TIMED_OUT:
             code = ResultCode.UPSTREAM_TIMEOUT
         raise DispatchError(self._reason or end.value, code)
 
--- a/libs/entry/src/hemlockhoist/entry/feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/feeds.py
@@ -4,7 +4,7 @@
 import itertools
 
 from hemlockhoist.base import MS_PER_S, PlatformError, get_logger
-from hemlockhoist.decisions.entry import MAX_DIRECT, TableCopy, reader_for
+from hemlockhoist.decisions.entry import MAX_DIRECT_READERS, TableCopy, reader_for
 from hemlockhoist.messages import FeedAnswer, FeedQuestion, FeedRow, FeedState
 from hemlockhoist.store import HistoryGone, Reading, RowStore, StoreRow
 
@@ -112,8 +112,8 @@
     def _may_be_read_for(self):
         """Return whether a reader that is not known yet may read for this host."""
         fleet = self._context.fleet
-        is_small = len(fleet.live_hosts()) <= MAX_DIRECT
-        return not is_small and not fleet.is_strong and self._reader() is None
+        is_small = len(fleet.live_hosts()) <= MAX_DIRECT_READERS
+        return not is_small and not fleet.is_high_capacity and self._reader() is None
 
     async def _keep_apart(self, table):
         """Wait a little where the store was asked for a table's changes just now."""
@@ -171,13 +171,13 @@
         now_ms = self._context.clock.now_ms()
         resting = self._resting.items()
         self._resting = {host: until for host, until in resting if until > now_ms}
-        own, members = self._context.fleet.steady_members()
+        own, members = self._context.fleet.stable_members()
         return reader_for(members, own, self._resting)
 
     @property
     def is_reader(self):
         """Whether this host reads the store itself."""
-        own, members = self._context.fleet.steady_members()
+        own, members = self._context.fleet.stable_members()
         return reader_for(members, own) is None
 
     async def _relayed_reading(self, table, since_version, wait_ms):
--- a/libs/entry/src/hemlockhoist/entry/gate.py
+++ b/libs/entry/src/hemlockhoist/entry/gate.py
@@ -2,10 +2,10 @@
 
 from hemlockhoist.base import ResultCode
 from hemlockhoist.decisions.limits import (
-    AllowanceBook,
-    AllowanceBounds,
-    RetryWindow,
-    SpendingHistory,
+    QuotaBounds,
+    QuotaTracker,
+    RetryLimiter,
+    UsageCoverage,
 )
 from hemlockhoist.host.home import GateRefusal, OpenGate
 
@@ -42,8 +42,8 @@
         self._bounds = bounds
         self._retries = {}
         self._share = 1.0
-        self.allowances = AllowanceBook(
-            AllowanceBounds(
+        self.allowances = QuotaTracker(
+            QuotaBounds(
                 bounds.allowance_window_ms,
                 bounds.allowance_overshoot,
                 bounds.allowance_tolerance,
@@ -54,13 +54,13 @@
         """Return the ``GateRefusal`` of a request, or None."""
         window = self._window(pool)
         if request.attempt > 1:
-            if window.take(now_ms):
+            if window.acquire(now_ms):
                 return None
             reason = f"retry {request.attempt} of {pool}"
             return GateRefusal(ResultCode.RETRIES_EXHAUSTED, RETRY_REFUSED_MS, reason)
         if request.is_new:
             window.count_request(now_ms)
-        wait_ms = self.allowances.take(request.customer, request.units, now_ms)
+        wait_ms = self.allowances.acquire(request.customer, request.units, now_ms)
         if not wait_ms:
             return None
         left = self.allowances.units_left(request.customer, now_ms)
@@ -77,17 +77,17 @@
     def on_takeover(self, hosts, now_ms):
         """Presume the bounds spent until the hosts have told what was."""
         window_ms = self._bounds.allowance_window_ms
-        if self._history is None or not self._history.is_of(now_ms):
-            self._history = SpendingHistory(window_ms, now_ms)
-        self._history.ask(hosts)
+        if self._history is None or not self._history.is_same_takeover(now_ms):
+            self._history = UsageCoverage(window_ms, now_ms)
+        self._history.record_queried(hosts)
         self._note_past()
         self.on_takeover_begun()
 
     def on_spent(self, host, held, now_ms):
         """Count what was spent under a home before this one."""
-        self.allowances.add_spent((held.run, held.pool), held.spent, now_ms)
+        self.allowances.add_reported((held.run, held.pool), held.spent, now_ms)
         if self._history is not None:
-            self._history.tell(host, held.up_ms)
+            self._history.record_report(host, held.up_ms)
             self._note_past()
 
     @property
@@ -99,7 +99,7 @@
         more; the record of the home before knows it.
         """
         history = self._history
-        return history is not None and history.unknown().part > 0
+        return history is not None and history.unknown().fraction > 0
 
     @property
     def takeover(self):
@@ -108,14 +108,14 @@
 
     def _note_past(self):
         past = self._history.unknown()
-        self.allowances.set_past(past)
+        self.allowances.set_unknown_usage(past)
         for window in self._retries.values():
-            window.past = past
+            window.unknown_usage = past
 
     def on_not_run(self, request, now_ms):
         """Give back what a refused request had taken of its customer's allowance."""
         if request.units:
-            self.allowances.give_back(request.customer, request.units, now_ms)
+            self.allowances.refund(request.customer, request.units, now_ms)
 
     def on_waited(self, request, since_ms, now_ms):
         """Count what a request takes of its customer's allowance from when it runs.
@@ -125,19 +125,19 @@
         more than its bound in one window.
         """
         if request.units:
-            self.allowances.move(request.customer, request.units, since_ms, now_ms)
+            self.allowances.retime(request.customer, request.units, since_ms, now_ms)
 
     def _window(self, pool):
         window = self._retries.get(pool)
         if window is None:
             bounds = self._bounds
-            window = RetryWindow(
+            window = RetryLimiter(
                 bounds.retry_window_ms,
                 bounds.retry_ratio,
                 bounds.retry_base,
                 self._share,
             )
             if self._history is not None:
-                window.past = self._history.unknown()
+                window.unknown_usage = self._history.unknown()
             self._retries[pool] = window
         return window
--- a/libs/entry/src/hemlockhoist/entry/knowledge.py
+++ b/libs/entry/src/hemlockhoist/entry/knowledge.py
@@ -174,7 +174,7 @@
         if is_whole:
             changed = self.evacuated.replace(orders, reading.version)
         else:
-            taken = [order for order in orders if self.evacuated.take(order)]
+            taken = [order for order in orders if self.evacuated.apply(order)]
             changed = [order.failure_domain for order in taken]
         self._on_domains(changed)
 
@@ -192,7 +192,7 @@
         order = DomainOrder(
             failure_domain=failure_domain, is_evacuated=True, version=version
         )
-        if self.evacuated.take(order):
+        if self.evacuated.apply(order):
             self._on_domains((failure_domain,))
 
     def _take_routes(self, row):
@@ -223,9 +223,9 @@
         """Take a successful reading of the routes' table as proof."""
         sent_ms, store_ms = reading.sent_ms, reading.store_ms
         if reading.clock_ms is None:
-            self.freshness.note(sent_ms, store_ms)
+            self.freshness.record(sent_ms, store_ms)
         else:
-            self.freshness.note_relayed(sent_ms, store_ms, reading.clock_ms)
+            self.freshness.record_relayed(sent_ms, store_ms, reading.clock_ms)
 
     def take_upstream_rows(self, reading, is_whole):
         """Take rows of the list of upstreams."""
@@ -291,7 +291,7 @@
         now_ms = self._clock.now_ms()
         upstream = self.listing.get(upstream_id, now_ms)
         if upstream is None or upstream.state is not UpstreamState.LIVE:
-            raise UpstreamLeft(upstream_id, self.listing.left_version(upstream_id))
+            raise UpstreamLeft(upstream_id, self.listing.removed_version(upstream_id))
         domain = upstream.failure_domain
         evacuated_version = self.evacuated.version(domain)
         if evacuated_version is not None:
@@ -322,12 +322,12 @@
     def on_upstream_cold(self, upstream_id, version, cold_ms):
         """Take another host's word that an upstream is cold, where it is newer."""
         cold_until_ms = self._clock.now_ms() + cold_ms
-        if self.listing.believe_cold(upstream_id, version, cold_until_ms):
+        if self.listing.mark_cold(upstream_id, version, cold_until_ms):
             _log.info("upstream_cold", upstream=upstream_id, cold_ms=cold_ms, told=True)
             self._on_upstreams()
 
     def on_upstream_left(self, upstream_id, version):
         """Take another host's word that an upstream left, where it is newer."""
-        if self.listing.believe_left(upstream_id, version, self._clock.now_ms()):
+        if self.listing.mark_removed(upstream_id, version, self._clock.now_ms()):
             _log.info("upstream_gone", upstream=upstream_id, version=version, told=True)
             self._on_upstreams()
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -11,11 +11,11 @@
 )
 from hemlockhoist.decisions.entry import (
     HaltedVersions,
-    HeldBackPolicy,
     OrderState,
-    former_version,
+    WithheldVersionPolicy,
     live_versions,
     order_state,
+    source_version,
 )
 from hemlockhoist.decisions.versions import (
     MoveController,
@@ -138,13 +138,13 @@
         return self._held_back(super().open_standby(pool), pool.name)
 
     def _held_back(self, controller, pool):
-        if isinstance(controller, HeldBackPolicy):
+        if isinstance(controller, WithheldVersionPolicy):
             return controller
-        return HeldBackPolicy(controller, lambda: self._pending_order(pool))
+        return WithheldVersionPolicy(controller, lambda: self._pending_order(pool))
 
     def _pending_order(self, pool):
         order = self._orders.get(pool)
-        if order is None or not former_version(order, self._versions(pool)):
+        if order is None or not source_version(order, self._versions(pool)):
             return None
         return order
 
@@ -178,13 +178,13 @@
         return self._context.fleet.live_hosts()
 
     def _share_halt(self, pool, move_id, version):
-        self._halted.note(pool, version, move_id)
+        self._halted.record(pool, version, move_id)
 
     def _is_halted(self, move):
         return self._halted.has(move.pool, move.to_version, move.move_id)
 
     def _revoke(self, message):
-        self._halted.note(message.pool, message.version, message.move_id)
+        self._halted.record(message.pool, message.version, message.move_id)
 
     def _order_id(self, pool):
         order = self._orders.get(pool)
@@ -236,7 +236,7 @@
     async def _begin(self, order):
         """Begin the move of an order; return its row, or None while it has to wait."""
         versions = self._versions(order.pool)
-        former = former_version(order, versions)
+        former = source_version(order, versions)
         if not versions[order.to_version]:
             return None
         if not former:
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -36,7 +36,7 @@
     VIOLATIONS,
 )
 from hemlockhoist.base.traces import Traces
-from hemlockhoist.decisions.limits import SpentLog, share_of_side
+from hemlockhoist.decisions.limits import UsageLog, partition_share
 from hemlockhoist.decisions.scheduling import ColdBound, Warmup
 from hemlockhoist.declarations import Declarations, Pool, PoolKind, VersionRules
 from hemlockhoist.entry.context import EntryContext
@@ -220,7 +220,7 @@
             self._on_silent,
             context.bus.renew,
             lambda: context.identity.host_id,
-            SpentLog(self.settings.bounds.allowance_window_ms),
+            UsageLog(self.settings.bounds.allowance_window_ms),
             context.identity.incarnation,
         )
         context.register = DispatchRegister(context.invariants)
@@ -334,7 +334,7 @@
         is_home = context.homes.home_of("") == context.identity.host_id
         known = context.fleet.count_known(LOST_HOST_MS)
         heard = context.fleet.count_in_touch(HEARD_MS) if is_home else 1
-        share = share_of_side(heard, known, is_home)
+        share = partition_share(heard, known, is_home)
         context.gate.set_share(share)
         context.homes.set_share(share)
 
--- a/libs/entry/src/hemlockhoist/entry/spending.py
+++ b/libs/entry/src/hemlockhoist/entry/spending.py
@@ -128,7 +128,7 @@
             return
         await self._context.fleet.wait_introduced(LISTED_MS)
         self._at_start_ms = self._context.clock.now_ms()
-        if self._context.fleet.is_strong:
+        if self._context.fleet.is_high_capacity:
             self._at_start = await self._read()
 
     async def _read_once(self):
@@ -166,7 +166,7 @@
     async def _write(self):
         now_ms = self._context.clock.now_ms()
         allowances = self._context.gate.allowances
-        spent = allowances.notable(now_ms)
+        spent = allowances.usage_to_record(now_ms)
         counted = {name: allowances.counted(name) for name, _ in spent}
         if not self._is_due(counted):
             return
--- a/libs/entry/src/hemlockhoist/entry/surface.py
+++ b/libs/entry/src/hemlockhoist/entry/surface.py
@@ -21,7 +21,7 @@
     REQUESTS_ENDED,
 )
 from hemlockhoist.base.traces import Hop, parent_of_headers
-from hemlockhoist.decisions.entry import PoolChooser, members_near
+from hemlockhoist.decisions.entry import PoolChooser, nearby_members
 from hemlockhoist.declarations import RequestLimits
 from hemlockhoist.entry.admission import Admission
 from hemlockhoist.entry.answers import CODE_HEADER, own_answer
@@ -295,8 +295,8 @@
 
     def _directory(self, question):
         context = self._context
-        members = members_near(
-            context.fleet.named_members(),
+        members = nearby_members(
+            context.fleet.advertised_members(),
             context.settings.regions_by_domain,
             question.region,
             context.knowledge.regions_of(question.host),
--- a/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
@@ -82,9 +82,9 @@
             boot_clock=self.boot_clock,
             platform=types.SimpleNamespace(config_table=TABLE),
             fleet=types.SimpleNamespace(
-                steady_members=lambda: (member, self.known),
+                stable_members=lambda: (member, self.known),
                 live_hosts=lambda: [item.address for item in members],
-                is_strong=False,
+                is_high_capacity=False,
                 wait_introduced=wait_nothing,
             ),
             knowledge=types.SimpleNamespace(
@@ -112,9 +112,9 @@
 
     def take_reading(self, reading):
         if reading.clock_ms is None:
-            self.freshness.note(reading.sent_ms, reading.store_ms)
+            self.freshness.record(reading.sent_ms, reading.store_ms)
         else:
-            self.freshness.note_relayed(
+            self.freshness.record_relayed(
                 reading.sent_ms, reading.store_ms, reading.clock_ms
             )
 
--- a/libs/entry/src/hemlockhoist/entry/tests/test_spending.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_spending.py
@@ -35,7 +35,9 @@
             gate=self.gate,
             platform=platform,
             homes=types.SimpleNamespace(active=lambda: {"halls": self}),
-            fleet=types.SimpleNamespace(is_strong=True, wait_introduced=wait_nothing),
+            fleet=types.SimpleNamespace(
+                is_high_capacity=True, wait_introduced=wait_nothing
+            ),
             identity=types.SimpleNamespace(host_id="h1"),
             knowledge=types.SimpleNamespace(store_now_ms=self.clock.now_ms),
         )
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -128,9 +128,9 @@
                 await self._introduced.wait()
 
     @property
-    def is_strong(self):
+    def is_high_capacity(self):
         """Whether this host may be home, as far as it knows."""
-        return self._membership.is_strong
+        return self._membership.is_high_capacity
 
     def on_broken(self, host_id):
         """Find out whether a peer whose connection ended still listens."""
@@ -146,7 +146,7 @@
             writer.close()
         except ConnectionRefusedError:
             now_ms = self._context.clock.now_ms()
-            self._membership.report_refused(host_id, now_ms)
+            self._membership.report_connection_refused(host_id, now_ms)
             self._handle_events()
         except OSError:
             # No answer in time: frozen or cut off, which probes find out.
@@ -155,7 +155,7 @@
     def on_silent(self, host_id):
         """Take a home's silence to repeated questions."""
         now_ms = self._context.clock.now_ms()
-        self._send(self._membership.report_silent(host_id, now_ms))
+        self._send(self._membership.report_unresponsive(host_id, now_ms))
         self._handle_events()
 
     def leave(self, successor=""):
@@ -202,11 +202,11 @@
         now_ms = self._context.clock.now_ms()
         return len(self.live_hosts()) + self._membership.count_lost(now_ms, lost_ms)
 
-    def steady_members(self):
+    def stable_members(self):
         """Return this host's own member, and the members that are well and stay."""
         if self._steady_version != self._membership.version:
             self._steady_version = self._membership.version
-            self._steady = self._membership.steady()
+            self._steady = self._membership.confirmed_members()
         return self._membership.own.member, self._steady
 
     def members(self):
@@ -234,9 +234,9 @@
         """Return all callers' addresses of hosts that take new work."""
         return self._membership.caller_addresses()
 
-    def named_members(self):
+    def advertised_members(self):
         """Return the members that callers may be told of, in a random order."""
-        return self._membership.named_members()
+        return self._membership.advertised_members()
 
     def hosts_response(self):
         """Return the answer to "which hosts shall I use".
--- a/libs/host/src/hemlockhoist/host/tests/test_grants.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_grants.py
@@ -4,7 +4,7 @@
 from hemlockhoist.base.testing import PausedTestCase
 from hemlockhoist.base.traces import Traces
 from hemlockhoist.decisions import Outcome, OutcomeKind, Upstream
-from hemlockhoist.decisions.limits import SpentLog
+from hemlockhoist.decisions.limits import UsageLog
 from hemlockhoist.decisions.scheduling import PoolScheduler
 from hemlockhoist.declarations import Pool, PoolKind, Tier
 from hemlockhoist.host.grants import GrantClient
@@ -206,7 +206,7 @@
             lambda host, message: sent.append(message),
             lambda pool: "10.0.0.1:7400",
             lambda host: None,
-            spent=SpentLog(8_000),
+            spent=UsageLog(8_000),
         )
 
         def brief(now_ms):
--- a/libs/standins/src/hemlockhoist/standins/randomised/machine.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/machine.py
@@ -247,7 +247,7 @@
         found = self.awake(host)
         if found is None:
             return False
-        for upstream_id in found.upstreams.placeable():
+        for upstream_id in found.upstreams.assignable():
             found.upstreams.check_grant(upstream_id, self.world.now_ms)
         return True
 
--- a/libs/standins/src/hemlockhoist/standins/randomised/notices.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/notices.py
@@ -55,9 +55,9 @@
 
 
 def _take_bad_list(machine, host, listed):
-    before = host.upstreams.placeable()
+    before = host.upstreams.assignable()
     host.upstreams.set_list(listed, machine.world.now_ms)
-    kept = host.upstreams.placeable() == before
+    kept = host.upstreams.assignable() == before
     machine.check(Property.LEAVING_UPSTREAM_NO_WORK, kept, "a bad list was taken")
 
 
--- a/libs/standins/src/hemlockhoist/standins/randomised/tests/mutations.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/tests/mutations.py
@@ -289,7 +289,7 @@
     Mutation(
         "an upstream's own word is final",
         UpstreamView,
-        "placeable",
+        "assignable",
         _ignore_the_own_word,
         (P.LEAVING_UPSTREAM_NO_WORK,),
     ),
