--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -38,7 +38,7 @@
 LEAVE_MARGIN_MS = 100
 
 
-class TierRates:
+class TierLoad:
     """Work granted by tier, as places held on average over the last seconds."""
 
     __slots__ = ("_at_ms", "_work")
@@ -52,7 +52,7 @@
         self._decay(now_ms)
         self._work[rank] = self._work.get(rank, 0.0) + cost_ms
 
-    def places_above(self, rank, now_ms):
+    def slots_above(self, rank, now_ms):
         """Return how many places the tiers above ``rank`` hold on average."""
         self._decay(now_ms)
         work = sum(cost for r, cost in self._work.items() if r < rank)
@@ -82,7 +82,7 @@
     def __init__(self, max_queued):
         self._granted_ms = {}
         self._max_queued = max_queued
-        self._rates = TierRates()
+        self._rates = TierLoad()
         self._shedding = set()
 
     @classmethod
@@ -98,21 +98,21 @@
         """Return how many requests of a tier may wait."""
         return self._max_queued.get(rank, DEFAULT_MAX_QUEUED)
 
-    def note_grant(self, rank, cost_ms, now_ms):
+    def record_grant(self, rank, cost_ms, now_ms):
         """Count granted work."""
         self._rates.add(rank, cost_ms, now_ms)
         self._granted_ms[rank] = now_ms
 
-    def lower_served(self, rank, now_ms):
+    def lower_tier_served(self, rank, now_ms):
         """Return whether a lower tier was given a place lately."""
         since_ms = now_ms - LOWER_SERVED_MS
         return any(r > rank and at > since_ms for r, at in self._granted_ms.items())
 
-    def note_shed(self, rank):
+    def record_shed(self, rank):
         """Remember that a tier is being refused for want of places."""
         self._shedding.add(rank)
 
-    def shed_above(self, rank, queue):
+    def is_shedding_above(self, rank, queue):
         """Return whether a higher tier is being refused while it still waits.
 
         A lower tier that were admitted meanwhile could be served after a higher one
@@ -123,29 +123,29 @@
                 self._shedding.discard(shed)
         return any(shed < rank for shed in self._shedding)
 
-    def wait_ms(self, request, queue, places, now_ms):
+    def wait_ms(self, request, queue, slots, now_ms):
         """Return how long the request is expected to wait for a place.
 
         Parameters
         ==========
         request : hemlockhoist.decisions.WorkRequest
         queue : RequestQueue
-        places : int
+        slots : int
             Places of all upstreams that take work.
         now_ms : int
         """
         rank = request.tier_rank
-        ahead_ms = queue.tier(rank).share_of_backlog_ms(request)
+        ahead_ms = queue.tier(rank).work_ahead_ms(request)
         ahead_ms += sum(queue.tier(r).cost_ms for r in queue.ranks if r < rank)
         if ahead_ms <= 0:
             return 0.0
-        left = places - self._rates.places_above(rank, now_ms)
+        left = slots - self._rates.slots_above(rank, now_ms)
         # Failure: a home has moved, two of three upstreams leave, the third fails, and
         # no place is left while requests wait. The division below then has no result,
         # and each submit ends as an internal error. One place is counted then.
-        return ahead_ms / max(MIN_SHARE * max(1, places), left)
+        return ahead_ms / max(MIN_SHARE * max(1, slots), left)
 
-    def prospect(self, request, queue, places, estimate, now_ms):
+    def refusal_code(self, request, queue, slots, estimate, now_ms):
         """Return why the request has no prospect, or None.
 
         Returns
@@ -159,26 +159,26 @@
             return ResultCode.DEADLINE_PASSED
         if not estimate.known:
             return None
-        longest_ms = hopeless_ms(request, estimate) - now_ms
+        longest_ms = latest_start_ms(request, estimate) - now_ms
         if longest_ms < 0:
             return ResultCode.DEADLINE_UNREACHABLE
         slack = slack_ms(request, estimate, now_ms)
-        if self.lower_served(request.tier_rank, now_ms):
+        if self.lower_tier_served(request.tier_rank, now_ms):
             slack = max(slack, longest_ms)
-        if self.wait_ms(request, queue, places, now_ms) > slack:
+        if self.wait_ms(request, queue, slots, now_ms) > slack:
             return ResultCode.OVERLOADED
         return None
 
-    def retry_after_ms(self, request, queue, places, estimate, now_ms):
+    def retry_after_ms(self, request, queue, slots, estimate, now_ms):
         """Return when the queue ahead will be short enough for the request."""
-        if places <= 0:
+        if slots <= 0:
             return NO_UPSTREAM_RETRY_AFTER_MS
-        wait_ms = self.wait_ms(request, queue, places, now_ms)
+        wait_ms = self.wait_ms(request, queue, slots, now_ms)
         over_ms = wait_ms - slack_ms(request, estimate, now_ms) / 2
         return int(min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, over_ms)))
 
 
-def hopeless_ms(request, estimate):
+def latest_start_ms(request, estimate):
     """Return until when a request may wait and still be answered.
 
     Made for callers of streams, who leave long before their deadline when nothing has
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/giving.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
@@ -1,7 +1,7 @@
 """How the free places of a pool shard are given to waiting requests."""
 
 from hemlockhoist.base import Property
-from hemlockhoist.decisions.scheduling.grants import Held
+from hemlockhoist.decisions.scheduling.grants import InFlightGrant
 from hemlockhoist.decisions.work import Grant, Granted, new_grant_id
 
 # A grant that is not used within this time is void: the entry host must dispatch at
@@ -9,10 +9,10 @@
 GRANT_TTL_MS = 2_000
 # Requests that the version policy holds back are passed over, up to this many in one
 # go; then it ends, since a lower tier must not pass untried higher ones.
-MAX_HELD_BACK = 16
+MAX_SKIPPED = 16
 
 
-class PlaceGiver:
+class SlotAssigner:
     """Gives free places, tier by tier, and to short requests out of turn.
 
     Load: at the home of some dozen upstreams, a burst keeps a score of requests waiting
@@ -81,7 +81,7 @@
         """Offer all upstreams again, as room may have been made anywhere."""
         self._round += 1
 
-    def give(self, now_ms, changed=""):
+    def assign(self, now_ms, changed=""):
         """Give the free places to waiting requests.
 
         Parameters
@@ -99,7 +99,7 @@
         decisions = self._grant_out_of_turn(free, changed, now_ms)
         held_back = []
         for rank in self._queue.ranks:
-            while free and len(held_back) < MAX_HELD_BACK:
+            while free and len(held_back) < MAX_SKIPPED:
                 taken = self._queue.take(rank)
                 if taken is None:
                     break
@@ -108,7 +108,7 @@
                 ahead = len(held_back)
                 upstream = self._place(waiting.request, offered, ahead, now_ms)
                 if upstream is None:
-                    waiting.passed_over = self._round
+                    waiting.skipped_round = self._round
                     held_back.append(taken)
                     continue
                 self._check_turn(waiting.request)
@@ -121,7 +121,7 @@
 
     def _offered(self, waiting, free, changed):
         """Return the free upstreams that a waiting request has not turned down."""
-        if waiting.passed_over != self._round:
+        if waiting.skipped_round != self._round:
             return free
         return [item for item in free if item.upstream_id == changed]
 
@@ -129,9 +129,11 @@
         """Give places to requests that may pass those of higher tiers that wait."""
         decisions = []
         for rank in self._queue.ranks:
-            while free and self._queue.above(rank):
+            while free and self._queue.count_above(rank):
                 first = self._queue.tier(rank).first()
-                if first is None or not self._passing.may_pass(first.request, now_ms):
+                if first is None or not self._passing.may_overtake(
+                    first.request, now_ms
+                ):
                     break
                 offered = self._offered(first, free, changed)
                 if not offered:
@@ -139,7 +141,7 @@
                 waiting, due_ms = self._queue.take(rank)
                 upstream = self._place(waiting.request, offered, 0, now_ms)
                 if upstream is None:
-                    waiting.passed_over = self._round
+                    waiting.skipped_round = self._round
                     self._queue.push(waiting, due_ms)
                     break
                 self._turns.charge(self._fleet.tracks.hold_ms(waiting.request))
@@ -165,9 +167,9 @@
     def _grant(self, waiting, upstream, now_ms):
         request = waiting.request
         self._check_staying(request, upstream)
-        self._turns.note(request.tier_rank, False, now_ms)
+        self._turns.record_decision(request.tier_rank, False, now_ms)
         self._queue.tier(request.tier_rank).charge(waiting)
-        self._admission.note_grant(request.tier_rank, waiting.cost_ms, now_ms)
+        self._admission.record_grant(request.tier_rank, waiting.cost_ms, now_ms)
         self._sequence += 1
         grant = Grant(
             grant_id=new_grant_id(self._incarnation, self._pool, self._sequence),
@@ -178,7 +180,7 @@
             expires_ms=now_ms + GRANT_TTL_MS,
             is_cold=self._fleet.tracks.is_cold(upstream.upstream_id, now_ms),
         )
-        held = Held(request, grant, now_ms, waiting.cost_ms)
+        held = InFlightGrant(request, grant, now_ms, waiting.cost_ms)
         self._grants.add(held)
         self._fleet.on_grant(held, now_ms)
         self._policy.on_grant(request, upstream.version, now_ms, upstream.upstream_id)
@@ -187,7 +189,7 @@
     def _check_turn(self, request):
         self._invariants.check(
             Property.TIER_ORDER,
-            self._queue.above(request.tier_rank) == 0,
+            self._queue.count_above(request.tier_rank) == 0,
             f"{request.request_id} granted in turn while a higher tier waits",
         )
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/returns.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/client_retries.py
@@ -6,19 +6,19 @@
 
 # A caller comes back after at most this part of the time that it has left, whatever it
 # is told.
-RETURN_PART = 1 / 3
+RETRY_WAIT_FRACTION = 1 / 3
 # A returned request waits for a place once more, and may get a slow upstream: of its time,
 # this many usual answers are kept for it.
-ANSWER_ALLOWANCE = 3.0
+ANSWER_TIME_FACTOR = 3.0
 # Messages and callers' clocks make the time of a return inexact by about this.
-EARLY_MS = 100
+EARLY_TOLERANCE_MS = 100
 # How long after the told time a request still counts as having come back.
-LATE_MS = 2_000
+LATE_TOLERANCE_MS = 2_000
 # Bound on what is remembered, for a burst that is refused as a whole.
 MAX_REMEMBERED = 10_000
 
 
-class ReturnBook:
+class ClientRetries:
     """Knows a request that comes back after it was refused.
 
     Made for bursts that outlast what a caller can wait. A caller comes back once; one
@@ -30,17 +30,17 @@
 
     Attributes
     ==========
-    returned : int
+    client_retry_count : int
         How many have come back as told.
     """
 
-    __slots__ = ("_due", "returned")
+    __slots__ = ("_due", "client_retry_count")
 
     def __init__(self):
         self._due = collections.OrderedDict()
-        self.returned = 0
+        self.client_retry_count = 0
 
-    def note_refused(self, request, retry_after_ms, now_ms):
+    def record_refusal(self, request, retry_after_ms, now_ms):
         """Remember a refused request."""
         if not request.prompt_tokens:
             return
@@ -51,7 +51,7 @@
         if len(self._due) > MAX_REMEMBERED:
             self._due.popitem(last=False)
 
-    def return_ms(self, request, hold_ms, now_ms):
+    def wait_before_retry_ms(self, request, hold_ms, now_ms):
         """Return after how long a refused request should come back.
 
         Parameters
@@ -68,27 +68,27 @@
         """
         if hold_ms is None:
             return None
-        return longest_return_ms(request, hold_ms, now_ms)
+        return longest_retry_wait_ms(request, hold_ms, now_ms)
 
     def take(self, request, now_ms):
         """Return whether a request was refused before, and has waited as told."""
         due_ms = self._due.get(_key(request))
-        if due_ms is None or now_ms < due_ms - EARLY_MS:
+        if due_ms is None or now_ms < due_ms - EARLY_TOLERANCE_MS:
             return False
         del self._due[_key(request)]
-        is_returned = now_ms <= due_ms + LATE_MS
-        self.returned += is_returned
-        return is_returned
+        is_retry = now_ms <= due_ms + LATE_TOLERANCE_MS
+        self.client_retry_count += is_retry
+        return is_retry
 
     def _forget(self, now_ms):
         while self._due:
             key, due_ms = next(iter(self._due.items()))
-            if now_ms <= due_ms + LATE_MS:
+            if now_ms <= due_ms + LATE_TOLERANCE_MS:
                 return
             del self._due[key]
 
 
-def longest_return_ms(request, hold_ms, now_ms):
+def longest_retry_wait_ms(request, hold_ms, now_ms):
     """Return after how long a refused request should come back.
 
     Made for bursts of some seconds: who comes back sooner is refused again by the same
@@ -103,8 +103,8 @@
     now_ms : int
     """
     left_ms = request.deadline_ms - now_ms
-    spare_ms = left_ms - ANSWER_ALLOWANCE * hold_ms
-    return int(max(MIN_RETRY_AFTER_MS, min(RETURN_PART * left_ms, spare_ms)))
+    spare_ms = left_ms - ANSWER_TIME_FACTOR * hold_ms
+    return int(max(MIN_RETRY_AFTER_MS, min(RETRY_WAIT_FRACTION * left_ms, spare_ms)))
 
 
 def _key(request):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared.py
@@ -1,14 +1,14 @@
 """Upstreams that declare how many requests they work on at once."""
 
-from hemlockhoist.decisions.scheduling.declared_track import DeclaredTrack
-from hemlockhoist.decisions.scheduling.offers import (
-    NO_PAUSE_BOUND_MS,
-    Offer,
-    Offers,
+from hemlockhoist.decisions.scheduling.candidates import (
+    NO_GAP_BOUND_MS,
+    CandidateSelector,
+    PlacementCandidate,
+    cache_saving_ms,
     cost_ms,
     risk_ms,
-    saved_ms,
 )
+from hemlockhoist.decisions.scheduling.declared_track import DeclaredTrack
 from hemlockhoist.decisions.scheduling.pace import PoolPace
 from hemlockhoist.decisions.scheduling.prompt_cache import PromptCache
 from hemlockhoist.decisions.scheduling.recovery import DECLARED_RECOVERY_MS
@@ -73,7 +73,7 @@
             if track is None or track.started_unix_ms != item.started_unix_ms:
                 track = DeclaredTrack(item, self._pace)
                 self._cache.forget(item.upstream_id)
-            track.limit.places = item.slots
+            track.limit.slots = item.slots
             self._tracks[item.upstream_id] = track
         for upstream_id in former.keys() - self._tracks.keys():
             self._cache.forget(upstream_id)
@@ -95,7 +95,7 @@
         track = self._tracks[upstream_id]
         if upstream_id in self._unreached and not track.is_open(now_ms):
             return 0
-        return track.limit.places
+        return track.limit.slots
 
     def takes_more(self, upstream_id, now_ms):
         """Return whether an upstream may be given another request, places aside."""
@@ -126,7 +126,7 @@
         free = [
             item
             for item in upstreams
-            if in_flight(item.upstream_id) < tracks[item.upstream_id].limit.places
+            if in_flight(item.upstream_id) < tracks[item.upstream_id].limit.slots
         ]
         if self._warmup.any_cold(now_ms):
             allows = self._warmup.allows
@@ -165,7 +165,7 @@
         """Return the upstream for a request, or None where it should wait."""
         work = self._pace.work(request)
         most_ms = self._most_prompts_ms(work, now_ms)
-        best = self._offers(request, work, choices, in_flight, most_ms, now_ms).taken(
+        best = self._offers(request, work, choices, in_flight, most_ms, now_ms).select(
             work.first_token_by_ms - now_ms
         )
         if best is None or self._is_better_later(work, best, most_ms, ahead, now_ms):
@@ -176,20 +176,20 @@
         """Return what the request may expect at the choices."""
         kept_at = self._kept(request)
         counts = self._failure_counts(now_ms)
-        offers = Offers()
+        offers = CandidateSelector()
         for item in choices:
             track = self._tracks[item.upstream_id]
             kept = kept_at.get(item.upstream_id, 0)
             first_ms = track.first_token_ms(work, now_ms, kept)
-            spared_ms = saved_ms(track, kept)
-            is_near = work.failure_domain == track.failure_domain
+            spared_ms = cache_saving_ms(track, kept)
+            is_local = work.failure_domain == track.failure_domain
             # The rest of the cost is never below zero.
-            if offers.is_hopeless(first_ms - spared_ms, is_near):
+            if offers.is_dominated(first_ms - spared_ms, is_local):
                 continue
             held = in_flight(item.upstream_id)
             risk = risk_ms(work, track, held, counts, most_ms, now_ms)
             cost = cost_ms(work, track, first_ms, held, now_ms) + risk - spared_ms
-            offers.add(Offer(item, first_ms, cost, risk, is_near))
+            offers.add(PlacementCandidate(item, first_ms, cost, risk, is_local))
         return offers
 
     def _kept(self, request):
@@ -227,7 +227,7 @@
                 continue
             first_ms = track.first_token_within(work, within_ms, most_ms, now_ms)
             if first_ms is not None:
-                frees_per_ms += track.limit.places / max(1.0, track.hold_ms)
+                frees_per_ms += track.limit.slots / max(1.0, track.hold_ms)
                 soonest_ms = min(first_ms, soonest_ms or first_ms)
         if not frees_per_ms:
             return False
@@ -243,12 +243,12 @@
         """
         gap_ms = min(self._gaps_ms.values(), default=None)
         if gap_ms is None:
-            return NO_PAUSE_BOUND_MS
+            return NO_GAP_BOUND_MS
         most_ms = PROMPT_PART * gap_ms
         for track in self._usable.values():
             if track.prompts_ms(work) <= most_ms and track.is_open(now_ms):
                 return most_ms
-        return NO_PAUSE_BOUND_MS
+        return NO_GAP_BOUND_MS
 
     def _failure_counts(self, now_ms):
         """Return the failures and the answers of all upstreams, lately."""
@@ -275,9 +275,9 @@
     def on_first_token(self, held, first_token_ms, now_ms):
         """Learn from a first token that is told before the answer's end."""
         track = self._tracks.get(held.grant.upstream_id)
-        if track is None or held.first_token_known:
+        if track is None or held.first_token_reported:
             return
-        held.first_token_known = True
+        held.first_token_reported = True
         track.on_prompt_done(held, now_ms)
         self._note_reached(held.grant.upstream_id, track, now_ms)
         is_whole = held.pending_tokens == held.request.prompt_tokens
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -5,21 +5,21 @@
 import msgspec
 
 from hemlockhoist.base import SettingError
+from hemlockhoist.decisions.scheduling.client_retries import ClientRetries
 from hemlockhoist.decisions.scheduling.declared import DeclaredTracks
-from hemlockhoist.decisions.scheduling.out_of_turn import OutOfTurn
-from hemlockhoist.decisions.scheduling.returns import ReturnBook
+from hemlockhoist.decisions.scheduling.overtaking_budget import OvertakingBudget
 
 
 class Mechanism(enum.Enum):
     """What can be left out, to measure what it is worth."""
 
-    BETTER_LATER = "better-later"
-    KEPT_PARTS = "kept-parts"
-    OUT_OF_TURN = "out-of-turn"
-    OWN_DOMAIN = "own-domain"
-    PATIENCE = "patience"
-    PAUSES = "pauses"
-    RETURNS = "returns"
+    DEFERRAL = "better-later"
+    PREFIX_BLOCKS = "kept-parts"
+    OVERTAKING = "out-of-turn"
+    DOMAIN_LOCALITY = "own-domain"
+    CALLER_WAIT_LIMIT = "patience"
+    TOKEN_GAPS = "pauses"
+    CLIENT_RETRIES = "returns"
 
 
 class Experiments:
@@ -27,21 +27,21 @@
 
     Parameters
     ==========
-    left_out : iterable of Mechanism, optional
+    disabled : iterable of Mechanism, optional
 
     Examples
     ========
 
-    >>> Experiments.from_text("returns,pauses").left_out == {
-    ...     Mechanism.RETURNS, Mechanism.PAUSES
+    >>> Experiments.from_text("returns,pauses").disabled == {
+    ...     Mechanism.CLIENT_RETRIES, Mechanism.TOKEN_GAPS
     ... }
     True
     """
 
-    __slots__ = ("left_out",)
+    __slots__ = ("disabled",)
 
-    def __init__(self, left_out=()):
-        self.left_out = frozenset(left_out)
+    def __init__(self, disabled=()):
+        self.disabled = frozenset(disabled)
 
     @classmethod
     def from_text(cls, text):
@@ -59,61 +59,69 @@
             known = ", ".join(item.value for item in Mechanism)
             raise SettingError(f"{error}; known are {known}") from None
 
-    def request(self, request):
+    def mask(self, request):
         """Return a request as a scheduler without the mechanisms would know it."""
-        if not self.left_out:
+        if not self.disabled:
             return request
         fields = {}
-        if Mechanism.PATIENCE in self.left_out:
+        if Mechanism.CALLER_WAIT_LIMIT in self.disabled:
             fields["leaves_ms"] = None
-        if Mechanism.PAUSES in self.left_out:
+        if Mechanism.TOKEN_GAPS in self.disabled:
             fields["max_gap_ms"] = 0
-        if Mechanism.KEPT_PARTS in self.left_out:
+        if Mechanism.PREFIX_BLOCKS in self.disabled:
             fields["prefix_hashes"] = fields["prefix_tokens"] = ()
-        if Mechanism.OWN_DOMAIN in self.left_out:
+        if Mechanism.DOMAIN_LOCALITY in self.disabled:
             # No upstream is in a domain without a name: none is nearer than another.
             fields["failure_domain"] = ""
         return msgspec.structs.replace(request, **fields)
 
-    def turns(self):
+    def overtaking_budget(self):
         """Return what lets short requests pass those of higher tiers."""
-        return NoTurns() if Mechanism.OUT_OF_TURN in self.left_out else OutOfTurn()
+        return (
+            NoOvertaking()
+            if Mechanism.OVERTAKING in self.disabled
+            else OvertakingBudget()
+        )
 
-    def returns(self):
+    def client_retries(self):
         """Return what knows the requests that come back."""
-        return NoReturns() if Mechanism.RETURNS in self.left_out else ReturnBook()
+        return (
+            NoClientRetries()
+            if Mechanism.CLIENT_RETRIES in self.disabled
+            else ClientRetries()
+        )
 
     def declared_tracks(self, cache_tokens=0, warmup=None):
         """Return the tracks of upstreams that declare their places."""
-        if Mechanism.BETTER_LATER in self.left_out:
-            return FirstFreeTracks(cache_tokens, warmup)
+        if Mechanism.DEFERRAL in self.disabled:
+            return NoDeferralTracks(cache_tokens, warmup)
         return DeclaredTracks(cache_tokens, warmup)
 
 
-class NoTurns(OutOfTurn):
+class NoOvertaking(OvertakingBudget):
     """Lets no request pass those of higher tiers."""
 
     __slots__ = ()
 
-    def longest_ms(self, rank, passed, places, now_ms):
+    def longest_ms(self, rank, passed, slots, now_ms):
         """Return that none may pass."""
         return -1.0
 
 
-class NoReturns(ReturnBook):
+class NoClientRetries(ClientRetries):
     """Knows no request again, and tells none a time of its own."""
 
     __slots__ = ()
 
-    def note_refused(self, request, retry_after_ms, now_ms):
+    def record_refusal(self, request, retry_after_ms, now_ms):
         """Remember nothing."""
 
-    def return_ms(self, request, hold_ms, now_ms):
+    def wait_before_retry_ms(self, request, hold_ms, now_ms):
         """Return None: the queue alone says when to come back."""
         return
 
 
-class FirstFreeTracks(DeclaredTracks):
+class NoDeferralTracks(DeclaredTracks):
     """Takes the best of the upstreams that are free, and waits for no other."""
 
     __slots__ = ()
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
@@ -68,7 +68,7 @@
     def on_grant(self, held, now_ms):
         """Count a grant that was just made."""
         upstream_id = held.grant.upstream_id
-        held.level = self._grants.in_flight(upstream_id)
+        held.in_flight_at_grant = self._grants.in_flight(upstream_id)
         self.tracks.on_grant(held, now_ms)
         self.recovery.note_grant(upstream_id, now_ms)
 
@@ -77,7 +77,7 @@
         upstream_id = held.grant.upstream_id
         track = self.tracks.get(upstream_id)
         if track is not None:
-            track.limit.at_least(self._grants.in_flight(upstream_id))
+            track.limit.raise_to(self._grants.in_flight(upstream_id))
             self.tracks.on_adopt(held, now_ms)
 
     def review(self, estimate, now_ms):
@@ -90,7 +90,7 @@
         if not estimate.known:
             return
         ratios = {}
-        for held in self._grants.holders():
+        for held in self._grants.all_grants():
             expected_ms = held.cost_ms + held.prompt_wait_ms
             ratio = (now_ms - held.granted_ms) / max(MIN_EXPECTED_MS, expected_ms)
             ratios.setdefault(held.grant.upstream_id, []).append(ratio)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/grants.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/grants.py
@@ -9,7 +9,7 @@
 MAX_ENDED = 20_000
 
 
-class Held:
+class InFlightGrant:
     """A grant that an entry host holds.
 
     Parameters
@@ -19,9 +19,9 @@
     granted_ms : int
     cost_ms : float
         Predicted time for which it holds its place.
-    level : int
+    in_flight_at_grant : int
         Requests that its upstream held when it was granted, itself included.
-    first_token_known : bool
+    first_token_reported : bool
         Whether its first token was told before its end.
     prompt_wait_ms : float
         Prompts that were expected to be computed before its own at its upstream.
@@ -34,10 +34,10 @@
     __slots__ = (
         "cost_ms",
         "expected_blocks",
-        "first_token_known",
+        "first_token_reported",
         "grant",
         "granted_ms",
-        "level",
+        "in_flight_at_grant",
         "pending_tokens",
         "prompt_wait_ms",
         "request",
@@ -48,14 +48,14 @@
         self.grant = grant
         self.granted_ms = granted_ms
         self.cost_ms = cost_ms
-        self.level = 1
+        self.in_flight_at_grant = 1
         self.prompt_wait_ms = 0.0
         self.pending_tokens = 0
-        self.first_token_known = False
+        self.first_token_reported = False
         self.expected_blocks = 0
 
 
-class GrantBook:
+class GrantTable:
     """Counts grants in flight by upstream, customer and entry host.
 
     Taking and giving back are idempotent by grant id: peers repeat messages whose
@@ -143,11 +143,11 @@
             if held.request.deadline_ms < before_ms
         ]
 
-    def holders(self):
+    def all_grants(self):
         """Return all grants in flight."""
         return self._by_grant.values()
 
-    def note_ended(self, request_id, now_ms):
+    def record_ended(self, request_id, now_ms):
         """Remember that a request was dispatched and has ended."""
         self._ended[request_id] = now_ms
         if len(self._ended) > MAX_ENDED:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/limits.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/limits.py
@@ -106,7 +106,7 @@
         self._changed_ms = 0
 
     @property
-    def places(self):
+    def slots(self):
         """Requests that the upstream may hold."""
         return int(self._limit)
 
@@ -115,16 +115,16 @@
         self._max = max(1, max_limit)
         self._limit = min(self._limit, float(self._max))
 
-    def at_least(self, in_flight):
+    def raise_to(self, in_flight):
         """Raise the limit to what a former home had granted."""
         self._limit = min(float(self._max), max(self._limit, float(in_flight)))
 
-    def observe(self, excess_share, granted_ms, level, now_ms):
+    def observe(self, excess_ratio, granted_ms, level, now_ms):
         """Take the first token time of one answer.
 
         Parameters
         ==========
-        excess_share : float
+        excess_ratio : float
             Time beyond the baseline, over the mean time for which requests hold their
             places; 0 for a normal time.
         granted_ms : int
@@ -136,12 +136,12 @@
         """
         if granted_ms < self._changed_ms:
             return
-        congested = excess_share > 0
+        congested = excess_ratio > 0
         self._congested += _SHARE_WEIGHT * (congested - self._congested)
         self._samples += 1
         if congested:
             weight = max(_SHARE_WEIGHT, 1.0 / self._samples)
-            self._excess += weight * (excess_share - self._excess)
+            self._excess += weight * (excess_ratio - self._excess)
             self._level += weight * (level - self._level)
         if self._congested > FALL_SHARE and self._samples >= MIN_SAMPLES:
             self._fall(now_ms)
@@ -181,32 +181,32 @@
 
     Parameters
     ==========
-    places : int
+    slots : int
     """
 
-    __slots__ = ("places",)
+    __slots__ = ("slots",)
 
-    def __init__(self, places):
-        self.places = places
+    def __init__(self, slots):
+        self.slots = slots
 
     def set_max(self, max_limit):
         """Do nothing: the upstream's own word is the bound."""
 
-    def at_least(self, in_flight):
+    def raise_to(self, in_flight):
         """Do nothing: grants of a former home beyond the limit only run out."""
 
-    def observe(self, excess_share, granted_ms, level, now_ms):
+    def observe(self, excess_ratio, granted_ms, level, now_ms):
         """Do nothing: there is nothing to find."""
 
 
-def new_limit(places, max_limit):
+def new_limit(slots, max_limit):
     """Return the limit of an upstream.
 
     Parameters
     ==========
-    places : int
+    slots : int
         That the upstream declares; 0 where it does not.
     max_limit : int
         The pool's declared upper bound.
     """
-    return DeclaredLimit(places) if places else ConcurrencyLimit(max_limit)
+    return DeclaredLimit(slots) if slots else ConcurrencyLimit(max_limit)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/passing.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
@@ -1,7 +1,7 @@
 """Which waiting requests may pass others of higher tiers, as the pool stands."""
 
 
-class Passing:
+class OvertakingCheck:
     """Says which requests may pass those of higher tiers that wait.
 
     Parameters
@@ -18,11 +18,11 @@
         self._fleet = fleet
         self._turns = turns
 
-    def may_pass(self, request, now_ms):
+    def may_overtake(self, request, now_ms):
         """Return whether a request may pass those of higher tiers that wait."""
-        return self.at(now_ms)(request)
+        return self.predicate_at(now_ms)(request)
 
-    def at(self, now_ms):
+    def predicate_at(self, now_ms):
         """Return what says at one moment which requests may pass.
 
         Load: a refusal in a burst looks at all waiting requests of lower tiers. What
@@ -31,23 +31,23 @@
         Returns
         =======
         callable
-            ``may_pass(request)``.
+            ``may_overtake(request)``.
         """
         tracks = self._fleet.tracks
         longest_ms = {}
 
-        def may_pass(request):
+        def may_overtake(request):
             rank = request.tier_rank
             if rank not in longest_ms:
                 longest_ms[rank] = self._longest_ms(rank, now_ms)
             hold_ms = tracks.hold_ms(request)
             return hold_ms is not None and hold_ms <= longest_ms[rank]
 
-        return may_pass
+        return may_overtake
 
     def _longest_ms(self, rank, now_ms):
         tracks = self._fleet.tracks
         above = [item.request for item in self._queue.first_above(rank)]
         passed = [(item.tier_rank, tracks.hold_ms(item) or 0.0) for item in above]
-        places = self._fleet.places(now_ms)
-        return self._turns.longest_ms(rank, passed, places, now_ms)
+        slots = self._fleet.places(now_ms)
+        return self._turns.longest_ms(rank, passed, slots, now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/out_of_turn.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
@@ -1,18 +1,18 @@
 """Which requests of a lower tier may pass waiting ones of higher tiers."""
 
-from hemlockhoist.decisions.scheduling.tier_shares import TierShares
+from hemlockhoist.decisions.scheduling.refusal_rates import RefusalRates
 
 # Of the time of all places, what short requests may take out of their turn: the most by
 # which they delay the tiers above them.
-PLACE_SHARE = 0.05
+SLOT_TIME_FRACTION = 0.05
 # A request is short where it holds a place for no more than this part of the time of
 # each request that it passes.
-SHORT_PART = 0.25
+SHORT_FRACTION = 0.25
 # Place time that is not used is kept for this long.
-KEPT_MS = 1_000
+BUDGET_WINDOW_MS = 1_000
 
 
-class OutOfTurn:
+class OvertakingBudget:
     """Lets short requests of a lower tier pass longer ones of higher tiers.
 
     Made for a burst in which a higher tier holds all places for seconds, and a lower
@@ -27,11 +27,11 @@
     __slots__ = ("_at_ms", "_left_ms", "_shares")
 
     def __init__(self):
-        self._shares = TierShares()
+        self._shares = RefusalRates()
         self._left_ms = 0.0
         self._at_ms = 0
 
-    def note(self, rank, was_refused, now_ms):
+    def record_decision(self, rank, was_refused, now_ms):
         """Count a request that was given a place or refused for want of one."""
         self._shares.add(rank, was_refused, now_ms)
 
@@ -39,7 +39,7 @@
         """Count the place time of a request that passed."""
         self._left_ms -= hold_ms
 
-    def allows(self, rank, hold_ms, passed, places, now_ms):
+    def allows(self, rank, hold_ms, passed, slots, now_ms):
         """Return whether a request may pass those of higher tiers that wait.
 
         Parameters
@@ -49,15 +49,15 @@
             For how long it is expected to hold a place; None where that is not known.
         passed : iterable of (int, float)
             Rank and expected holding time of what it would pass.
-        places : int
+        slots : int
             Of all upstreams that take work.
         now_ms : int
         """
         if hold_ms is None:
             return False
-        return hold_ms <= self.longest_ms(rank, passed, places, now_ms)
+        return hold_ms <= self.longest_ms(rank, passed, slots, now_ms)
 
-    def longest_ms(self, rank, passed, places, now_ms):
+    def longest_ms(self, rank, passed, slots, now_ms):
         """Return how long a request of a tier may hold a place and still pass.
 
         Parameters
@@ -72,18 +72,18 @@
         float
             Below 0 where none may pass.
         """
-        self._accrue(places, now_ms)
-        own = self._shares.refused(rank, now_ms)
+        self._accrue(slots, now_ms)
+        own = self._shares.rate(rank, now_ms)
         longest_ms = self._left_ms
         for other, other_ms in passed:
-            if own < self._shares.refused(other, now_ms):
+            if own < self._shares.rate(other, now_ms):
                 return -1.0
-            longest_ms = min(longest_ms, SHORT_PART * other_ms)
+            longest_ms = min(longest_ms, SHORT_FRACTION * other_ms)
         return longest_ms
 
-    def _accrue(self, places, now_ms):
+    def _accrue(self, slots, now_ms):
         passed_ms = max(0, now_ms - self._at_ms)
         self._at_ms = max(self._at_ms, now_ms)
-        most_ms = PLACE_SHARE * places * KEPT_MS
-        gained_ms = PLACE_SHARE * places * passed_ms
+        most_ms = SLOT_TIME_FRACTION * slots * BUDGET_WINDOW_MS
+        gained_ms = SLOT_TIME_FRACTION * slots * passed_ms
         self._left_ms = min(most_ms, self._left_ms + gained_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/placement.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/placement.py
@@ -2,7 +2,7 @@
 
 # One way to another failure domain takes about 1.5 ms more, and a request makes a
 # few of them.
-OTHER_DOMAIN_MS = 6.0
+CROSS_DOMAIN_COST_MS = 6.0
 # Added for each failure in a row. Made for upstreams that refuse connections while no
 # more may be ejected: with nothing in flight they would look the emptiest of all.
 FAILURE_MS = 2_000.0
@@ -94,5 +94,5 @@
     score_ms += FAILURE_MS * track.health.recent_failures(now_ms)
     score_ms += decode_ms * (1.0 + FULL_BATCH_STRETCH * used)
     if request.failure_domain != track.failure_domain:
-        score_ms += OTHER_DOMAIN_MS
+        score_ms += CROSS_DOMAIN_COST_MS
     return score_ms
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
@@ -11,7 +11,7 @@
 SHORT_FIRST_FACTOR = 2.0
 
 
-class Waiting:
+class QueuedRequest:
     """A queued request.
 
     Parameters
@@ -25,29 +25,27 @@
         Breaks ties: counts up with each arrival.
     is_late : bool
         Whether its first token target has passed.
-    is_returned : bool
+    is_retry : bool
         Whether it was refused before, and came back as it was told.
 
     Attributes
     ==========
-    passed_over : int or None
+    skipped_round : int or None
         The scheduler's round in which it last found no place.
     """
 
     __slots__ = (
         "cost_ms",
         "is_late",
-        "is_returned",
-        "passed_over",
+        "is_retry",
+        "skipped_round",
         "rank_key",
         "request",
     )
 
-    def __init__(
-        self, request, cost_ms, turn_ms, order, is_late=False, is_returned=False
-    ):
-        self.is_returned = is_returned
-        self.passed_over = None
+    def __init__(self, request, cost_ms, turn_ms, order, is_late=False, is_retry=False):
+        self.is_retry = is_retry
+        self.skipped_round = None
         self.request = request
         self.cost_ms = cost_ms
         self.is_late = is_late
@@ -139,14 +137,14 @@
         if not customer.waiting:
             self._retire(customer)
 
-    def heaviest(self):
+    def displacement_candidate(self):
         """Return the last request of the customer furthest over its share, or None."""
         if not self._customers:
             return None
         customer = max(self._customers.values(), key=_backlog_over_weight)
         return customer.waiting[-1]
 
-    def is_heavier(self, waiting, request):
+    def is_displaced_by(self, waiting, request):
         """Return whether a waiting request's customer holds more than another's would.
 
         Compares backlog over weight, that of ``request`` counted with one more
@@ -157,7 +155,7 @@
         own_ms = own.cost_ms if own is not None else 0.0
         return theirs > (own_ms + waiting.cost_ms) / max(1, request.weight)
 
-    def share_of_backlog_ms(self, request):
+    def work_ahead_ms(self, request):
         """Return the predicted work that is served before a new request.
 
         The whole tier's backlog, or less where the customer's fair share brings its
@@ -244,20 +242,23 @@
         """Remove a waiting request."""
         self._part(waiting).remove(waiting)
 
-    def heaviest(self):
+    def displacement_candidate(self):
         """Return the request that gives way first, or None."""
-        first = self._late.heaviest() or self._in_time.heaviest()
-        return first or self._returned.heaviest()
+        first = (
+            self._late.displacement_candidate()
+            or self._in_time.displacement_candidate()
+        )
+        return first or self._returned.displacement_candidate()
 
-    def is_heavier(self, waiting, request):
+    def is_displaced_by(self, waiting, request):
         """Return whether a waiting request gives way to a new one."""
         if waiting.is_late:
             return True
-        return not waiting.is_returned and self._in_time.is_heavier(waiting, request)
+        return not waiting.is_retry and self._in_time.is_displaced_by(waiting, request)
 
-    def share_of_backlog_ms(self, request):
+    def work_ahead_ms(self, request):
         """Return the predicted work that is served before a new request."""
-        return self._in_time.share_of_backlog_ms(request)
+        return self._in_time.work_ahead_ms(request)
 
     def forget_idle(self):
         """Drop idle customers whose share is used up by the passing of time."""
@@ -266,7 +267,7 @@
         self._late.forget_idle()
 
     def _part(self, waiting):
-        if waiting.is_returned:
+        if waiting.is_retry:
             return self._returned
         return self._late if waiting.is_late else self._in_time
 
@@ -345,11 +346,11 @@
         entries = self._by_id.items()
         return [key for key, (item, _) in entries if item.request.entry_host == host_id]
 
-    def above(self, rank):
+    def count_above(self, rank):
         """Return how many requests of higher tiers wait."""
         return sum(self._tiers[r].size for r in self._ranks if r < rank)
 
-    def below(self, rank):
+    def count_below(self, rank):
         """Return how many requests of lower tiers wait."""
         return sum(self._tiers[r].size for r in self._ranks if r > rank)
 
@@ -360,17 +361,17 @@
 
     def waiting_below(self, rank):
         """Return the waiting requests of lower tiers, the highest tier's first."""
-        if not self.below(rank):
+        if not self.count_below(rank):
             return []
         found = [item for item, _ in self._by_id.values()]
         found = [item for item in found if item.request.tier_rank > rank]
         return sorted(found, key=lambda item: item.request.tier_rank)
 
-    def lowest(self):
+    def first_to_shed(self):
         """Return the request that is shed first, or None."""
         for rank in reversed(self._ranks):
             if self._tiers[rank].size:
-                return self._tiers[rank].heaviest()
+                return self._tiers[rank].displacement_candidate()
         return None
 
     def forget_idle(self):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tier_shares.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/refusal_rates.py
@@ -4,19 +4,19 @@
 
 # Time constant of what counts as lately: longer than a usual burst, so that tiers are
 # compared over the whole of it, and short enough that the next one begins anew.
-MEMORY_MS = 10_000
+DECAY_MS = 10_000
 
 
-class TierShares:
+class RefusalRates:
     """The part of each tier's requests that were refused, of those decided lately.
 
     Examples
     ========
-    >>> from hemlockhoist.decisions.scheduling.tier_shares import TierShares
-    >>> shares = TierShares()
+    >>> from hemlockhoist.decisions.scheduling.refusal_rates import RefusalRates
+    >>> shares = RefusalRates()
     >>> for number in range(4):
     ...     shares.add(rank=1, was_refused=number == 0, now_ms=0)
-    >>> shares.refused(rank=1, now_ms=0), shares.refused(rank=2, now_ms=0)
+    >>> shares.rate(rank=1, now_ms=0), shares.rate(rank=2, now_ms=0)
     (0.25, 0.0)
     """
 
@@ -33,7 +33,7 @@
         self._decided[rank] = self._decided.get(rank, 0.0) + 1.0
         self._refused[rank] = self._refused.get(rank, 0.0) + was_refused
 
-    def refused(self, rank, now_ms):
+    def rate(self, rank, now_ms):
         """Return the part of a tier's requests that were refused; 0 without any."""
         self._fade(now_ms)
         decided = self._decided.get(rank, 0.0)
@@ -43,7 +43,7 @@
         passed_ms = now_ms - self._at_ms
         if passed_ms <= 0:
             return
-        kept = math.exp(-passed_ms / MEMORY_MS)
+        kept = math.exp(-passed_ms / DECAY_MS)
         self._at_ms = now_ms
         for counts in (self._decided, self._refused):
             for rank in counts:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
@@ -9,7 +9,7 @@
 # shows it: without a budget each request tries one dead upstream after the other, and
 # connects multiply just when the rest of the pool is short of places. A tenth covers
 # single upstreams that restart.
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 # Retries a quiet host may still make, so that one bad upstream among few does not
 # refuse the few requests there are.
 MIN_RETRIES_PER_S = 1.0
@@ -44,7 +44,7 @@
 
     def on_request(self):
         """Count a request that a caller sent."""
-        self._tokens = min(MAX_BUDGET, self._tokens + RETRY_SHARE)
+        self._tokens = min(MAX_BUDGET, self._tokens + RETRY_RATIO)
 
     def take(self, kind, attempts, now_ms):
         """Return whether a request may be tried again, and count it if so.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -5,16 +5,16 @@
 from hemlockhoist.decisions.scheduling.admission import (
     LATE_REVIEW_MS,
     Admission,
-    hopeless_ms,
+    latest_start_ms,
     slack_ms,
 )
+from hemlockhoist.decisions.scheduling.assignment import SlotAssigner
 from hemlockhoist.decisions.scheduling.estimates import ServiceEstimate
 from hemlockhoist.decisions.scheduling.experiments import Experiments
 from hemlockhoist.decisions.scheduling.fleet import Fleet
-from hemlockhoist.decisions.scheduling.giving import PlaceGiver
-from hemlockhoist.decisions.scheduling.grants import GrantBook, Held
-from hemlockhoist.decisions.scheduling.passing import Passing
-from hemlockhoist.decisions.scheduling.queue import RequestQueue, Waiting
+from hemlockhoist.decisions.scheduling.grants import GrantTable, InFlightGrant
+from hemlockhoist.decisions.scheduling.overtaking import OvertakingCheck
+from hemlockhoist.decisions.scheduling.queue import QueuedRequest, RequestQueue
 from hemlockhoist.decisions.scheduling.shedding import Shedder
 from hemlockhoist.decisions.scheduling.tracking import UpstreamTracks
 from hemlockhoist.decisions.work import Granted, OutcomeKind
@@ -38,7 +38,7 @@
         "_estimate",
         "_experiments",
         "_fleet",
-        "_giver",
+        "_assigner",
         "_grants",
         "_order",
         "_passing",
@@ -56,12 +56,12 @@
         self._admission = Admission.from_config(tiers)
         self._queue = RequestQueue([tier.rank for tier in tiers])
         self._estimate = ServiceEstimate()
-        self._grants = GrantBook()
+        self._grants = GrantTable()
         self._fleet = Fleet(self._grants, tracks)
-        turns = experiments.turns()
-        self._returns = experiments.returns()
-        self._passing = Passing(self._queue, self._fleet, turns)
-        self._giver = PlaceGiver(
+        turns = experiments.overtaking_budget()
+        self._returns = experiments.client_retries()
+        self._passing = OvertakingCheck(self._queue, self._fleet, turns)
+        self._assigner = SlotAssigner(
             pool.name,
             incarnation,
             self._queue,
@@ -80,7 +80,7 @@
             self._returns,
             invariants,
             self._retry_after_ms,
-            self._passing.at,
+            self._passing.predicate_at,
         )
         self._order = 0
 
@@ -133,9 +133,9 @@
         return len(self._grants)
 
     @property
-    def returned(self):
+    def client_retry_count(self):
         """Number of requests so far that came back as they were told."""
-        return self._returns.returned
+        return self._returns.client_retry_count
 
     def evacuated_domains(self):
         """Return the failure domains whose upstreams get nothing, by order."""
@@ -176,7 +176,7 @@
             return []
         if self._grants.has_ended(request.request_id):
             return []
-        decisions = self._admit(self._experiments.request(request), now_ms)
+        decisions = self._admit(self._experiments.mask(request), now_ms)
         return decisions + self._decide(now_ms)
 
     def cancel(self, request_id, now_ms):
@@ -219,7 +219,7 @@
         """
         self._queue.remove(request.request_id)
         cost_ms = self._estimate.hold_ms(request)
-        held = Held(request, grant, now_ms, cost_ms)
+        held = InFlightGrant(request, grant, now_ms, cost_ms)
         if self._grants.add(held):
             self._fleet.on_adopt(held, now_ms)
             self._policy.on_adopt(request, grant.version, now_ms, grant.upstream_id)
@@ -275,8 +275,8 @@
         return self._queue.next_due_ms()
 
     def _admit(self, request, now_ms):
-        is_returned = self._returns.take(request, now_ms)
-        code = self._refusal(request, is_returned, now_ms)
+        is_retry = self._returns.take(request, now_ms)
+        code = self._refusal(request, is_retry, now_ms)
         if code is ResultCode.OVERLOADED:
             return self._shedder.shed(request, code, now_ms)
         if code is not None:
@@ -287,39 +287,39 @@
         self._order += 1
         cost_ms = self._estimate.hold_ms(request)
         wait_ms = slack_ms(request, self._estimate, now_ms)
-        if is_returned:
-            wait_ms = hopeless_ms(request, self._estimate) - now_ms
+        if is_retry:
+            wait_ms = latest_start_ms(request, self._estimate) - now_ms
         due_ms = int(now_ms + max(1, wait_ms))
         turn_ms = self._fleet.tracks.turn_ms(now_ms, cost_ms, due_ms)
-        waiting = Waiting(
-            request, cost_ms, turn_ms, self._order, is_returned=is_returned
+        waiting = QueuedRequest(
+            request, cost_ms, turn_ms, self._order, is_retry=is_retry
         )
         self._queue.push(waiting, due_ms)
         return decisions
 
-    def _refusal(self, request, is_returned, now_ms):
+    def _refusal(self, request, is_retry, now_ms):
         if not self._fleet.table.serves(request.regions):
             return ResultCode.NO_UPSTREAM
         held = self._grants.of_customer(request.customer)
         held += self._queue.of_customer(request.customer)
         if held >= request.max_in_flight:
             return ResultCode.CUSTOMER_LIMIT
-        if self._queue.above(request.tier_rank) and self._passing.may_pass(
+        if self._queue.count_above(request.tier_rank) and self._passing.may_overtake(
             request, now_ms
         ):
             return None
-        if is_returned:
+        if is_retry:
             return None
-        if self._admission.shed_above(request.tier_rank, self._queue):
+        if self._admission.is_shedding_above(request.tier_rank, self._queue):
             return ResultCode.OVERLOADED
-        places = self._fleet.places(now_ms)
-        return self._admission.prospect(
-            request, self._queue, places, self._estimate, now_ms
+        slots = self._fleet.places(now_ms)
+        return self._admission.refusal_code(
+            request, self._queue, slots, self._estimate, now_ms
         )
 
     def _drain(self, now_ms):
         """Decide after a change that may have made room anywhere."""
-        self._giver.begin_round()
+        self._assigner.begin_round()
         return self._decide(now_ms)
 
     def _decide(self, now_ms, changed=""):
@@ -328,7 +328,7 @@
             return []
         if self._fleet.table.is_evacuated():
             return self._refuse_waiting(now_ms)
-        decisions = self._giver.give(now_ms, changed)
+        decisions = self._assigner.assign(now_ms, changed)
         return decisions + self._give_up(now_ms)
 
     def _refuse_waiting(self, now_ms):
@@ -359,7 +359,7 @@
             code = self._end_of_wait(request, now_ms)
             if code is None:
                 waiting.is_late = True
-                due_ms = hopeless_ms(request, self._estimate)
+                due_ms = latest_start_ms(request, self._estimate)
                 due_ms = min(now_ms + LATE_REVIEW_MS, max(now_ms + 1, due_ms))
                 self._queue.push(waiting, due_ms)
             else:
@@ -370,10 +370,10 @@
         """Return why a request whose time has come is refused, or None."""
         if request.deadline_ms <= now_ms:
             return ResultCode.DEADLINE_PASSED
-        if hopeless_ms(request, self._estimate) <= now_ms:
+        if latest_start_ms(request, self._estimate) <= now_ms:
             return ResultCode.DEADLINE_UNREACHABLE
         rank = request.tier_rank
-        if self._admission.lower_served(rank, now_ms):
+        if self._admission.lower_tier_served(rank, now_ms):
             return None
         return ResultCode.OVERLOADED if self._queue.tier(rank).size else None
 
@@ -392,19 +392,19 @@
         if outcome.kind is OutcomeKind.SUCCESS:
             self._estimate.observe(request, hold_ms, outcome.first_token_ms)
         if outcome.kind not in _NOT_SENT:
-            self._grants.note_ended(request.request_id, now_ms)
+            self._grants.record_ended(request.request_id, now_ms)
         grant = held.grant
         self._policy.on_outcome(
             request, grant.version, outcome, now_ms, grant.upstream_id
         )
 
     def _retry_after_ms(self, request, now_ms):
-        places = self._fleet.places(now_ms)
+        slots = self._fleet.places(now_ms)
         hold_ms = self._fleet.tracks.hold_ms(request)
-        return_ms = self._returns.return_ms(request, hold_ms, now_ms)
-        has_rest = places or self._fleet.table.is_evacuated()
-        if has_rest and return_ms is not None:
-            return return_ms
+        wait_ms = self._returns.wait_before_retry_ms(request, hold_ms, now_ms)
+        has_rest = slots or self._fleet.table.is_evacuated()
+        if has_rest and wait_ms is not None:
+            return wait_ms
         return self._admission.retry_after_ms(
-            request, self._queue, places, self._estimate, now_ms
+            request, self._queue, slots, self._estimate, now_ms
         )
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/shedding.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/shedding.py
@@ -12,7 +12,7 @@
     refused while it still has waiting ones. They would wait behind that tier's whole
     queue anyway; kept, they could be served after a higher one was turned away.
 
-    What may pass the refused tier, as ``OutOfTurn`` says, does not wait behind it, and
+    What may pass the refused tier, as ``OvertakingBudget`` says, does not wait behind it, and
     stays.
 
     Parameters
@@ -53,19 +53,19 @@
     def reject(self, request, code, now_ms):
         """Return the refusal of a request that doesn't wait."""
         retry_after_ms = self._retry_after_ms(request, now_ms)
-        self._returns.note_refused(request, retry_after_ms, now_ms)
+        self._returns.record_refusal(request, retry_after_ms, now_ms)
         return Rejected(request=request, code=code, retry_after_ms=retry_after_ms)
 
     def shed(self, request, code, now_ms):
         """Return the refusal of a request for want of places, lower tiers' first."""
         refusal = self._refuse(request, code, now_ms)
         decisions = []
-        may_pass = self._passing(now_ms)
+        may_overtake = self._passing(now_ms)
         for waiting in self._queue.waiting_below(request.tier_rank):
-            if not may_pass(waiting.request):
+            if not may_overtake(waiting.request):
                 decisions.append(self._displace(waiting, now_ms))
                 # Its tier is refused more often now: the next may be let stay.
-                may_pass = self._passing(now_ms)
+                may_overtake = self._passing(now_ms)
         self._check_order(request, now_ms)
         return [*decisions, refusal]
 
@@ -80,11 +80,11 @@
         tier = self._queue.tier(rank)
         if tier.size < self._admission.max_queued(rank):
             return []
-        if self._queue.below(rank):
-            return [self._displace(self._queue.lowest(), now_ms)]
-        victim = tier.heaviest()
+        if self._queue.count_below(rank):
+            return [self._displace(self._queue.first_to_shed(), now_ms)]
+        victim = tier.displacement_candidate()
         code = ResultCode.OVERLOADED
-        if victim is None or not tier.is_heavier(victim, request):
+        if victim is None or not tier.is_displaced_by(victim, request):
             return self.shed(request, code, now_ms)
         self._queue.remove(victim.request.request_id)
         return self.shed(victim.request, code, now_ms)
@@ -94,16 +94,16 @@
         return self._refuse(waiting.request, ResultCode.DISPLACED, now_ms)
 
     def _refuse(self, request, code, now_ms):
-        self._admission.note_shed(request.tier_rank)
-        self._turns.note(request.tier_rank, True, now_ms)
+        self._admission.record_shed(request.tier_rank)
+        self._turns.record_decision(request.tier_rank, True, now_ms)
         return self.reject(request, code, now_ms)
 
     def _check_order(self, request, now_ms):
-        may_pass = self._passing(now_ms)
+        may_overtake = self._passing(now_ms)
         self._invariants.check(
             Property.TIER_ORDER,
             all(
-                may_pass(waiting.request)
+                may_overtake(waiting.request)
                 for waiting in self._queue.waiting_below(request.tier_rank)
             ),
             f"{request.request_id} refused while a lower tier waits behind it",
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/builders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/builders.py
@@ -40,13 +40,13 @@
     return [Upstream(upstream_id=f"u{i}", **values) for i in range(count)]
 
 
-def scheduler(places=1, count=1, tiers=3, max_queued=4, policy=None):
+def scheduler(slots=1, count=1, tiers=3, max_queued=4, policy=None):
     """Return a scheduler with ``count`` upstreams; violations raise."""
     pool = Pool(
         name="assistant",
         kind=PoolKind.MODEL,
         stable_version="v1",
-        max_in_flight_per_upstream=places,
+        max_in_flight_per_upstream=slots,
     )
     ranks = [
         Tier(
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/play.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/scheduler_simulation.py
@@ -13,10 +13,10 @@
 TICK_MS = 50
 BASE_TOKENS = 10
 PROMPT_TOKEN = 0.0075
-RETURN_PART = 1 / 3
+RETRY_WAIT_FRACTION = 1 / 3
 
 
-class Kind:
+class RequestClass:
     """Requests that are alike.
 
     Parameters
@@ -50,9 +50,9 @@
         self.max_gap_ms = max_gap_ms
 
 
-BULLETIN = Kind("bulletin", 0, 6_000, 380)
-NOTICE = Kind("notice", 1, 600, 290)
-TAG = Kind("tag", 2, 1_200, 20, target_ms=1_000, deadline_ms=2_500)
+BULLETIN = RequestClass("bulletin", 0, 6_000, 380)
+NOTICE = RequestClass("notice", 1, 600, 290)
+TAG = RequestClass("tag", 2, 1_200, 20, target_ms=1_000, deadline_ms=2_500)
 
 
 class _Caller:
@@ -81,14 +81,14 @@
         return first_ms, first_ms + caller.kind.output_tokens * self.token_ms
 
 
-class Play:
+class SchedulerSimulation:
     """Runs arrivals to their ends.
 
     Parameters
     ==========
     tokens_ms : dict of str to float
         The time of a token on each engine.
-    places : int
+    slots : int
         Of each engine.
     experiments : Experiments, optional
 
@@ -100,7 +100,7 @@
         By kind: the engines.
     """
 
-    def __init__(self, tokens_ms, places=4, experiments=None):
+    def __init__(self, tokens_ms, slots=4, experiments=None):
         experiments = experiments or Experiments()
         pool = Pool(name="dossiers", kind=PoolKind.MODEL, stable_version="")
         self.invariants = InvariantLog(fatal=True)
@@ -125,7 +125,7 @@
                 pool="dossiers",
                 version="v1",
                 address="127.0.0.1:1",
-                slots=places,
+                slots=slots,
             )
             for name in tokens_ms
         ]
@@ -229,7 +229,7 @@
             self.ends[caller.kind.name]["refused"] += 1
             return
         left_ms = caller.at_ms + caller.kind.deadline_ms - now_ms
-        wait_ms = min(retry_after_ms, RETURN_PART * left_ms)
+        wait_ms = min(retry_after_ms, RETRY_WAIT_FRACTION * left_ms)
         caller.tries += 1
         self._at(now_ms + wait_ms, self._come_back, caller)
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
@@ -2,18 +2,26 @@
 import unittest
 import unittest.mock
 
-from hemlockhoist.decisions.scheduling import declared, out_of_turn
-from hemlockhoist.decisions.scheduling.out_of_turn import OutOfTurn
-from hemlockhoist.decisions.scheduling.returns import ReturnBook, longest_return_ms
+from hemlockhoist.decisions.scheduling import declared, overtaking_budget
+from hemlockhoist.decisions.scheduling.client_retries import (
+    ClientRetries,
+    longest_retry_wait_ms,
+)
+from hemlockhoist.decisions.scheduling.overtaking_budget import OvertakingBudget
 from hemlockhoist.decisions.scheduling.tests import builders as b
-from hemlockhoist.decisions.scheduling.tests.play import BULLETIN, NOTICE, TAG, Play
+from hemlockhoist.decisions.scheduling.tests.scheduler_simulation import (
+    BULLETIN,
+    NOTICE,
+    TAG,
+    SchedulerSimulation,
+)
 
 PACES_MS = {"fast": 1.5, "usual": 2.8, "slow": 7.8}
 
 
-def play_burst(notice_every_ms=12, tag_every_ms=50, experiments=None):
+def simulate_burst(notice_every_ms=12, tag_every_ms=50, experiments=None):
     """A burst of notices for five seconds, with tags and bulletins beside it."""
-    play = Play(PACES_MS, places=12, experiments=experiments)
+    play = SchedulerSimulation(PACES_MS, slots=12, experiments=experiments)
     play.send_each(BULLETIN, 250, 0, 20_000)
     play.send_each(NOTICE, 4 * notice_every_ms, 0, 5_000)
     play.send_each(NOTICE, notice_every_ms, 5_000, 10_000)
@@ -26,7 +34,7 @@
 class BurstTests(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.play = play_burst()
+        cls.play = simulate_burst()
         cls.ends = cls.play.ends
 
     def test_no_caller_leaves_unanswered(self):
@@ -70,7 +78,9 @@
     def test_an_arrival_is_not_looked_at_for_all_that_wait(self):
         """The home of 41 engines has no processor time left in a burst."""
         paces = itertools.cycle(PACES_MS.values())
-        play = Play(dict(zip(map(str, range(41)), paces, strict=False)), places=4)
+        play = SchedulerSimulation(
+            dict(zip(map(str, range(41)), paces, strict=False)), slots=4
+        )
         for kind, every_ms in ((BULLETIN, 6.4), (NOTICE, 2.8), (TAG, 3.2)):
             play.send_each(kind, every_ms, 0, 3_000)
         choose = declared.DeclaredTracks.choose
@@ -84,65 +94,65 @@
 
 
 class OutOfTurnTests(unittest.TestCase):
-    PLACES = 40
+    SLOTS = 40
 
     def allowed(self, turns, hold_ms=50.0, passed=((1, 900.0),), now_ms=1_000):
-        return turns.allows(2, hold_ms, passed, self.PLACES, now_ms)
+        return turns.allows(2, hold_ms, passed, self.SLOTS, now_ms)
 
     def test_a_tier_that_is_refused_less_does_not_pass(self):
         """A higher tier is never shed before a lower one that passes it."""
-        turns = OutOfTurn()
+        turns = OvertakingBudget()
         self.assertTrue(self.allowed(turns))
-        turns.note(1, True, 1_000)
+        turns.record_decision(1, True, 1_000)
         self.assertFalse(self.allowed(turns))
-        turns.note(2, True, 1_000)
+        turns.record_decision(2, True, 1_000)
         self.assertTrue(self.allowed(turns))
-        turns.note(2, False, 1_000)
+        turns.record_decision(2, False, 1_000)
         self.assertFalse(self.allowed(turns))
 
     def test_long_requests_do_not_pass(self):
-        turns = OutOfTurn()
+        turns = OvertakingBudget()
         self.assertFalse(self.allowed(turns, hold_ms=400.0))
         self.assertFalse(self.allowed(turns, hold_ms=None))
 
     def test_what_passes_takes_a_small_part_of_the_places(self):
-        turns = OutOfTurn()
+        turns = OvertakingBudget()
         taken_ms = 0.0
         for now_ms in range(0, 60_000, 10):
             if self.allowed(turns, now_ms=now_ms):
                 turns.charge(50.0)
                 taken_ms += 50.0
         self.assertLessEqual(
-            taken_ms, 1.05 * out_of_turn.PLACE_SHARE * self.PLACES * 60_000
+            taken_ms, 1.05 * overtaking_budget.SLOT_TIME_FRACTION * self.SLOTS * 60_000
         )
         self.assertGreater(
-            taken_ms, 0.9 * out_of_turn.PLACE_SHARE * self.PLACES * 60_000
+            taken_ms, 0.9 * overtaking_budget.SLOT_TIME_FRACTION * self.SLOTS * 60_000
         )
 
 
 class ReturnTests(unittest.TestCase):
     def test_a_caller_that_waited_as_told_is_known(self):
-        book = ReturnBook()
-        book.note_refused(b.request(), 3_000, now_ms=0)
+        book = ClientRetries()
+        book.record_refusal(b.request(), 3_000, now_ms=0)
         self.assertTrue(book.take(b.request(), now_ms=3_050))
         self.assertFalse(book.take(b.request(), now_ms=3_060))
 
     def test_a_caller_that_comes_at_once_gains_nothing(self):
         """Some callers do not wait as they are told, and ask again and again."""
-        book = ReturnBook()
-        book.note_refused(b.request(), 3_000, now_ms=0)
+        book = ClientRetries()
+        book.record_refusal(b.request(), 3_000, now_ms=0)
         self.assertFalse(book.take(b.request(), now_ms=500))
 
     def test_requests_without_a_size_are_not_mixed_up(self):
-        book = ReturnBook()
-        book.note_refused(b.request(prompt_tokens=0), 1_000, now_ms=0)
+        book = ClientRetries()
+        book.record_refusal(b.request(prompt_tokens=0), 1_000, now_ms=0)
         self.assertFalse(book.take(b.request(prompt_tokens=0), now_ms=1_000))
 
     def test_told_time_leaves_enough_for_an_answer(self):
         request = b.request(deadline_ms=9_000)
-        self.assertEqual(longest_return_ms(request, 500.0, 0), 3_000)
-        self.assertEqual(longest_return_ms(request, 2_500.0, 0), 1_500)
-        self.assertEqual(longest_return_ms(request, 9_000.0, 0), 200)
+        self.assertEqual(longest_retry_wait_ms(request, 500.0, 0), 3_000)
+        self.assertEqual(longest_retry_wait_ms(request, 2_500.0, 0), 1_500)
+        self.assertEqual(longest_retry_wait_ms(request, 9_000.0, 0), 200)
 
 
 class PauseTests(unittest.TestCase):
@@ -152,7 +162,7 @@
         A long prompt takes it half a second, in which no answer there goes on; the
         other engines compute it in time, and have a place a moment later.
         """
-        play = Play(PACES_MS, places=12)
+        play = SchedulerSimulation(PACES_MS, slots=12)
         play.send_each(NOTICE, 45, 0, 20_000)
         play.send_each(BULLETIN, 200, 1_000, 20_000)
         play.run(40_000)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_offers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
@@ -2,7 +2,11 @@
 
 from hemlockhoist.decisions import Granted, Outcome, OutcomeKind, Upstream
 from hemlockhoist.decisions.scheduling import DeclaredTracks, PoolScheduler
-from hemlockhoist.decisions.scheduling.offers import NEAR_PART, Offer, Offers
+from hemlockhoist.decisions.scheduling.candidates import (
+    LOCALITY_FRACTION,
+    CandidateSelector,
+    PlacementCandidate,
+)
 from hemlockhoist.decisions.scheduling.reach import FailureRate
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.declarations import Pool, PoolKind
@@ -11,20 +15,22 @@
 DOMAINS = "abcd"
 
 
-def offer(first_ms, is_near, risk_ms=0.0):
-    return Offer("near" if is_near else "far", first_ms, first_ms, risk_ms, is_near)
+def offer(first_ms, is_local, risk_ms=0.0):
+    return PlacementCandidate(
+        "near" if is_local else "far", first_ms, first_ms, risk_ms, is_local
+    )
 
 
 class OffersTests(unittest.TestCase):
     def taken(self, *offers, left_ms=LEFT_MS):
-        made = Offers()
+        made = CandidateSelector()
         for item in offers:
             made.add(item)
-        return made.taken(left_ms)
+        return made.select(left_ms)
 
     def test_request_stays_in_its_domain_where_that_costs_little_of_its_time(self):
         """Three of four prompts cross between failure domains, for some milliseconds."""
-        extra_ms = NEAR_PART * LEFT_MS
+        extra_ms = LOCALITY_FRACTION * LEFT_MS
         near = self.taken(offer(50, False), offer(50 + extra_ms, True))
         self.assertEqual(near, "near")
         far = self.taken(offer(50, False), offer(51 + extra_ms, True))
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_ejection.py
@@ -14,7 +14,7 @@
     """Serves requests one after the other, each upstream in its own time."""
 
     def __init__(self, count, hold_ms):
-        self.sched = b.scheduler(places=4, count=count, max_queued=100)
+        self.sched = b.scheduler(slots=4, count=count, max_queued=100)
         self.hold_ms = hold_ms
         self.now_ms = 0
         self.open = []
@@ -104,7 +104,7 @@
         The network to all upstreams but one breaks. Connects fail and are given back
         unsent. If all were ejected the pool would refuse everything; a third is.
         """
-        sched = b.scheduler(places=4, count=6)
+        sched = b.scheduler(slots=4, count=6)
         failed = Outcome(kind=OutcomeKind.CONNECT_FAILED)
         used = []
         for now_ms in range(0, 3_000, 50):
@@ -121,7 +121,7 @@
         begins: the other two say they are leaving. The pool has one upstream left,
         and callers are refused as if it had none.
         """
-        sched = b.scheduler(places=4, count=3)
+        sched = b.scheduler(slots=4, count=3)
         broke = Outcome(kind=OutcomeKind.BROKE_OFF)
         now_ms, failures = 0, 0
         while failures < 3:
@@ -145,7 +145,7 @@
         arrive. A booking that breaks off there may be lost or doubled; a lookup can
         be asked again, so it is the one that probes.
         """
-        sched = b.scheduler(places=4, count=3)
+        sched = b.scheduler(slots=4, count=3)
         broke = Outcome(kind=OutcomeKind.BROKE_OFF)
         now_ms, failures = 0, 0
         while failures < 3:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
@@ -4,7 +4,7 @@
 from hemlockhoist.base import SettingError
 from hemlockhoist.decisions.scheduling import Experiments, Mechanism, experiments
 from hemlockhoist.decisions.scheduling.tests import builders as b
-from hemlockhoist.decisions.scheduling.tests.test_bursts import play_burst
+from hemlockhoist.decisions.scheduling.tests.test_bursts import simulate_burst
 
 HINTS = {
     "failure_domain": "coast-a",
@@ -19,8 +19,8 @@
 class ExperimentsTests(unittest.TestCase):
     def test_nothing_is_left_out_by_default(self):
         request = b.request(**HINTS)
-        self.assertIs(Experiments().request(request), request)
-        self.assertEqual(Experiments.from_text(" ").left_out, frozenset())
+        self.assertIs(Experiments().mask(request), request)
+        self.assertEqual(Experiments.from_text(" ").disabled, frozenset())
 
     def test_wrong_name_is_told_with_those_that_are_known(self):
         with self.assertRaises(SettingError) as caught:
@@ -31,28 +31,28 @@
 
     def test_each_mechanism_that_a_request_tells_of_can_be_left_out(self):
         cases = {
-            Mechanism.PATIENCE: {"leaves_ms": None},
-            Mechanism.PAUSES: {"max_gap_ms": 0},
-            Mechanism.KEPT_PARTS: {"prefix_hashes": (), "prefix_tokens": ()},
-            Mechanism.OWN_DOMAIN: {"failure_domain": ""},
+            Mechanism.CALLER_WAIT_LIMIT: {"leaves_ms": None},
+            Mechanism.TOKEN_GAPS: {"max_gap_ms": 0},
+            Mechanism.PREFIX_BLOCKS: {"prefix_hashes": (), "prefix_tokens": ()},
+            Mechanism.DOMAIN_LOCALITY: {"failure_domain": ""},
         }
         for mechanism, fields in cases.items():
             with self.subTest(mechanism):
-                found = Experiments([mechanism]).request(b.request(**HINTS))
+                found = Experiments([mechanism]).mask(b.request(**HINTS))
                 self.assertEqual(found, b.request(**{**HINTS, **fields}))
 
     def test_each_mechanism_of_a_burst_changes_what_callers_get(self):
         """An ablation tells nothing where its switch does nothing."""
-        usual = play_burst()
+        usual = simulate_burst()
         names = {
-            Mechanism.BETTER_LATER: "bulletin",
-            Mechanism.OUT_OF_TURN: "tag",
-            Mechanism.PATIENCE: "notice",
-            Mechanism.RETURNS: "notice",
+            Mechanism.DEFERRAL: "bulletin",
+            Mechanism.OVERTAKING: "tag",
+            Mechanism.CALLER_WAIT_LIMIT: "notice",
+            Mechanism.CLIENT_RETRIES: "notice",
         }
         for mechanism, kind in names.items():
             with self.subTest(mechanism):
-                play = play_burst(experiments=Experiments([mechanism]))
+                play = simulate_burst(experiments=Experiments([mechanism]))
                 self.assertNotEqual(play.ends[kind], usual.ends[kind])
 
     def test_examples(self):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_limits.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_limits.py
@@ -25,10 +25,10 @@
 def _settle(engine, limit, baseline, start_ms=0):
     """Keep the engine at the limit and feed back what its answers show."""
     for now_ms in range(start_ms, start_ms + 100_000, 50):
-        held = limit.places
+        held = limit.slots
         excess_ms = baseline.congestion(200, engine.first_token_ms(held))
         limit.observe(excess_ms / HOLD_MS, now_ms - 1, held, now_ms)
-    return limit.places
+    return limit.slots
 
 
 class PlainServiceTests(unittest.TestCase):
@@ -38,7 +38,7 @@
         under way and all are answered at the same speed: the declared bound of 32
         is reached, and callers do not wait behind the limit's first value.
         """
-        sched = b.scheduler(places=32, max_queued=100)
+        sched = b.scheduler(slots=32, max_queued=100)
         answered = Outcome(kind=OutcomeKind.SUCCESS, total_ms=100)
         under_way = []
         for now_ms in range(0, 20_000, 100):
@@ -85,19 +85,19 @@
         engine, limit = _Engine(24), ConcurrencyLimit(64)
         baseline, under_way, highest = FirstTokenBaseline(), [], 0
         for now_ms in range(0, 60_000, 50):
-            under_way.append((now_ms + 5_000, now_ms, limit.places))
+            under_way.append((now_ms + 5_000, now_ms, limit.slots))
             while under_way[0][0] <= now_ms:
                 _, granted_ms, held = under_way.pop(0)
                 excess_ms = baseline.congestion(200, engine.first_token_ms(held))
                 limit.observe(excess_ms / HOLD_MS, granted_ms, held, now_ms)
-            highest = max(highest, limit.places)
+            highest = max(highest, limit.slots)
         self.assertLessEqual(highest, 40)
-        self.assertGreaterEqual(limit.places, 18)
+        self.assertGreaterEqual(limit.slots, 18)
 
     def test_an_idle_upstream_proves_nothing(self):
         """Good latency while few requests were held doesn't raise the limit."""
         limit = ConcurrencyLimit(64)
-        before = limit.places
+        before = limit.slots
         for step in range(100):
             limit.observe(0.0, step, 2, step)
-        self.assertEqual(limit.places, before)
+        self.assertEqual(limit.slots, before)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
@@ -1,7 +1,7 @@
 import unittest
 
 from hemlockhoist.decisions import Grant, LoadReport, Outcome, OutcomeKind, Upstream
-from hemlockhoist.decisions.scheduling.grants import Held
+from hemlockhoist.decisions.scheduling.grants import InFlightGrant
 from hemlockhoist.decisions.scheduling.prefixes import MAX_BLOCKS, PrefixMap
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.decisions.scheduling.tracking import UpstreamTracks
@@ -23,7 +23,7 @@
         All load reports are ten seconds old and show one upstream idle. A burst
         arrives. By the reports it would all go there; by own counts it spreads.
         """
-        sched = b.scheduler(places=8, count=4)
+        sched = b.scheduler(slots=8, count=4)
         for number, in_flight in enumerate((0, 8, 8, 8)):
             report = LoadReport(
                 upstream_id=f"u{number}",
@@ -38,7 +38,7 @@
 
     def test_a_known_prefix_draws_the_request(self):
         """A second question about one document goes where the first was computed."""
-        sched = b.scheduler(places=8, count=4)
+        sched = b.scheduler(slots=8, count=4)
         hashes = tuple(range(100))
         long = {"prompt_tokens": 6_400, "prefix_hashes": hashes}
         first = sched.submit(b.request(**long), 0)[0].grant
@@ -49,7 +49,7 @@
 
     def test_a_popular_prefix_spreads_when_its_upstream_is_full(self):
         """Thirty questions about one document at once use more than one upstream."""
-        sched = b.scheduler(places=8, count=4, max_queued=100)
+        sched = b.scheduler(slots=8, count=4, max_queued=100)
         long = {"prompt_tokens": 6_400, "prefix_hashes": tuple(range(100))}
         decisions = []
         for now_ms in range(30):
@@ -62,7 +62,7 @@
         prompts in the order they come: sent on at once, the logs would keep the
         question from its first token for seconds.
         """
-        sched = b.scheduler(places=32, max_queued=100)
+        sched = b.scheduler(slots=32, max_queued=100)
         logs = [b.request(rank=2, prompt_tokens=9_000) for _ in range(8)]
         granted = [sched.submit(item, t) for t, item in enumerate(logs)]
         self.assertEqual(sum(len(b.granted(item)) for item in granted), 1)
@@ -77,7 +77,7 @@
         An engine was overrun and its prompts took long, so each prompt is expected to
         take long. When first tokens show that none is pending, it is given work.
         """
-        sched = b.scheduler(places=32, max_queued=100)
+        sched = b.scheduler(slots=32, max_queued=100)
         now_ms = 0
         for _ in range(20):
             now_ms += 10_000
@@ -111,7 +111,7 @@
                 version="v1",
                 expires_ms=0,
             )
-            held = Held(item, grant, now_ms, 1_000.0)
+            held = InFlightGrant(item, grant, now_ms, 1_000.0)
             tracks.on_grant(held, now_ms)
             outcome = _outcome(20, 4_096 if number >= 4 else 0)
             tracks.on_outcome(held, outcome, 1_100, 1_000.0, now_ms + 1_100)
@@ -127,7 +127,7 @@
 
     def test_the_faster_generation_is_preferred_while_it_has_room(self):
         """At light load callers get the faster of two generations."""
-        sched = b.scheduler(places=8)
+        sched = b.scheduler(slots=8)
         names = {"old": 40, "new": 10}
         sched.set_upstreams(
             [
@@ -158,7 +158,7 @@
 
     def test_the_near_failure_domain_is_preferred_between_equals(self):
         """With equal load the request stays in its failure domain."""
-        sched = b.scheduler(places=8)
+        sched = b.scheduler(slots=8)
         sched.set_upstreams(
             [
                 Upstream(
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
@@ -27,7 +27,7 @@
         next home knows none of them yet. Callers ask at once. If it granted a full
         set again, the engine would hold eight and every answer would be late.
         """
-        sched = b.scheduler(places=4)
+        sched = b.scheduler(slots=4)
         sched.begin_recovery(0)
         self.assertEqual(sched.submit(b.request(), 1), [])
         sched.observe_load(_report(in_flight=4), 10)
@@ -35,7 +35,7 @@
 
     def test_it_grants_what_the_reports_leave(self):
         """Two of four places are reported busy: two requests are granted, no more."""
-        sched = b.scheduler(places=4)
+        sched = b.scheduler(slots=4)
         sched.begin_recovery(0)
         sched.observe_load(_report(in_flight=2), 10)
         for now_ms in range(11, 15):
@@ -44,14 +44,14 @@
 
     def test_the_phase_ends_by_itself(self):
         """An upstream that never reports its load is used again after the phase."""
-        sched = b.scheduler(places=4)
+        sched = b.scheduler(slots=4)
         sched.begin_recovery(0)
         sched.submit(b.request(deadline_ms=90_000, first_token_by_ms=9_000), 1)
         self.assertEqual(len(b.granted(sched.tick(RECOVERY_MS))), 1)
 
     def test_adopted_grants_count_once_and_are_given_back(self):
         """Entry hosts report twice what they hold; each grant takes one place."""
-        sched = b.scheduler(places=2)
+        sched = b.scheduler(slots=2)
         request = b.request(request_id="old1")
         sched.adopt(request, _grant(1), 0)
         sched.adopt(request, _grant(1), 1)
@@ -65,7 +65,7 @@
         had sent a grant. The grant arrives late and is used; the report of it reaches
         the new home while the second ask waits. One of the two has to go.
         """
-        sched = b.scheduler(places=1)
+        sched = b.scheduler(slots=1)
         sched.submit(b.request(), 0)
         asked = b.request(request_id="old1")
         sched.submit(asked, 1)
@@ -74,7 +74,7 @@
 
     def test_grants_of_a_dead_entry_host_are_given_free(self):
         """An entry host dies with its streams: its places serve others at once."""
-        sched = b.scheduler(places=1)
+        sched = b.scheduler(slots=1)
         sched.submit(b.request(entry_host="dead"), 0)
         sched.submit(b.request(entry_host="dead"), 1)
         waiting = b.request(entry_host="host-2")
@@ -84,7 +84,7 @@
 
     def test_a_lost_release_does_not_hold_a_place_for_ever(self):
         """Some time after the deadline the grant is no longer counted."""
-        sched = b.scheduler(places=1)
+        sched = b.scheduler(slots=1)
         sched.submit(b.request(), 0)
         sched.tick(36_000)
         self.assertEqual(sched.in_flight, 0)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_scheduler.py
@@ -58,7 +58,7 @@
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 3)), max_size=60))
     def test_any_load_keeps_the_order_and_answers_once(self, steps):
         """Every request has at most one decision, and no check of order fails."""
-        sched = b.scheduler(places=2, count=2, max_queued=3)
+        sched = b.scheduler(slots=2, count=2, max_queued=3)
         open_grants, decided, now_ms = [], [], 0
         for rank, action in steps:
             now_ms += 400
@@ -80,7 +80,7 @@
         token is wanted within 2 s asks. Were it queued, it would be told only after
         its time; it is refused at arrival, with the time the queue needs.
         """
-        sched = b.scheduler(places=1, max_queued=50)
+        sched = b.scheduler(slots=1, max_queued=50)
         grant = sched.submit(b.request(), 0)[0].grant
         sched.submit(b.request(first_token_by_ms=29_000), 1)
         grant = sched.release(grant.grant_id, b.SUCCESS, 10_000)[0].grant
@@ -108,7 +108,7 @@
         target, beside another of its tier. A lower tier was given a place a moment
         before. Refused now, the top tier would be shed before the lower one.
         """
-        sched = b.scheduler(places=2)
+        sched = b.scheduler(slots=2)
         sched.submit(b.request(), 0)
         sched.submit(b.request(rank=2), 1)
         late, fresh = b.request(), b.request(now_ms=1_000)
@@ -135,7 +135,7 @@
 
     def test_a_customer_at_its_limit_is_told_so(self):
         """One customer's limit neither blocks nor delays another customer."""
-        sched = b.scheduler(places=8)
+        sched = b.scheduler(slots=8)
         sched.submit(b.request(max_in_flight=1), 0)
         decisions = sched.submit(b.request(max_in_flight=1), 1)
         self.assertEqual(b.codes(decisions), [ResultCode.CUSTOMER_LIMIT])
@@ -217,7 +217,7 @@
         An engine begins its graceful stop and says so in its load report. The list
         still shows it live for seconds. Work sent to it meanwhile would be cut.
         """
-        sched = b.scheduler(places=4, count=2)
+        sched = b.scheduler(slots=4, count=2)
         report = LoadReport(
             upstream_id="u0", in_flight=0, queued=0, state=UpstreamState.LEAVING
         )
@@ -247,7 +247,7 @@
 class RepeatedMessageTests(unittest.TestCase):
     def test_a_repeated_submit_takes_no_second_place(self):
         """The same request id gets the same grant again, and counts once."""
-        sched = b.scheduler(places=4)
+        sched = b.scheduler(slots=4)
         item = b.request()
         first = sched.submit(item, 0)
         self.assertEqual(sched.submit(item, 1), first)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tracking.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tracking.py
@@ -79,7 +79,7 @@
 
     def places(self, now_ms):
         """Return how many requests it may hold now."""
-        return self.health.places(self.limit.places, now_ms)
+        return self.health.places(self.limit.slots, now_ms)
 
     def on_grant(self, held, now_ms):
         """Count the request's prompt."""
@@ -238,9 +238,9 @@
     def on_first_token(self, held, first_token_ms, now_ms):
         """Learn from a first token that is told before the answer's end."""
         track = self._tracks.get(held.grant.upstream_id)
-        if track is None or held.first_token_known:
+        if track is None or held.first_token_reported:
             return
-        held.first_token_known = True
+        held.first_token_reported = True
         track.on_prompt_done(held, now_ms)
         request = held.request
         cached = 0
@@ -278,7 +278,7 @@
         if first_ms < 0 and not outcome.output_tokens:
             # A plain service has no tokens; its whole answer shows its queue.
             first_ms = outcome.total_ms
-        if first_ms >= 0 and not held.first_token_known:
+        if first_ms >= 0 and not held.first_token_reported:
             computed = request.prompt_tokens - outcome.cached_tokens
             self._observe_first_token(track, held, computed, first_ms, now_ms)
 
@@ -289,8 +289,10 @@
         baseline = self._baselines[track.generation]
         excess_ms = baseline.congestion(computed, first_token_ms)
         self._hold_ms += POOL_WEIGHT * (held.cost_ms - self._hold_ms)
-        excess_share = excess_ms / max(1.0, self._hold_ms)
-        track.limit.observe(excess_share, held.granted_ms, held.level, now_ms)
+        excess_ratio = excess_ms / max(1.0, self._hold_ms)
+        track.limit.observe(
+            excess_ratio, held.granted_ms, held.in_flight_at_grant, now_ms
+        )
 
     def _slowness(self, outcome, hold_ms, predicted_ms):
         """Return an answer's time over the expected one.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tracks.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tracks.py
@@ -65,7 +65,7 @@
 
         Parameters
         ==========
-        held : hemlockhoist.decisions.scheduling.grants.Held
+        held : hemlockhoist.decisions.scheduling.grants.InFlightGrant
         outcome : hemlockhoist.decisions.Outcome
         hold_ms : int
             From grant to release.
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -257,9 +257,9 @@
             self._refuse(request, refusal.code, refusal.retry_after_ms, refusal.reason)
             return
         self._begin_span(brief)
-        returned = self.scheduler.returned
+        returned = self.scheduler.client_retry_count
         decisions = self.scheduler.submit(request, now_ms)
-        if self.scheduler.returned > returned:
+        if self.scheduler.client_retry_count > returned:
             self._metrics.count(CALLERS_RETURNED, self.pool)
         request_id = request.request_id
         is_decided = any(item.request.request_id == request_id for item in decisions)
