--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
@@ -1,15 +1,15 @@
 """Upstreams that declare how many requests they work on at once."""
 
-from hemlockhoist.decisions.scheduling.declared_slots_upstream import (
-    DeclaredSlotsUpstream,
-)
-from hemlockhoist.decisions.scheduling.offers import (
-    NO_PAUSE_BOUND_MS,
-    Offer,
-    Offers,
+from hemlockhoist.decisions.scheduling.candidates import (
+    NO_GAP_BOUND_MS,
+    CandidateSelector,
+    PlacementCandidate,
+    cache_saving_ms,
     cost_ms,
     risk_ms,
-    saved_ms,
+)
+from hemlockhoist.decisions.scheduling.declared_slots_upstream import (
+    DeclaredSlotsUpstream,
 )
 from hemlockhoist.decisions.scheduling.pace import PoolPace
 from hemlockhoist.decisions.scheduling.prompt_cache import PromptCache
@@ -75,7 +75,7 @@
             if tracked is None or tracked.started_unix_ms != item.started_unix_ms:
                 tracked = DeclaredSlotsUpstream(item, self._pace)
                 self._cache.forget(item.upstream_id)
-            tracked.limit.places = item.slots
+            tracked.limit.slots = item.slots
             self._tracked[item.upstream_id] = tracked
         for upstream_id in former.keys() - self._tracked.keys():
             self._cache.forget(upstream_id)
@@ -97,7 +97,7 @@
         tracked = self._tracked[upstream_id]
         if upstream_id in self._unreached and not tracked.allows_request(now_ms):
             return 0
-        return tracked.limit.places
+        return tracked.limit.slots
 
     def accepts_more(self, upstream_id, now_ms):
         """Return whether an upstream may be given another request, places aside."""
@@ -128,7 +128,7 @@
         free = [
             item
             for item in upstreams
-            if in_flight(item.upstream_id) < tracked[item.upstream_id].limit.places
+            if in_flight(item.upstream_id) < tracked[item.upstream_id].limit.slots
         ]
         if self._warmup.any_cold(now_ms):
             allows = self._warmup.allows
@@ -167,7 +167,7 @@
         """Return the upstream for a request, or None where it should wait."""
         work = self._pace.work(request)
         most_ms = self._most_prompts_ms(work, now_ms)
-        best = self._offers(request, work, choices, in_flight, most_ms, now_ms).taken(
+        best = self._offers(request, work, choices, in_flight, most_ms, now_ms).select(
             work.first_token_by_ms - now_ms
         )
         if best is None or self._should_wait(work, best, most_ms, ahead, now_ms):
@@ -178,20 +178,20 @@
         """Return what the request may expect at the choices."""
         kept_at = self._kept(request)
         counts = self._failure_counts(now_ms)
-        offers = Offers()
+        offers = CandidateSelector()
         for item in choices:
             tracked = self._tracked[item.upstream_id]
             kept = kept_at.get(item.upstream_id, 0)
             first_ms = tracked.first_token_ms(work, now_ms, kept)
-            spared_ms = saved_ms(tracked, kept)
-            is_near = work.failure_domain == tracked.failure_domain
+            spared_ms = cache_saving_ms(tracked, kept)
+            is_local = work.failure_domain == tracked.failure_domain
             # The rest of the cost is never below zero.
-            if offers.is_hopeless(first_ms - spared_ms, is_near):
+            if offers.is_dominated(first_ms - spared_ms, is_local):
                 continue
             held = in_flight(item.upstream_id)
             risk = risk_ms(work, tracked, held, counts, most_ms, now_ms)
             cost = cost_ms(work, tracked, first_ms, held, now_ms) + risk - spared_ms
-            offers.add(Offer(item, first_ms, cost, risk, is_near))
+            offers.add(PlacementCandidate(item, first_ms, cost, risk, is_local))
         return offers
 
     def _kept(self, request):
@@ -229,7 +229,7 @@
                 continue
             first_ms = tracked.first_token_within(work, within_ms, most_ms, now_ms)
             if first_ms is not None:
-                frees_per_ms += tracked.limit.places / max(1.0, tracked.hold_ms)
+                frees_per_ms += tracked.limit.slots / max(1.0, tracked.hold_ms)
                 soonest_ms = min(first_ms, soonest_ms or first_ms)
         if not frees_per_ms:
             return False
@@ -245,12 +245,12 @@
         """
         gap_ms = min(self._gaps_ms.values(), default=None)
         if gap_ms is None:
-            return NO_PAUSE_BOUND_MS
+            return NO_GAP_BOUND_MS
         most_ms = PROMPT_GAP_FRACTION * gap_ms
         for tracked in self._usable.values():
             if tracked.prompts_ms(work) <= most_ms and tracked.allows_request(now_ms):
                 return most_ms
-        return NO_PAUSE_BOUND_MS
+        return NO_GAP_BOUND_MS
 
     def _failure_counts(self, now_ms):
         """Return the failures and the answers of all upstreams, lately."""
@@ -279,9 +279,9 @@
     def on_first_token(self, held, first_token_ms, now_ms):
         """Learn from a first token that is told before the answer's end."""
         tracked = self._tracked.get(held.grant.upstream_id)
-        if tracked is None or held.first_token_known:
+        if tracked is None or held.first_token_reported:
             return
-        held.first_token_known = True
+        held.first_token_reported = True
         tracked.on_prompt_done(held, now_ms)
         self._note_reached(held.grant.upstream_id, tracked, now_ms)
         is_whole = held.pending_tokens == held.request.prompt_tokens
