--- a/libs/decisions/src/hemlockhoist/decisions/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/__init__.py
@@ -12,7 +12,7 @@
     UpstreamState,
     WorkRequest,
     evacuated_upstream,
-    granting_run,
+    granting_incarnation,
     new_grant_id,
 )
 
@@ -28,6 +28,6 @@
     "VersionPolicy",
     "WorkRequest",
     "evacuated_upstream",
-    "granting_run",
+    "granting_incarnation",
     "new_grant_id",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/__init__.py
@@ -5,7 +5,7 @@
     InForceReport,
 )
 from hemlockhoist.decisions.configuration.backoff import RetryBudget, StoreBackoff
-from hemlockhoist.decisions.configuration.content import WholeContent
+from hemlockhoist.decisions.configuration.content import FullContent
 from hemlockhoist.decisions.configuration.halts import HaltedSet
 from hemlockhoist.decisions.configuration.state import ConfigurationState
 
@@ -16,5 +16,5 @@
     "InForceReport",
     "RetryBudget",
     "StoreBackoff",
-    "WholeContent",
+    "FullContent",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
@@ -8,7 +8,7 @@
 
 from hemlockhoist.messages.configuration import ConfigurationSummary
 
-MAX_NAMED = 16
+MAX_LAGGING_LISTED = 16
 
 
 class InForceReport(msgspec.Struct, frozen=True, kw_only=True):
@@ -22,7 +22,7 @@
     lagging : tuple of str
         Addresses of the first few live hosts that have not said so.
     lagging_count : int
-    unheard : tuple of str
+    unreported_collectors : tuple of str
         Collectors without a summary of this version.
     """
 
@@ -30,12 +30,12 @@
     confirmed: int
     lagging: tuple[str, ...]
     lagging_count: int
-    unheard: tuple[str, ...]
+    unreported_collectors: tuple[str, ...]
 
     @property
     def is_everywhere(self):
         """Whether every live host has confirmed the version."""
-        return not self.lagging_count and not self.unheard
+        return not self.lagging_count and not self.unreported_collectors
 
 
 class AcknowledgementLog:
@@ -96,25 +96,25 @@
             address=self._address,
             version=version,
             confirmed=confirmed,
-            lagging=tuple(lagging[:MAX_NAMED]),
+            lagging=tuple(lagging[:MAX_LAGGING_LISTED]),
             lagging_count=len(lagging),
         )
 
     def report(self, version, collectors):
         """Return the ``InForceReport`` from the collectors' summaries."""
         heard = []
-        unheard = []
+        unreported_collectors = []
         for address in collectors:
             summary = self._summaries.get(address)
             if summary is None or summary.version < version:
-                unheard.append(address)
+                unreported_collectors.append(address)
             else:
                 heard.append(summary)
         lagging = [address for item in heard for address in item.lagging]
         return InForceReport(
             version=version,
             confirmed=sum(item.confirmed for item in heard),
-            lagging=tuple(lagging[:MAX_NAMED]),
+            lagging=tuple(lagging[:MAX_LAGGING_LISTED]),
             lagging_count=sum(item.lagging_count for item in heard),
-            unheard=tuple(unheard),
+            unreported_collectors=tuple(unreported_collectors),
         )
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
@@ -19,16 +19,16 @@
         Retries earned by a thousand first attempts.
     max_retries : int
         Retries that can be saved up.
-    trickle_ms : int
+    refill_ms : int
         Time that earns one retry, so that a host without first attempts recovers.
     """
 
-    __slots__ = ("_last_ms", "_max", "_share_permille", "_tokens", "_trickle_ms")
+    __slots__ = ("_last_ms", "_max", "_share_permille", "_tokens", "_refill_ms")
 
-    def __init__(self, share_permille=100, max_retries=5, trickle_ms=10_000):
+    def __init__(self, share_permille=100, max_retries=5, refill_ms=10_000):
         self._share_permille = share_permille
         self._max = max_retries * _TOKENS_PER_RETRY
-        self._trickle_ms = trickle_ms
+        self._refill_ms = refill_ms
         self._tokens = self._max
         self._last_ms = None
 
@@ -48,7 +48,7 @@
         last_ms = now_ms if self._last_ms is None else self._last_ms
         self._last_ms = max(now_ms, last_ms)
         elapsed_ms = self._last_ms - last_ms
-        tokens += elapsed_ms * _TOKENS_PER_RETRY // self._trickle_ms
+        tokens += elapsed_ms * _TOKENS_PER_RETRY // self._refill_ms
         self._tokens = min(self._max, self._tokens + tokens)
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/content.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/content.py
@@ -3,7 +3,7 @@
 from hemlockhoist.messages.configuration import ConfigurationContent
 
 
-class WholeContent:
+class FullContent:
     """Ships whole declarations.
 
     A subclass may ship changes instead, where it knows the receiver's version; it falls
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/exchange.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/exchange.py
@@ -41,12 +41,12 @@
     if message.version > state.version:
         outgoing += _request(state, message, now_ms)
     if message.is_current and message.reply_to:
-        state.confirm(message.reply_to, message.version)
+        state.record_confirmation(message.reply_to, message.version)
     if message.wants_reply or message.version < state.version:
         answer = state.digest(False, now_ms, message.number)
         outgoing.append(Outgoing(message.address, answer))
     if message.halted_hash != state.halted.hash:
-        outgoing += state.tell_halted([message.address], state.halted.items())
+        outgoing += state.halted_messages([message.address], state.halted.items())
     return outgoing
 
 
@@ -77,12 +77,12 @@
     if declarations is None:
         request = ConfigurationRequest(address=state.address, have_version=0)
         return [Outgoing(message.address, request)]
-    return state.offer(declarations, now_ms)
+    return state.apply_if_newer(declarations, now_ms)
 
 
 @respond.register
 def _(message: HaltedVersions, state, now_ms):
-    return state.spread_halted(state.halted.merge(message.halted))
+    return state.gossip_halted(state.halted.merge(message.halted))
 
 
 @respond.register
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
@@ -11,7 +11,7 @@
 from hemlockhoist.decisions.configuration import exchange
 from hemlockhoist.decisions.configuration.acknowledgements import AcknowledgementLog
 from hemlockhoist.decisions.configuration.backoff import StoreBackoff
-from hemlockhoist.decisions.configuration.content import WholeContent
+from hemlockhoist.decisions.configuration.content import FullContent
 from hemlockhoist.decisions.configuration.halts import HaltedSet
 from hemlockhoist.decisions.membership.records import Outgoing
 from hemlockhoist.declarations import Declarations
@@ -26,17 +26,17 @@
 # Enough for a rumour to reach nearly all of 1,300 hosts in five or six steps; the
 # digest of each second reaches the rest.
 FANOUT = 4
-DIGEST_MS = 1_000
+DIGEST_INTERVAL_MS = 1_000
 STORE_READ_MS = 2_000
 # Readers of the store, and collectors of acknowledgements: with one of them gone and
 # one cut off, one is left.
-READERS = 3
-ACK_MS = 15_000
+READER_COUNT = 3
+ACK_INTERVAL_MS = 15_000
 # A host that was not scheduled for so long may have missed a change that was in force
 # everywhere before it woke.
 FROZEN_MS = 5_000
 # How long such a host waits for a peer to tell; with no peer it serves what it has.
-CONFIRM_MS = 3_000
+CONFIRM_TIMEOUT_MS = 3_000
 # A new host leaves the store to the readers first, and then draws its turn from a span
 # that grows with the fleet: 1,300 hosts that start together ask at 50 reads a second.
 FIRST_WAIT_MS = 5_000
@@ -136,7 +136,7 @@
         store_read_ms : int, optional
         """
         rng = random.Random(seed)
-        content = content or WholeContent()
+        content = content or FullContent()
         return cls(address, incarnation, invariants, rng, content, store_read_ms)
 
     @property
@@ -157,13 +157,13 @@
         members : sequence of Member
             The live hosts.
         collectors : sequence of str
-            Addresses by rendezvous rank of "configuration"; the first ``READERS``
+            Addresses by rendezvous rank of "configuration"; the first ``READER_COUNT``
             read the store and collect acknowledgements.
         now_ms : int
         """
         addresses = [item.address for item in members]
         self._peers = tuple(item for item in addresses if item != self.address)
-        chosen = tuple(collectors[:READERS])
+        chosen = tuple(collectors[:READER_COUNT])
         if chosen != self._collectors:
             self._collectors = chosen
             self._ack_due_ms = now_ms + self._rng.randrange(REACK_SPREAD_MS)
@@ -188,7 +188,7 @@
             return False
         return self._confirm_version is None or self.version < self._confirm_version
 
-    def confirm(self, number, version):
+    def record_confirmation(self, number, version):
         """Take an up-to-date peer's word that ``version`` is the newest it knows.
 
         Only the answer to a question asked since waking counts: messages that waited
@@ -198,7 +198,7 @@
             known = self._confirm_version or 0
             self._confirm_version = max(known, version)
 
-    def serving(self, now_ms):
+    def serving_declarations(self, now_ms):
         """Return the declarations to decide a request by."""
         self.invariants.check(
             Property.CONFIGURATION_NEVER_REVERTS,
@@ -207,7 +207,7 @@
         )
         return self.current
 
-    def offer(self, declarations, now_ms):
+    def apply_if_newer(self, declarations, now_ms):
         """Take declarations if they are newer; return the ``Outgoing`` that tell it.
 
         Parameters
@@ -246,7 +246,7 @@
         halted : HaltedVersion
         now_ms : int
         """
-        return self.spread_halted(self.halted.merge([halted]))
+        return self.gossip_halted(self.halted.merge([halted]))
 
     def is_halted(self, pool, move_id, version):
         """Return whether a version was taken back under a move."""
@@ -271,7 +271,7 @@
         self._store.on_success()
         if self._read_ms >= self._woke_ms:
             self._confirm_by_ms = None
-        return self.offer(declarations, now_ms)
+        return self.apply_if_newer(declarations, now_ms)
 
     def on_store_failure(self, now_ms):
         """Note that the store did not answer; the next read waits longer."""
@@ -282,7 +282,7 @@
         woke = self._note_time(now_ms)
         outgoing = []
         if woke or now_ms >= self._digest_due_ms:
-            self._digest_due_ms = now_ms + DIGEST_MS
+            self._digest_due_ms = now_ms + DIGEST_INTERVAL_MS
             peers = self._choose_peers() if woke else self._choose_peers(1)
             outgoing += self._tell(peers, True, now_ms)
             outgoing += self._summarize()
@@ -294,7 +294,7 @@
         """Take a peer's message; return the messages that follow."""
         return exchange.respond(message, self, now_ms)
 
-    def ask_report(self):
+    def request_summaries(self):
         """Return the messages that ask the collectors for their summaries."""
         request = ConfigurationSummaryRequest(address=self.address)
         others = [item for item in self._collectors if item != self.address]
@@ -321,14 +321,14 @@
             is_current=not self.is_confirming(now_ms),
         )
 
-    def tell_halted(self, addresses, items):
+    def halted_messages(self, addresses, items):
         """Return the messages that bring halted versions to ``addresses``."""
         message = HaltedVersions(address=self.address, halted=items)
         return [Outgoing(address, message) for address in addresses]
 
-    def spread_halted(self, items):
+    def gossip_halted(self, items):
         """Return the messages that pass new halted versions on to a few peers."""
-        return self.tell_halted(self._choose_peers(), items) if items else []
+        return self.halted_messages(self._choose_peers(), items) if items else []
 
     def _is_frozen(self, now_ms):
         last_ms = self._last_tick_ms
@@ -338,7 +338,7 @@
         last_ms = self._last_tick_ms
         self._last_tick_ms = now_ms
         if last_ms is None:
-            self._digest_due_ms = now_ms + self._rng.randrange(DIGEST_MS)
+            self._digest_due_ms = now_ms + self._rng.randrange(DIGEST_INTERVAL_MS)
             return not self.version
         if now_ms - last_ms < FROZEN_MS or not self._peers:
             return False
@@ -346,7 +346,7 @@
         # and goes on under the old one. It shows as a change that reverts for some
         # callers. The host serves again when an up-to-date peer has told its version.
         self._woke_ms = now_ms
-        self._confirm_by_ms = now_ms + CONFIRM_MS
+        self._confirm_by_ms = now_ms + CONFIRM_TIMEOUT_MS
         self._confirm_version = None
         self._confirm_number = self._number + 1
         return True
@@ -360,7 +360,9 @@
         return [Outgoing(address, digest) for address in addresses]
 
     def _acknowledge(self, now_ms):
-        self._ack_due_ms = now_ms + ACK_MS + self._rng.randrange(ACK_MS // 4)
+        self._ack_due_ms = (
+            now_ms + ACK_INTERVAL_MS + self._rng.randrange(ACK_INTERVAL_MS // 4)
+        )
         collector = exchange.collector_of(self.address, self._collectors)
         ack = ConfigurationAck(
             address=self.address,
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
@@ -32,7 +32,7 @@
 
     def test_budget_bounds_retries(self):
         """A hundred failed attempts allow ten retries, and time a few more."""
-        budget = RetryBudget(share_permille=100, max_retries=5, trickle_ms=10_000)
+        budget = RetryBudget(share_permille=100, max_retries=5, refill_ms=10_000)
         while budget.try_retry(0):
             pass
         retries = 0
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
@@ -2,7 +2,7 @@
 
 from hemlockhoist.base import InvariantLog, PropertyViolation
 from hemlockhoist.decisions.configuration import ConfigurationState
-from hemlockhoist.decisions.configuration.state import CONFIRM_MS, FANOUT
+from hemlockhoist.decisions.configuration.state import CONFIRM_TIMEOUT_MS, FANOUT
 from hemlockhoist.decisions.configuration.tests.fleet import (
     ConfigurationFleet,
     make_declarations,
@@ -32,7 +32,9 @@
         fleet = ConfigurationFleet(8)
         fleet.run(10_000)
         fleet.store_up = False
-        fleet.carry(fleet.states["h7"].offer(make_declarations(2), fleet.now_ms))
+        fleet.carry(
+            fleet.states["h7"].apply_if_newer(make_declarations(2), fleet.now_ms)
+        )
         fleet.run(5_000)
         self.assertEqual(fleet.versions(), {2})
 
@@ -72,7 +74,7 @@
 class NeverRevertsTests(unittest.TestCase):
     def make_state(self):
         state = ConfigurationState.from_config("h0", "h0-1", InvariantLog(True), 1)
-        state.offer(make_declarations(5), 0)
+        state.apply_if_newer(make_declarations(5), 0)
         state.mark_in_force(5, 0)
         return state
 
@@ -86,7 +88,7 @@
         message = ConfigurationContent(address="h1", version=4, declarations=old)
         self.assertEqual(state.on_message(message, 1), [])
         self.assertEqual(state.on_store_answer(old, 2), [])
-        self.assertEqual(state.serving(3).version, 5)
+        self.assertEqual(state.serving_declarations(3).version, 5)
 
     def test_two_contents_of_one_version_are_a_violation(self):
         """
@@ -95,14 +97,14 @@
         """
         state = self.make_state()
         with self.assertRaises(PropertyViolation):
-            state.offer(make_declarations(5, "port office"), 1)
+            state.apply_if_newer(make_declarations(5, "port office"), 1)
 
     def test_a_reverted_host_is_caught(self):
         """Serving less than was acknowledged is a violation."""
         state = self.make_state()
         state.current = make_declarations(4)
         with self.assertRaises(PropertyViolation):
-            state.serving(1)
+            state.serving_declarations(1)
         with self.assertRaises(PropertyViolation):
             state.mark_in_force(4, 1)
 
@@ -140,7 +142,7 @@
         fleet.now_ms += 60_000
         fleet.run(1_000)
         self.assertFalse(fleet.states["h0"].is_ready(fleet.now_ms))
-        fleet.run(CONFIRM_MS)
+        fleet.run(CONFIRM_TIMEOUT_MS)
         self.assertTrue(fleet.states["h0"].is_ready(fleet.now_ms))
 
     def test_lagging_and_restarted_hosts_are_named(self):
@@ -166,4 +168,4 @@
             fleet = ConfigurationFleet(count)
             state = fleet.states["h0"]
             state.set_view(fleet.members, ["h0"], 0)
-            self.assertEqual(len(state.offer(make_declarations(2), 0)), FANOUT)
+            self.assertEqual(len(state.apply_if_newer(make_declarations(2), 0)), FANOUT)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/answers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/answers.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class AnswerBudget:
+class AnswerCache:
     """Drops the oldest answers when the budget is used up.
 
     Made for a service whose answers are far larger than its keys: records must
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
@@ -12,9 +12,9 @@
     EPOCHS_KEPT,
     IN_PROGRESS_STATES,
     KeyRange,
+    KeyValidity,
     Record,
     RecordState,
-    Verdict,
 )
 from hemlockhoist.messages.ledger import (
     HandedRange,
@@ -61,7 +61,7 @@
         self._adopted = {}
         self._refused = set()
 
-    def note_change(self, record):
+    def record_change(self, record):
         """Remember that a record changed after the ledger was handed on."""
         if self.successor:
             self._changed[record.id] = record
@@ -82,7 +82,7 @@
             return
         self._unacknowledged.pop((ack.update, ack.part), None)
         if not any(update == 0 for update, _ in self._unacknowledged):
-            ledger.successors.note(ledger.incarnation, self.successor)
+            ledger.successors.register(ledger.incarnation, self.successor)
 
     def adopt(self, ledger, message, now_ms):
         """Take one message; return its acknowledgement, or None to have it again."""
@@ -127,7 +127,7 @@
         if record.state is RecordState.IDLE:
             record.state = RecordState.ELSEWHERE
             record.holder = self.successor
-            record.ask_number = 0
+            record.query_number = 0
             self._given_up.append(record)
 
     def _collect_updates(self, ledger):
@@ -153,7 +153,7 @@
             if record.state is RecordState.ELSEWHERE:
                 record.state = RecordState.IDLE
                 record.holder = ""
-                record.ask_number = 0
+                record.query_number = 0
         own = self._ranges[ledger.incarnation]
         own.last_epoch = None
         ledger.ranges.update(self._ranges)
@@ -169,16 +169,16 @@
             self._refused.add(message.leaver)
             return _ack(message, False)
         self._adopted[message.leaver] = set()
-        ledger.successors.note(message.leaver, ledger.incarnation)
+        ledger.successors.register(message.leaver, ledger.incarnation)
         for item in parts[0].ranges:
             _take_range(ledger, item, now_ms)
-            ledger.refile_range(item.incarnation)
+            ledger.update_range_retention(item.incarnation)
         handed = set()
         for item in records:
             _take_record(ledger, message.leaver, item)
             handed.add((item.customer, item.key))
         minted_by = {item.incarnation for item in parts[0].ranges}
-        _take_unseen(ledger, message.leaver, minted_by, handed)
+        _claim_unseen_keys(ledger, message.leaver, minted_by, handed)
         return _ack(message, True)
 
     def _take_update(self, ledger, message):
@@ -188,7 +188,7 @@
         seen.add(message.update)
         for item in message.records:
             record = _take_record(ledger, message.leaver, item)
-            self.note_change(record)
+            self.record_change(record)
 
 
 def _hand_range(key_range):
@@ -222,8 +222,8 @@
         state=state.value,
         holder=holder,
         direct=direct,
-        given_to=record.given_to,
-        given_ask_number=record.given_ask_number,
+        given_to=record.granted_to,
+        given_ask_number=record.granted_query_number,
         answer=record.answer,
     )
 
@@ -269,7 +269,7 @@
         key = parse_key(item.key)
         record = Record(item.customer, key, item.fingerprint, RecordState.ELSEWHERE)
         record.holder = leaver
-        ledger.file(record)
+        ledger.add_record(record)
     if record.state is RecordState.UNKNOWN and state is RecordState.DONE:
         record.state = RecordState.ELSEWHERE
     if record.state is not RecordState.ELSEWHERE:
@@ -282,7 +282,7 @@
     record.state = state
     record.holder = ""
     record.direct = False
-    record.ask_number = 0
+    record.query_number = 0
     if state is RecordState.DONE:
         ledger.table.answers.keep(record, item.answer)
     return record
@@ -290,20 +290,20 @@
 
 def _point_elsewhere(ledger, record, item):
     ours = item.given_to == ledger.incarnation
-    if ours and record.ask_number and item.given_ask_number == record.ask_number:
+    if ours and record.query_number and item.given_ask_number == record.query_number:
         # The grant whose reply was lost or is still on its way: it comes only once,
         # because taking it closes the wish that it names.
         record.state = RecordState.IDLE
         record.holder = ""
-        record.ask_number = 0
+        record.query_number = 0
         return
     record.holder = item.holder
     record.direct = item.direct
-    record.given_to = item.given_to
-    record.given_ask_number = item.given_ask_number
+    record.granted_to = item.given_to
+    record.granted_query_number = item.given_ask_number
 
 
-def _take_unseen(ledger, leaver, minted_by, handed):
+def _claim_unseen_keys(ledger, leaver, minted_by, handed):
     """Take the right to keys that this host asked for and the leaver never saw.
 
     Only keys of the ranges that came with the message count. Failure: this host gave a
@@ -317,9 +317,9 @@
         key_range = ledger.ranges[record.key.incarnation]
         if record.state is not RecordState.ELSEWHERE or record.holder != leaver:
             continue
-        if key_range.verdict(record.key.epoch) is Verdict.VALID:
+        if key_range.validity(record.key.epoch) is KeyValidity.VALID:
             record.state = RecordState.IDLE
             record.holder = ""
-            record.ask_number = 0
+            record.query_number = 0
         else:
             ledger.table.remove(record)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/keys.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/keys.py
@@ -7,13 +7,13 @@
 
 from hemlockhoist.base import BadRequest, ResultCode
 
-MAX_OWN_PART = 128
+MAX_CALLER_PART = 128
 _FINGERPRINT_BYTES = 16
 _MAX_EPOCH_DIGITS = 12
 _KEY = re.compile(
     r"(?P<incarnation>[A-Za-z0-9_-]{1,64})"
     rf"\.(?P<epoch>0|[1-9][0-9]{{0,{_MAX_EPOCH_DIGITS - 1}}})"
-    rf"\.(?P<own>[\x21-\x7e]{{1,{MAX_OWN_PART}}})"
+    rf"\.(?P<caller>[\x21-\x7e]{{1,{MAX_CALLER_PART}}})"
 )
 
 
@@ -26,18 +26,18 @@
         Of the host process that minted the prefix.
     epoch : int
         Of that process, at minting.
-    own_part : str
+    caller_part : str
         The caller's.
     """
 
     incarnation: str
     epoch: int
-    own_part: str
+    caller_part: str
 
     @property
     def text(self):
         """The key as it is written in the header."""
-        return f"{self.incarnation}.{self.epoch}.{self.own_part}"
+        return f"{self.incarnation}.{self.epoch}.{self.caller_part}"
 
 
 def format_prefix(incarnation, epoch):
@@ -72,7 +72,7 @@
     if match is None:
         message = "the Idempotency-Key does not begin with a host's prefix"
         raise BadRequest(message, code=ResultCode.KEY_MALFORMED)
-    return IdempotencyKey(match["incarnation"], int(match["epoch"]), match["own"])
+    return IdempotencyKey(match["incarnation"], int(match["epoch"]), match["caller"])
 
 
 def fingerprint_request(method, path, body):
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
@@ -15,9 +15,9 @@
     FOREIGN_EPOCHS_KEPT,
     IN_PROGRESS_STATES,
     KeyRange,
+    KeyValidity,
     Record,
     RecordState,
-    Verdict,
 )
 from hemlockhoist.decisions.ledger.results import (
     AnswerNotKept,
@@ -37,7 +37,7 @@
 from hemlockhoist.decisions.ledger.table import RecordTable
 from hemlockhoist.messages.ledger import KeyLookup
 
-_VERDICTS = {Verdict.EXPIRED: Expired(), Verdict.NEVER_MINTED: NeverMinted()}
+_VERDICTS = {KeyValidity.EXPIRED: Expired(), KeyValidity.NEVER_MINTED: NeverMinted()}
 
 
 class KeyLedger:
@@ -54,7 +54,7 @@
     """
 
     __slots__ = (
-        "_ask_number",
+        "_query_number",
         "_attempt_number",
         "_handover",
         "_own_range",
@@ -76,7 +76,7 @@
         self._retention_ms = retention_ms
         self._own_range = None
         self._handover = handover.HandoverState()
-        self._ask_number = 0
+        self._query_number = 0
         self._sent_number = 0
         self._attempt_number = 0
 
@@ -129,29 +129,31 @@
         =======
         Proceed, Replay, InProgress, OutcomeUnknown, AnswerNotKept, OwnedBy, \
         WithdrawnTo, Expired, NeverMinted, Reused or Full
-            After ``Proceed`` the attempt must end with ``not_run``, ``finished`` or
-            ``unknown``, also when the caller has gone.
+            After ``Proceed`` the attempt must end with ``mark_not_run``, ``mark_finished`` or
+            ``mark_unknown``, also when the caller has gone.
         """
         self.advance(now_ms)
         record = self.table.get(customer, key.text)
         if record is not None:
-            return self._repeat(record, fingerprint)
+            return self._handle_repeat(record, fingerprint)
         key_range = self.ranges.get(key.incarnation)
-        verdict = Verdict.VALID if key_range is None else key_range.verdict(key.epoch)
-        if verdict is not Verdict.VALID:
-            return _VERDICTS[verdict]
+        validity = (
+            KeyValidity.VALID if key_range is None else key_range.validity(key.epoch)
+        )
+        if validity is not KeyValidity.VALID:
+            return _VERDICTS[validity]
         if self.table.is_full:
             # Only of its own keys does this host know that they did not run.
             return InProgress() if key_range is None else Full()
         record = Record(customer, key, fingerprint, RecordState.IDLE)
-        self.file(record)
+        self.add_record(record)
         if key_range is not None:
             return self.admit(record)
         record.state = RecordState.ELSEWHERE
         record.holder = key.incarnation
-        return self.ask(record)
+        return self.query_holder(record)
 
-    def dispatching(self, attempt, now_ms):
+    def mark_dispatched(self, attempt, now_ms):
         """Mark the point of no return: call it just before the first byte is sent.
 
         Nothing may be awaited between this call and the sending.
@@ -173,7 +175,7 @@
         record.dispatched = True
         record.state = RecordState.DISPATCHED
 
-    def not_run(self, attempt, now_ms):
+    def mark_not_run(self, attempt, now_ms):
         """End an attempt of which no byte was sent; the key may be begun again."""
         record = self._current(attempt)
         if record is None:
@@ -183,13 +185,13 @@
         )
         if record.dispatched:
             record.state = RecordState.UNKNOWN
-        elif record.key.incarnation in self.ranges and not record.given_to:
+        elif record.key.incarnation in self.ranges and not record.granted_to:
             self.table.remove(record)
         else:
             record.state = RecordState.IDLE
-        self.note_change(record)
+        self.record_change(record)
 
-    def finished(self, attempt, answer, now_ms):
+    def mark_finished(self, attempt, answer, now_ms):
         """End an attempt with the upstream's whole answer.
 
         Parameters
@@ -204,17 +206,17 @@
             return
         record.state = RecordState.DONE
         self.table.answers.keep(record, answer)
-        self.note_change(record)
+        self.record_change(record)
 
-    def unknown(self, attempt, now_ms):
+    def mark_unknown(self, attempt, now_ms):
         """End an attempt whose request may or may not have run."""
         record = self._current(attempt)
         if record is None or record.state is RecordState.DONE:
             return
         record.state = RecordState.UNKNOWN
-        self.note_change(record)
+        self.record_change(record)
 
-    def give_up(self, customer, key, now_ms):
+    def abandon_lookup(self, customer, key, now_ms):
         """Stop waiting for the reply to a lookup; the outcome is unknown."""
         record = self.table.get(customer, key.text)
         if record is not None:
@@ -224,7 +226,7 @@
     def on_lookup(self, lookup, now_ms):
         """Return the reply to another host's ``KeyLookup``."""
         self.advance(now_ms)
-        return lookups.answer(self, lookup)
+        return lookups.answer_lookup(self, lookup)
 
     def on_lookup_reply(self, reply, now_ms):
         """Take a reply; return the waiting caller's result, or None.
@@ -233,11 +235,11 @@
         A result ``OwnedBy`` means that another incarnation has to be asked next.
         """
         self.advance(now_ms)
-        return lookups.settle(self, reply)
+        return lookups.apply_reply(self, reply)
 
-    def note_successor(self, incarnation, successor):
+    def record_successor(self, incarnation, successor):
         """Remember to which incarnation a host that left handed its ledger."""
-        self.successors.note(incarnation, successor)
+        self.successors.register(incarnation, successor)
 
     def handover(self, successor, now_ms):
         """Hand the ledger to ``successor``; return the ``Handover`` messages due.
@@ -262,9 +264,9 @@
         """Take the successor's ``HandoverAck``."""
         self._handover.on_ack(self, ack)
 
-    def note_change(self, record):
+    def record_change(self, record):
         """Have a record's change follow a ledger that was handed on."""
-        self._handover.note_change(record)
+        self._handover.record_change(record)
 
     @property
     def in_progress_count(self):
@@ -281,16 +283,16 @@
         self._own_range.advance(now_ms)
         for key_range in tuple(self.ranges.values()):
             key_range.advance(now_ms)
-            if key_range.is_over:
+            if key_range.is_expired:
                 del self.ranges[key_range.incarnation]
         if self._own_range.epoch != before:
             self.table.forget_until(self._own_range.epoch)
 
-    def file(self, record):
+    def add_record(self, record):
         """Add a record, to be forgotten when its key has expired."""
         self.table.add(record, self._drop_epoch(record))
 
-    def refile_range(self, incarnation):
+    def update_range_retention(self, incarnation):
         """Keep the records of a range that was taken over for as long as its keys.
 
         Failure: this host ran a key of another before it took that one's range over,
@@ -299,7 +301,7 @@
         """
         for record in self.table:
             if record.key.incarnation == incarnation:
-                self.table.refile(record, self._drop_epoch(record))
+                self.table.set_drop_epoch(record, self._drop_epoch(record))
 
     def _drop_epoch(self, record):
         own = self._own_range
@@ -328,11 +330,11 @@
         record.sent_number = 0
         return Proceed(Attempt(record.customer, record.key.text, self._attempt_number))
 
-    def ask(self, record):
+    def query_holder(self, record):
         """Return the lookup to send to the incarnation that holds the right."""
-        if not record.ask_number:
-            self._ask_number += 1
-            record.ask_number = self._ask_number
+        if not record.query_number:
+            self._query_number += 1
+            record.query_number = self._query_number
         self._sent_number += 1
         record.sent_number = self._sent_number
         holder = record.holder
@@ -345,17 +347,17 @@
         lookup = KeyLookup(
             asker=self.incarnation,
             holder=holder,
-            ask_number=record.ask_number,
+            ask_number=record.query_number,
             sent_number=record.sent_number,
             customer=record.customer,
             key=record.key.text,
             fingerprint=record.fingerprint,
         )
-        if record.given_to:
+        if record.granted_to:
             return WithdrawnTo(holder, lookup)
         return OwnedBy(holder, lookup)
 
-    def _repeat(self, record, fingerprint):
+    def _handle_repeat(self, record, fingerprint):
         if record.fingerprint != fingerprint and record.is_bound:
             return Reused()
         if record.state is RecordState.IDLE:
@@ -367,9 +369,9 @@
             return AnswerNotKept() if record.answer is None else Replay(record.answer)
         if record.state in IN_PROGRESS_STATES or record.sent_number:
             return InProgress()
-        record.moves = 0
+        record.redirects = 0
         record.fingerprint = fingerprint
-        return self.ask(record)
+        return self.query_holder(record)
 
     def _current(self, attempt):
         record = self.table.get(attempt.customer, attempt.key)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
@@ -13,9 +13,9 @@
 from hemlockhoist.decisions.ledger.keys import parse_key
 from hemlockhoist.decisions.ledger.record import (
     IN_PROGRESS_STATES,
+    KeyValidity,
     Record,
     RecordState,
-    Verdict,
 )
 from hemlockhoist.decisions.ledger.results import (
     AnswerNotKept,
@@ -29,10 +29,10 @@
 
 # A key's right moves once when a caller changes hosts and once for each host that
 # left; a longer chain is a loop, and the caller is told "unknown" instead.
-MAX_MOVES = 4
+MAX_REDIRECTS = 4
 
 
-def answer(ledger, lookup):
+def answer_lookup(ledger, lookup):
     """Return the reply to a lookup, after passing the right on where it can be.
 
     Parameters
@@ -69,31 +69,34 @@
         if successor != ledger.incarnation:
             return _reply(ledger, lookup, messages.LookupMoved, holder=successor)
         return _reply(ledger, lookup, messages.LookupUnknown)
-    verdict = key_range.verdict(key.epoch)
-    if verdict is Verdict.EXPIRED:
+    validity = key_range.validity(key.epoch)
+    if validity is KeyValidity.EXPIRED:
         return _reply(ledger, lookup, messages.LookupExpired)
-    if verdict is Verdict.NEVER_MINTED:
+    if validity is KeyValidity.NEVER_MINTED:
         return _reply(ledger, lookup, messages.LookupUnknown)
     if ledger.table.is_full:
         return _reply(ledger, lookup, messages.LookupFull)
     record = Record(lookup.customer, key, lookup.fingerprint, RecordState.IDLE)
-    ledger.file(record)
-    return _give(ledger, lookup, record)
+    ledger.add_record(record)
+    return _grant_right(ledger, lookup, record)
 
 
 def _answer_idle(ledger, lookup, record):
-    if record.given_to == lookup.asker and lookup.ask_number <= record.given_ask_number:
+    if (
+        record.granted_to == lookup.asker
+        and lookup.ask_number <= record.granted_query_number
+    ):
         # Failure: a lookup delayed in the network arrives after the right went to the
         # asker and came back. Giving it again would strand the right, for the asker's
         # wish is closed: every later call would end as "unknown".
         return _reply(ledger, lookup, messages.LookupInProgress)
-    return _give(ledger, lookup, record)
+    return _grant_right(ledger, lookup, record)
 
 
 def _answer_elsewhere(ledger, lookup, record):
     holder = ledger.successors.resolve(record.holder)
     wish = (lookup.asker, lookup.ask_number)
-    if wish == (record.given_to, record.given_ask_number):
+    if wish == (record.granted_to, record.granted_query_number):
         return _reply(ledger, lookup, messages.LookupGranted)
     if holder in (lookup.asker, ledger.incarnation):
         # The asker had the right and has forgotten what it did with it.
@@ -101,7 +104,7 @@
     return _reply(ledger, lookup, messages.LookupMoved, holder=holder)
 
 
-def _give(ledger, lookup, record):
+def _grant_right(ledger, lookup, record):
     detail = f"key {lookup.key} given to {lookup.asker} by {ledger.incarnation}"
     ledger.invariants.check(
         Property.NOT_RUN_IS_TRUE,
@@ -112,10 +115,10 @@
     record.fingerprint = lookup.fingerprint
     record.holder = lookup.asker
     record.direct = False
-    record.given_to = lookup.asker
-    record.given_ask_number = lookup.ask_number
-    record.ask_number = 0
-    ledger.note_change(record)
+    record.granted_to = lookup.asker
+    record.granted_query_number = lookup.ask_number
+    record.query_number = 0
+    ledger.record_change(record)
     return _reply(ledger, lookup, messages.LookupGranted)
 
 
@@ -131,7 +134,7 @@
     )
 
 
-def settle(ledger, reply):
+def apply_reply(ledger, reply):
     """Take a reply; return the waiting caller's result or None.
 
     Parameters
@@ -144,7 +147,7 @@
         return None
     if record.state is not RecordState.ELSEWHERE:
         return None
-    if record.ask_number != reply.ask_number:
+    if record.query_number != reply.ask_number:
         return None
     waited_for = record.sent_number == reply.sent_number
     if not waited_for and not isinstance(reply, messages.LookupGranted):
@@ -154,7 +157,7 @@
     was_waiting = record.sent_number != 0
     record.sent_number = 0
     result = _apply(reply, ledger, record)
-    ledger.note_change(record)
+    ledger.record_change(record)
     if not was_waiting:
         # The right came too late for its caller; the next call may use it.
         return None
@@ -211,11 +214,11 @@
 
 @_apply.register
 def _(reply: messages.LookupMoved, ledger, record):
-    record.moves += 1
-    if record.moves > MAX_MOVES:
+    record.redirects += 1
+    if record.redirects > MAX_REDIRECTS:
         return OutcomeUnknown()
     record.holder = reply.holder
-    return ledger.ask(record)
+    return ledger.query_holder(record)
 
 
 @_apply.register
@@ -223,4 +226,4 @@
     record.state = RecordState.IDLE
     record.holder = ""
     record.direct = False
-    record.ask_number = 0
+    record.query_number = 0
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/record.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/record.py
@@ -22,7 +22,7 @@
 IN_PROGRESS_STATES = frozenset({RecordState.ADMITTED, RecordState.DISPATCHED})
 
 
-class Verdict(enum.Enum):
+class KeyValidity(enum.Enum):
     """What a range says of a key without a record."""
 
     VALID = "valid"
@@ -40,17 +40,17 @@
     fingerprint : bytes
     state : RecordState
     holder : str
-        In state ``ELSEWHERE``: the incarnation to ask.
+        In state ``ELSEWHERE``: the incarnation to query_holder.
     direct : bool
         Whether ``holder`` itself is asked although it has named a successor: the
         request is in progress there.
-    given_to, given_ask_number : str, int
+    granted_to, granted_query_number : str, int
         The lookup by which this host last passed the right on; empty for none.
-    ask_number : int
+    query_number : int
         This host's own wish for the key; 0 for none.
     sent_number : int
         Of the lookup that a caller waits on; 0 when none waits.
-    moves : int
+    redirects : int
         How often the present lookup was sent on to another holder.
     attempt_number : int
     drop_epoch : int
@@ -62,18 +62,18 @@
 
     __slots__ = (
         "answer",
-        "ask_number",
+        "query_number",
         "attempt_number",
         "customer",
         "direct",
         "dispatched",
         "drop_epoch",
         "fingerprint",
-        "given_ask_number",
-        "given_to",
+        "granted_query_number",
+        "granted_to",
         "holder",
         "key",
-        "moves",
+        "redirects",
         "sent_number",
         "state",
     )
@@ -85,11 +85,11 @@
         self.state = state
         self.holder = holder
         self.direct = False
-        self.given_to = ""
-        self.given_ask_number = 0
-        self.ask_number = 0
+        self.granted_to = ""
+        self.granted_query_number = 0
+        self.query_number = 0
         self.sent_number = 0
-        self.moves = 0
+        self.redirects = 0
         self.attempt_number = 0
         self.drop_epoch = 0
         self.dispatched = False
@@ -135,7 +135,7 @@
         self.epoch = 0
 
     @property
-    def is_over(self):
+    def is_expired(self):
         """Whether every key of a range taken over has expired."""
         if self.last_epoch is None:
             return False
@@ -145,15 +145,15 @@
         """Move the epoch on; a clock that steps back does not move it back."""
         self.epoch = max(self.epoch, (now_ms - self.base_ms) // self.epoch_ms)
 
-    def verdict(self, epoch):
-        """Return the ``Verdict`` on a key of ``epoch`` that has no record.
+    def validity(self, epoch):
+        """Return the ``KeyValidity`` on a key of ``epoch`` that has no record.
 
         Records of an epoch are dropped when, and not before, this says ``EXPIRED``:
         a key without a record is then either unseen or refused for good.
         """
         newest = self.epoch if self.last_epoch is None else self.last_epoch
         if epoch > newest:
-            return Verdict.NEVER_MINTED
+            return KeyValidity.NEVER_MINTED
         if self.epoch - epoch > EPOCHS_KEPT:
-            return Verdict.EXPIRED
-        return Verdict.VALID
+            return KeyValidity.EXPIRED
+        return KeyValidity.VALID
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/results.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/results.py
@@ -58,7 +58,7 @@
     """Another incarnation has to be asked: send it ``lookup``.
 
     The caller waits for ``KeyLedger.on_lookup_reply``, or for a time limit and then
-    ``KeyLedger.give_up``.
+    ``KeyLedger.abandon_lookup``.
     """
 
     code: ClassVar[ResultCode] = ResultCode.OUTCOME_UNKNOWN
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/successors.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/successors.py
@@ -27,7 +27,7 @@
         """Return an empty map."""
         return cls(incarnation)
 
-    def note(self, incarnation, successor):
+    def register(self, incarnation, successor):
         """Remember a successor; the first one named is the only one."""
         if incarnation == successor or incarnation in self._successors:
             return
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/table.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/table.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from hemlockhoist.decisions.ledger.answers import AnswerBudget
+from hemlockhoist.decisions.ledger.answers import AnswerCache
 from hemlockhoist.decisions.ledger.record import IN_PROGRESS_STATES
 
 
@@ -19,7 +19,7 @@
 
     def __init__(self, max_records, max_answer_bytes):
         self.max_records = max_records
-        self.answers = AnswerBudget(max_answer_bytes)
+        self.answers = AnswerCache(max_answer_bytes)
         self._records = {}
         self._buckets = collections.defaultdict(dict)
 
@@ -44,7 +44,7 @@
         self._records[record.id] = record
         self._buckets[drop_epoch][record.id] = record
 
-    def refile(self, record, drop_epoch):
+    def set_drop_epoch(self, record, drop_epoch):
         """Have a record forgotten at another epoch; its answer stays."""
         self._buckets[record.drop_epoch].pop(record.id, None)
         self.add(record, drop_epoch)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/ledgers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/ledgers.py
@@ -29,8 +29,8 @@
 def run(ledger, key, now_ms=0):
     """Run a key to its end at one ledger."""
     attempt = begin(ledger, key, now_ms).attempt
-    ledger.dispatching(attempt, now_ms)
-    ledger.finished(attempt, ANSWER, now_ms)
+    ledger.mark_dispatched(attempt, now_ms)
+    ledger.mark_finished(attempt, ANSWER, now_ms)
 
 
 def look_up(asker, holder, lookup, now_ms=0):
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
@@ -45,7 +45,7 @@
         """A third host that knows the successor asks it in the leaver's place."""
         run(self.a, self.key)
         hand_over(self.a, self.s)
-        self.b.note_successor("a", "s")
+        self.b.record_successor("a", "s")
         asked = begin(self.b, self.key)
         self.assertEqual(asked.incarnation, "s")
         self.assertEqual(look_up(self.b, self.s, asked.lookup), Replay(ANSWER))
@@ -93,7 +93,7 @@
         for message in self.a.handover("s", 0):
             self.s.adopt_handover(message, 0)
         unused = make_key(self.a, "2")
-        self.s.dispatching(begin(self.s, unused).attempt, 0)
+        self.s.mark_dispatched(begin(self.s, unused).attempt, 0)
         hand_over(self.a, self.s)
         self.assertEqual(begin(self.s, unused), InProgress())
         self.assertEqual(self.a.handover("s", 0), [])
@@ -105,12 +105,12 @@
         gone by then.
         """
         attempt = begin(self.a, self.key).attempt
-        self.a.dispatching(attempt, 0)
+        self.a.mark_dispatched(attempt, 0)
         hand_over(self.a, self.s)
         asked = begin(self.s, self.key)
         self.assertEqual(asked.incarnation, "a")
         self.assertEqual(look_up(self.s, self.a, asked.lookup), InProgress())
-        self.a.finished(attempt, ANSWER, 1)
+        self.a.mark_finished(attempt, ANSWER, 1)
         hand_over(self.a, self.s)
         self.assertEqual(begin(self.s, self.key), Replay(ANSWER))
 
@@ -118,20 +118,20 @@
         """A queued request that the leaver refuses may run at the successor, once."""
         attempt = begin(self.a, self.key).attempt
         hand_over(self.a, self.s)
-        self.a.not_run(attempt, 1)
+        self.a.mark_not_run(attempt, 1)
         update = self.a.handover("s", 1)
         self.assertNotIsInstance(begin(self.a, self.key), Proceed)
         self.s.adopt_handover(update[0], 1)
-        self.s.dispatching(begin(self.s, self.key).attempt, 1)
+        self.s.mark_dispatched(begin(self.s, self.key).attempt, 1)
         self.s.adopt_handover(update[0], 2)
         self.assertEqual(begin(self.s, self.key), InProgress())
 
     def test_leaver_lost_with_a_request_in_progress_is_unknown(self):
         """The leaver dies before it reports: its last request stays unknown."""
-        self.a.dispatching(begin(self.a, self.key).attempt, 0)
+        self.a.mark_dispatched(begin(self.a, self.key).attempt, 0)
         hand_over(self.a, self.s)
         self.assertIsInstance(begin(self.s, self.key), OwnedBy)
-        self.assertEqual(self.s.give_up(CUSTOMER, self.key, 0), OutcomeUnknown())
+        self.assertEqual(self.s.abandon_lookup(CUSTOMER, self.key, 0), OutcomeUnknown())
 
     def test_grant_on_its_way_is_not_doubled_by_a_handover(self):
         """
@@ -140,7 +140,7 @@
         """
         late = self.a.on_lookup(begin(self.s, self.key).lookup, 0)
         hand_over(self.a, self.s)
-        self.s.dispatching(begin(self.s, self.key).attempt, 0)
+        self.s.mark_dispatched(begin(self.s, self.key).attempt, 0)
         self.assertIsNone(self.s.on_lookup_reply(late, 0))
         self.assertEqual(begin(self.s, self.key), InProgress())
 
@@ -159,8 +159,8 @@
         messages = self.a.handover("s", 0)
         key = make_key(self.s)
         attempt = look_up(self.a, self.s, begin(self.a, key).lookup).attempt
-        self.a.dispatching(attempt, 0)
-        self.a.finished(attempt, ANSWER, 0)
+        self.a.mark_dispatched(attempt, 0)
+        self.a.mark_finished(attempt, ANSWER, 0)
         for message in messages:
             self.s.adopt_handover(message, 0)
         self.assertNotIsInstance(begin(self.s, key), Proceed)
@@ -172,8 +172,8 @@
         forget its own booking before that clock calls the key expired.
         """
         proceed = look_up(self.s, self.a, begin(self.s, self.key).lookup)
-        self.s.dispatching(proceed.attempt, 0)
-        self.s.finished(proceed.attempt, ANSWER, 0)
+        self.s.mark_dispatched(proceed.attempt, 0)
+        self.s.mark_finished(proceed.attempt, ANSWER, 0)
         messages = self.a.handover("s", 0)
         arrival_ms = RETENTION_MS
         for message in messages:
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_ledger.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_ledger.py
@@ -47,19 +47,19 @@
         """
         attempt = begin(self.ledger, self.key).attempt
         self.assertEqual(begin(self.ledger, self.key), InProgress())
-        self.ledger.dispatching(attempt, 1)
+        self.ledger.mark_dispatched(attempt, 1)
         self.assertEqual(begin(self.ledger, self.key), InProgress())
-        self.ledger.finished(attempt, ANSWER, 2)
+        self.ledger.mark_finished(attempt, ANSWER, 2)
         self.assertEqual(begin(self.ledger, self.key), Replay(ANSWER))
 
     def test_refused_request_may_be_begun_again(self):
-        """After ``not_run`` the same key proceeds, with a new attempt."""
+        """After ``mark_not_run`` the same key proceeds, with a new attempt."""
         first = begin(self.ledger, self.key).attempt
-        self.ledger.not_run(first, 1)
+        self.ledger.mark_not_run(first, 1)
         second = begin(self.ledger, self.key)
         self.assertIsInstance(second, Proceed)
         with self.assertRaises(PropertyViolation):
-            self.ledger.dispatching(first, 2)
+            self.ledger.mark_dispatched(first, 2)
 
     def test_broken_connection_stays_unknown(self):
         """
@@ -67,35 +67,35 @@
         repeat is told "outcome unknown", until a late answer settles it.
         """
         attempt = begin(self.ledger, self.key).attempt
-        self.ledger.dispatching(attempt, 1)
-        self.ledger.unknown(attempt, 2)
+        self.ledger.mark_dispatched(attempt, 1)
+        self.ledger.mark_unknown(attempt, 2)
         self.assertEqual(begin(self.ledger, self.key), OutcomeUnknown())
-        self.ledger.finished(attempt, ANSWER, 3)
+        self.ledger.mark_finished(attempt, ANSWER, 3)
         self.assertEqual(begin(self.ledger, self.key), Replay(ANSWER))
 
     def test_one_attempt_is_dispatched_once(self):
         """A second dispatch of an attempt is a violation, and sends nothing."""
         attempt = begin(self.ledger, self.key).attempt
-        self.ledger.dispatching(attempt, 1)
+        self.ledger.mark_dispatched(attempt, 1)
         with self.assertRaises(PropertyViolation):
-            self.ledger.dispatching(attempt, 1)
+            self.ledger.mark_dispatched(attempt, 1)
 
     def test_second_dispatch_is_stopped_in_production_too(self):
         """Where violations are only logged, the second dispatch still raises."""
         log = InvariantLog(False)
         ledger = KeyLedger.from_config("a", RETENTION_MS, 10, 10, log)
         attempt = begin(ledger, make_key(ledger)).attempt
-        ledger.dispatching(attempt, 1)
+        ledger.mark_dispatched(attempt, 1)
         with self.assertRaises(DispatchError):
-            ledger.dispatching(attempt, 1)
+            ledger.mark_dispatched(attempt, 1)
         self.assertEqual(log.violations[Property.DISPATCHED_AT_MOST_ONCE], 1)
 
     def test_not_run_after_dispatch_is_a_violation(self):
         """Saying "not run" of a dispatched attempt is caught."""
         attempt = begin(self.ledger, self.key).attempt
-        self.ledger.dispatching(attempt, 1)
+        self.ledger.mark_dispatched(attempt, 1)
         with self.assertRaises(PropertyViolation):
-            self.ledger.not_run(attempt, 2)
+            self.ledger.mark_not_run(attempt, 2)
 
     def test_other_body_under_the_same_key_is_refused(self):
         """A key with another request is refused, and runs nothing."""
@@ -134,8 +134,8 @@
         attempt = begin(ledger, key).attempt
         late_ms = 3 * RETENTION_MS
         self.assertEqual(begin(ledger, key, late_ms), InProgress())
-        ledger.dispatching(attempt, late_ms)
-        ledger.finished(attempt, ANSWER, late_ms)
+        ledger.mark_dispatched(attempt, late_ms)
+        ledger.mark_finished(attempt, ANSWER, late_ms)
         self.assertEqual(begin(ledger, key, late_ms), Replay(ANSWER))
         self.assertEqual(begin(ledger, key, late_ms + EPOCH_MS), Expired())
 
@@ -176,7 +176,7 @@
         small, large = make_key(ledger, "1"), make_key(ledger, "2")
         run(ledger, small)
         attempt = ledger.begin(CUSTOMER, large, PRINT, 0).attempt
-        ledger.dispatching(attempt, 0)
-        ledger.finished(attempt, StoredAnswer(status=200, body=b"x" * 13), 0)
+        ledger.mark_dispatched(attempt, 0)
+        ledger.mark_finished(attempt, StoredAnswer(status=200, body=b"x" * 13), 0)
         self.assertEqual(begin(ledger, large), AnswerNotKept())
         self.assertEqual(begin(ledger, small), Replay(ANSWER))
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
@@ -45,11 +45,11 @@
         never seen it: b may run it, and a's callers are pointed to b for good.
         """
         proceed = look_up(self.b, self.a, begin(self.b, self.key).lookup)
-        self.b.dispatching(proceed.attempt, 0)
+        self.b.mark_dispatched(proceed.attempt, 0)
         pointed = begin(self.a, self.key)
         self.assertEqual((type(pointed), pointed.incarnation), (WithdrawnTo, "b"))
         self.assertEqual(look_up(self.a, self.b, pointed.lookup), InProgress())
-        self.b.finished(proceed.attempt, ANSWER, 0)
+        self.b.mark_finished(proceed.attempt, ANSWER, 0)
         again = begin(self.a, self.key)
         self.assertEqual(look_up(self.a, self.b, again.lookup), Replay(ANSWER))
 
@@ -82,16 +82,16 @@
         first reply then changes nothing.
         """
         lost = self.a.on_lookup(begin(self.b, self.key).lookup, 0)
-        self.assertEqual(self.b.give_up(CUSTOMER, self.key, 0), OutcomeUnknown())
+        self.assertEqual(self.b.abandon_lookup(CUSTOMER, self.key, 0), OutcomeUnknown())
         proceed = look_up(self.b, self.a, begin(self.b, self.key).lookup)
-        self.b.dispatching(proceed.attempt, 0)
+        self.b.mark_dispatched(proceed.attempt, 0)
         self.assertIsNone(self.b.on_lookup_reply(lost, 0))
         self.assertEqual(begin(self.b, self.key), InProgress())
 
     def test_late_grant_serves_the_next_call(self):
         """A grant that comes after its caller has gone is used by the next call."""
         late = self.a.on_lookup(begin(self.b, self.key).lookup, 0)
-        self.b.give_up(CUSTOMER, self.key, 0)
+        self.b.abandon_lookup(CUSTOMER, self.key, 0)
         self.assertIsNone(self.b.on_lookup_reply(late, 0))
         self.assertIsInstance(begin(self.b, self.key), Proceed)
 
@@ -102,8 +102,8 @@
         permission, the booking would run twice.
         """
         proceed = look_up(self.b, self.a, begin(self.b, self.key).lookup)
-        self.b.dispatching(proceed.attempt, 0)
-        self.b.finished(proceed.attempt, ANSWER, 0)
+        self.b.mark_dispatched(proceed.attempt, 0)
+        self.b.mark_finished(proceed.attempt, ANSWER, 0)
         self.b.table.remove(self.b.table.get(CUSTOMER, self.key.text))
         asked = begin(self.b, self.key)
         self.assertEqual(look_up(self.b, self.a, asked.lookup), OutcomeUnknown())
@@ -116,9 +116,9 @@
         """
         first = begin(self.b, self.key).lookup
         attempt = look_up(self.b, self.a, first).attempt
-        self.b.not_run(attempt, 0)
+        self.b.mark_not_run(attempt, 0)
         proceed = look_up(self.a, self.b, begin(self.a, self.key).lookup)
-        self.a.not_run(proceed.attempt, 0)
+        self.a.mark_not_run(proceed.attempt, 0)
         self.assertIsNone(look_up(self.b, self.a, first))
         self.assertIsInstance(begin(self.a, self.key), Proceed)
 
@@ -132,8 +132,8 @@
         filler = begin(self.a, make_key(self.a, "9")).attempt
         key = make_key(self.a)
         stale = self.a.on_lookup(begin(self.b, key).lookup, 0)
-        self.b.give_up(CUSTOMER, key, 0)
-        self.a.not_run(filler, 0)
+        self.b.abandon_lookup(CUSTOMER, key, 0)
+        self.a.mark_not_run(filler, 0)
         run(self.a, key)
         asked = begin(self.b, key)
         self.assertIsNone(self.b.on_lookup_reply(stale, 0))
@@ -149,7 +149,7 @@
         filler = begin(self.a, make_key(self.a, "9")).attempt
         key = make_key(self.a)
         reply = self.a.on_lookup(begin(self.b, key).lookup, 0)
-        self.a.not_run(filler, 0)
+        self.a.mark_not_run(filler, 0)
         run(self.a, key)
         self.assertEqual(self.b.on_lookup_reply(reply, 0), InProgress())
 
@@ -176,7 +176,7 @@
         request, not run" would be untrue, for it ran at a.
         """
         begin(self.c, self.key, 0, OTHER_PRINT)
-        self.c.give_up(CUSTOMER, self.key, 0)
+        self.c.abandon_lookup(CUSTOMER, self.key, 0)
         self.assertIsInstance(begin(self.c, self.key), OwnedBy)
 
     def test_refused_repeat_leaves_the_withdrawn_key_withdrawn(self):
@@ -186,7 +186,7 @@
         dropped its record with the refusal, the hall would be booked twice.
         """
         attempt = look_up(self.b, self.a, begin(self.b, self.key).lookup).attempt
-        self.b.dispatching(attempt, 0)
+        self.b.mark_dispatched(attempt, 0)
         asked = begin(self.a, self.key, 0, OTHER_PRINT)
         self.assertEqual(look_up(self.a, self.b, asked.lookup), Reused())
         self.assertIsInstance(begin(self.a, self.key), WithdrawnTo)
@@ -210,7 +210,7 @@
         self.assertEqual(look_up(self.b, restarted, asked.lookup), OutcomeUnknown())
         own = begin(restarted, self.key)
         self.assertIsInstance(own, OwnedBy)
-        unknown = restarted.give_up(CUSTOMER, self.key, 0)
+        unknown = restarted.abandon_lookup(CUSTOMER, self.key, 0)
         self.assertEqual(unknown, OutcomeUnknown())
 
     def test_dead_owner_is_unknown_and_second_caller_waits(self):
@@ -220,5 +220,5 @@
         """
         begin(self.b, self.key)
         self.assertEqual(begin(self.b, self.key), InProgress())
-        self.assertEqual(self.b.give_up(CUSTOMER, self.key, 0), OutcomeUnknown())
+        self.assertEqual(self.b.abandon_lookup(CUSTOMER, self.key, 0), OutcomeUnknown())
         self.assertIsInstance(begin(self.b, self.key), OwnedBy)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -187,10 +187,10 @@
     """
     hold_ms = estimate.hold_ms(request) if estimate.known else 0.0
     by_deadline_ms = request.deadline_ms - HOPELESS_PART * hold_ms
-    if request.leaves_ms is None:
+    if request.waits_until_ms is None:
         return int(by_deadline_ms)
     first_ms = FIRST_ALLOWANCE * estimate.first_token_ms(request) + LEAVE_MARGIN_MS
-    return int(min(by_deadline_ms, request.leaves_ms - first_ms))
+    return int(min(by_deadline_ms, request.waits_until_ms - first_ms))
 
 
 def slack_ms(request, estimate, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -65,7 +65,7 @@
             return request
         fields = {}
         if Mechanism.PATIENCE in self.left_out:
-            fields["leaves_ms"] = None
+            fields["waits_until_ms"] = None
         if Mechanism.PAUSES in self.left_out:
             fields["max_gap_ms"] = 0
         if Mechanism.KEPT_PARTS in self.left_out:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/play.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/play.py
@@ -174,12 +174,12 @@
             output_tokens=kind.output_tokens,
             deadline_ms=caller.at_ms + kind.deadline_ms,
             first_token_by_ms=now_ms + kind.target_ms,
-            leaves_ms=now_ms + kind.patience_ms,
+            waits_until_ms=now_ms + kind.patience_ms,
             max_gap_ms=kind.max_gap_ms,
         )
         self._callers[request.request_id] = caller
-        leaves_ms = min(request.leaves_ms, request.deadline_ms)
-        self._at(leaves_ms, self._leave, caller, request.request_id, caller.tries)
+        waits_until_ms = min(request.waits_until_ms, request.deadline_ms)
+        self._at(waits_until_ms, self._leave, caller, request.request_id, caller.tries)
         self._take(self.sched.submit(request, now_ms), now_ms)
 
     def _leave(self, now_ms, caller, request_id, tries):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
@@ -9,7 +9,7 @@
 HINTS = {
     "failure_domain": "coast-a",
     "request_id": "r1",
-    "leaves_ms": 900,
+    "waits_until_ms": 900,
     "max_gap_ms": 80,
     "prefix_hashes": (1, 2),
     "prefix_tokens": (16, 16),
@@ -31,7 +31,7 @@
 
     def test_each_mechanism_that_a_request_tells_of_can_be_left_out(self):
         cases = {
-            Mechanism.PATIENCE: {"leaves_ms": None},
+            Mechanism.PATIENCE: {"waits_until_ms": None},
             Mechanism.PAUSES: {"max_gap_ms": 0},
             Mechanism.KEPT_PARTS: {"prefix_hashes": (), "prefix_tokens": ()},
             Mechanism.OWN_DOMAIN: {"failure_domain": ""},
--- a/libs/decisions/src/hemlockhoist/decisions/work.py
+++ b/libs/decisions/src/hemlockhoist/decisions/work.py
@@ -34,7 +34,7 @@
         Of each of these blocks; empty where all are of one size.
     deadline_ms, first_token_by_ms : int
         On the home's clock.
-    leaves_ms : int or None
+    waits_until_ms : int or None
         On the home's clock: when its caller leaves if nothing of the answer has come;
         None where it waits to the deadline.
     max_gap_ms : int
@@ -75,7 +75,7 @@
     units: int = 0
     avoid: tuple[str, ...] = ()
     is_new: bool = True
-    leaves_ms: int | None = None
+    waits_until_ms: int | None = None
     max_gap_ms: int = 0
     prefix_tokens: tuple[int, ...] = ()
     regions: tuple[str, ...] = ()
@@ -175,7 +175,7 @@
     return f"{incarnation}:{pool}:{number}"
 
 
-def granting_run(grant_id):
+def granting_incarnation(grant_id):
     """Return the incarnation of the home that gave a grant."""
     return grant_id.partition(":")[0]
 
--- a/libs/host/src/hemlockhoist/host/configuration.py
+++ b/libs/host/src/hemlockhoist/host/configuration.py
@@ -100,10 +100,10 @@
 
     async def versions_in_force(self, version):
         """Return, for each live host, ``version`` or ``NOT_CONFIRMED``."""
-        self._emit(self._state.ask_report())
+        self._emit(self._state.request_summaries())
         await asyncio.sleep(REPORT_WAIT_MS / MS_PER_S)
         report = self._state.report(version)
-        lagging = {*report.lagging, *report.unheard}
+        lagging = {*report.lagging, *report.unreported_collectors}
         return {
             host: NOT_CONFIRMED if host in lagging else version
             for host in self._context.fleet.live_hosts()
@@ -143,7 +143,7 @@
 
     def _put_in_force(self):
         now_ms = self._context.clock.now_ms()
-        declarations = self._state.serving(now_ms)
+        declarations = self._state.serving_declarations(now_ms)
         if declarations.version <= self._context.declarations.version:
             return
         self._on_change(declarations)
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -296,4 +296,4 @@
 
 @_handle.register
 def _(event: SuccessorNamed, context):
-    context.ledger.note_successor(event.incarnation, event.successor)
+    context.ledger.record_successor(event.incarnation, event.successor)
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -13,7 +13,7 @@
     UpstreamEvacuated,
     UpstreamLeft,
 )
-from hemlockhoist.decisions import granting_run
+from hemlockhoist.decisions import granting_incarnation
 from hemlockhoist.messages import (
     ColdUpstream,
     EvacuatedDomain,
@@ -332,7 +332,7 @@
         self._held[hold.grant_id] = hold
         if self._spent is not None:
             now_ms = self._clock.now_ms()
-            home_run = granting_run(hold.grant_id)
+            home_run = granting_incarnation(hold.grant_id)
             self._spent.add(hold.pool, home_run, brief.customer, brief.units, now_ms)
         return hold
 
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -532,9 +532,9 @@
 
 def work_request(brief, entry_host, now_ms):
     """Return the request that a brief describes, with times on the home's clock."""
-    leaves_ms = None
+    waits_until_ms = None
     if brief.leaves_in_ms is not None:
-        leaves_ms = now_ms + brief.leaves_in_ms
+        waits_until_ms = now_ms + brief.leaves_in_ms
     return WorkRequest(
         request_id=brief.request_id,
         route=brief.route,
@@ -549,7 +549,7 @@
         prefix_tokens=brief.prefix_tokens,
         deadline_ms=now_ms + brief.deadline_in_ms,
         first_token_by_ms=now_ms + brief.first_token_in_ms,
-        leaves_ms=leaves_ms,
+        waits_until_ms=waits_until_ms,
         max_gap_ms=brief.max_gap_ms,
         entry_host=entry_host,
         failure_domain=brief.failure_domain,
--- a/libs/host/src/hemlockhoist/host/ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/ledger_service.py
@@ -123,7 +123,9 @@
             if not isinstance(result, OwnedBy | WithdrawnTo):
                 return _claim_of(result)
             result = await self._look_up(customer, key, result)
-        return _claim_of(self._ledger.give_up(customer, key, self._clock.now_ms()))
+        return _claim_of(
+            self._ledger.abandon_lookup(customer, key, self._clock.now_ms())
+        )
 
     async def _look_up(self, customer, key, asked):
         """Ask the holder of a key until it answers, or for as long as is sensible."""
@@ -143,12 +145,12 @@
         except asyncio.CancelledError:
             # The caller has gone. Left waiting, the record would take a later grant
             # for the caller's, and stay "in progress" for good.
-            self._ledger.give_up(customer, key, self._clock.now_ms())
+            self._ledger.abandon_lookup(customer, key, self._clock.now_ms())
             raise
         finally:
             if self._waiters.get((customer, key.text)) is future:
                 del self._waiters[(customer, key.text)]
-        return self._ledger.give_up(customer, key, self._clock.now_ms())
+        return self._ledger.abandon_lookup(customer, key, self._clock.now_ms())
 
     async def run(self, attempt, dispatch):
         """Run a claimed call and record what came of it.
@@ -172,24 +174,24 @@
         try:
             answer = await dispatch(on_open)
         except (Refused, BadRequest):
-            self._ledger.not_run(attempt, self._clock.now_ms())
+            self._ledger.mark_not_run(attempt, self._clock.now_ms())
             raise
         except BaseException:
-            self._ledger.unknown(attempt, self._clock.now_ms())
+            self._ledger.mark_unknown(attempt, self._clock.now_ms())
             raise
-        self._ledger.finished(attempt, answer, self._clock.now_ms())
+        self._ledger.mark_finished(attempt, answer, self._clock.now_ms())
         return answer
 
     def _dispatching(self, attempt):
-        self._ledger.dispatching(attempt, self._clock.now_ms())
+        self._ledger.mark_dispatched(attempt, self._clock.now_ms())
 
     def on_message(self, sender, message):
         """Take a peer's message about keys."""
         _handle(message, self, sender)
 
-    def note_successor(self, incarnation, successor):
+    def record_successor(self, incarnation, successor):
         """Remember who took over the ledger of a host that left."""
-        self._ledger.note_successor(incarnation, successor)
+        self._ledger.record_successor(incarnation, successor)
 
     async def hand_over(self, successor):
         """Hand the ledger to the incarnation ``successor`` before leaving.
@@ -226,14 +228,14 @@
             future.set_result(result)
         elif isinstance(result, Proceed):
             # The right came, and nobody waits to use it.
-            self._ledger.not_run(result.attempt, self._clock.now_ms())
+            self._ledger.mark_not_run(result.attempt, self._clock.now_ms())
 
     def _on_handover(self, sender, message):
         ack = self._ledger.adopt_handover(message, self._clock.now_ms())
         if ack is None:
             return
         if ack.accepted:
-            self._ledger.note_successor(message.leaver, message.successor)
+            self._ledger.record_successor(message.leaver, message.successor)
         self._send(sender, ack)
 
     def _on_handover_ack(self, ack):
--- a/libs/host/src/hemlockhoist/host/section_content.py
+++ b/libs/host/src/hemlockhoist/host/section_content.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from hemlockhoist.base import DeclarationError, get_logger
-from hemlockhoist.decisions.configuration import WholeContent
+from hemlockhoist.decisions.configuration import FullContent
 from hemlockhoist.declarations import (
     SectionDelta,
     SectionReader,
@@ -22,7 +22,7 @@
 _log = get_logger("host.section_content")
 
 
-class SectionContent(WholeContent):
+class SectionContent(FullContent):
     """Packs changes for a host whose version is known here, the whole for others.
 
     At 1,300 hosts and 32,000 changes a day, the whole (some 220 KB with 1,700
--- a/libs/standins/src/hemlockhoist/standins/randomised/host.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/host.py
@@ -95,7 +95,7 @@
 
     def dispatch(self, call, now_ms):
         """Pass the point of no return."""
-        self.ledger.dispatching(call.attempt, now_ms)
+        self.ledger.mark_dispatched(call.attempt, now_ms)
         call.phase = CallPhase.STUCK
 
     def send(self, call):
@@ -109,14 +109,14 @@
         if call.phase is CallPhase.SENT:
             self._service.ended.append(call)
         if call.phase is CallPhase.ADMITTED:
-            self.ledger.not_run(call.attempt, now_ms)
+            self.ledger.mark_not_run(call.attempt, now_ms)
             ran = self._service.runs[call.id]
             detail = f"{call.id} was refused, and ran {ran} times"
             self._tally.invariants.check(Property.NOT_RUN_IS_TRUE, ran == 0, detail)
         elif ran and call.phase is CallPhase.SENT:
-            self.ledger.finished(call.attempt, self._service.answer(call), now_ms)
+            self.ledger.mark_finished(call.attempt, self._service.answer(call), now_ms)
         else:
-            self.ledger.unknown(call.attempt, now_ms)
+            self.ledger.mark_unknown(call.attempt, now_ms)
 
     def tick(self, now_ms):
         """Do what is due; return the messages."""
@@ -136,7 +136,7 @@
     def serve(self, now_ms):
         """Decide a request by the declarations in force, if the host is ready."""
         if self.configuration.is_ready(now_ms):
-            return self.configuration.serving(now_ms)
+            return self.configuration.serving_declarations(now_ms)
         return None
 
     def leave(self, now_ms):
@@ -169,7 +169,7 @@
         for call in list(self.asking.values()):
             if now_ms - call.asked_ms >= LOOKUP_TIMEOUT_MS:
                 del self.asking[call.id]
-                result = self.ledger.give_up(call.customer, call.key, now_ms)
+                result = self.ledger.abandon_lookup(call.customer, call.key, now_ms)
                 self._service.check_told(call, result)
 
     def _hand_over(self, now_ms):
@@ -195,7 +195,7 @@
     def _take_events(self):
         for event in self.membership.take_events():
             if isinstance(event, SuccessorNamed):
-                self.ledger.note_successor(event.incarnation, event.successor)
+                self.ledger.record_successor(event.incarnation, event.successor)
 
 
 @functools.singledispatch
--- a/libs/standins/src/hemlockhoist/standins/randomised/machine.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/machine.py
@@ -220,7 +220,9 @@
             row = self.world.store.row
             result = WriteResult.DONE if row == declarations else WriteResult.CONFLICT
         if result is WriteResult.DONE:
-            offered = found.configuration.offer(declarations, self.world.now_ms)
+            offered = found.configuration.apply_if_newer(
+                declarations, self.world.now_ms
+            )
             self.world.send(found, offered)
         return True
 
--- a/libs/standins/src/hemlockhoist/standins/randomised/tests/mutations.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/tests/mutations.py
@@ -16,7 +16,7 @@
     handover,
     lookups,
 )
-from hemlockhoist.decisions.ledger.record import KeyRange, RecordState, Verdict
+from hemlockhoist.decisions.ledger.record import KeyRange, KeyValidity, RecordState
 from hemlockhoist.decisions.ledger.table import RecordTable
 from hemlockhoist.decisions.membership import UpstreamView
 from hemlockhoist.messages import ledger as messages
@@ -62,7 +62,7 @@
     return Full()
 
 
-_settle = lookups.settle
+_settle = lookups.apply_reply
 
 
 def _take_any_grant(ledger, reply):
@@ -81,7 +81,7 @@
 
 
 def _never_expires(self, epoch):
-    return Verdict.VALID if epoch <= self.epoch else Verdict.NEVER_MINTED
+    return KeyValidity.VALID if epoch <= self.epoch else KeyValidity.NEVER_MINTED
 
 
 def _forget_all(self, epoch):
@@ -169,33 +169,33 @@
     Mutation(
         "only the holder dispatches a key",
         KeyLedger,
-        "ask",
+        "query_holder",
         _proceed_instead_of_asking,
         DOUBLED,
     ),
     Mutation(
         "a silent holder means unknown",
         KeyLedger,
-        "give_up",
+        "abandon_lookup",
         _silence_means_not_run,
         (P.NOT_RUN_IS_TRUE,),
     ),
     Mutation(
         "a grant is taken once, by its wish",
         lookups,
-        "settle",
+        "apply_reply",
         _take_any_grant,
         DOUBLED,
     ),
     Mutation(
         "passing a key on leaves a record",
         lookups,
-        "_give",
+        "_grant_right",
         _give_without_a_record,
         DOUBLED,
     ),
     Mutation(
-        "a key past retention is refused", KeyRange, "verdict", _never_expires, DOUBLED
+        "a key past retention is refused", KeyRange, "validity", _never_expires, DOUBLED
     ),
     Mutation(
         "rotation keeps what is in progress",
@@ -208,7 +208,7 @@
     Mutation(
         "a broken connection means unknown",
         KeyLedger,
-        "unknown",
+        "mark_unknown",
         _unknown_is_not_run,
         DOUBLED,
         seed=3,
@@ -216,7 +216,7 @@
     Mutation(
         "an answer goes to its own call",
         KeyLedger,
-        "_repeat",
+        "_handle_repeat",
         _answer_of_another,
         (P.WHOLE_ANSWER,),
     ),
@@ -230,7 +230,7 @@
     Mutation(
         "a host speaks of its own keys only",
         KeyLedger,
-        "ask",
+        "query_holder",
         _not_run_relayed,
         (P.NOT_RUN_IS_TRUE,),
     ),
@@ -251,7 +251,7 @@
     Mutation(
         "only the leaver's own unseen keys are taken",
         handover,
-        "_take_unseen",
+        "_claim_unseen_keys",
         _take_all_unseen,
         DOUBLED,
         seed=2,
@@ -267,7 +267,7 @@
     Mutation(
         "only a higher version is taken",
         ConfigurationState,
-        "offer",
+        "apply_if_newer",
         _take_any_version,
         (P.CONFIGURATION_NEVER_REVERTS,),
         seed=3,
--- a/libs/standins/src/hemlockhoist/standins/recovery.py
+++ b/libs/standins/src/hemlockhoist/standins/recovery.py
@@ -243,11 +243,11 @@
             attempt = ledger.begin(
                 "customer", key, number.to_bytes(16, "big"), 0
             ).attempt
-            ledger.dispatching(attempt, 0)
+            ledger.mark_dispatched(attempt, 0)
             body = (
                 None if answer is None else StoredAnswer(status=201, body=answer + b"")
             )
-            ledger.finished(attempt, body, 0)
+            ledger.mark_finished(attempt, body, 0)
         sizes.append(tracemalloc.get_traced_memory()[0] / records)
         tracemalloc.stop()
     return sizes
