--- a/libs/decisions/src/hemlockhoist/decisions/versions/confirm.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/confirm.py
@@ -11,12 +11,12 @@
 import math
 
 # The old version's past counts like this many answers.
-_PAST_ANSWERS = 10
+_PRIOR_ANSWERS = 10
 # How likely it is, before any answer, that a trouble common to both has just begun.
-_TROUBLE = 0.2
+_COMMON_FAULT_PRIOR = 0.2
 # Half of the alternative is the effect that raised the suspicion, half any rate.
-_HALF = 0.5
-_GRID = 8
+_COMPONENT_WEIGHT = 0.5
+_GRID_SIZE = 8
 _MAX_RATE = 0.98
 
 
@@ -44,48 +44,52 @@
     count, bad = new
     good = count - bad
     old_count, old_bad = old
-    readings = _readings(old_bad, old_count - old_bad, reference)
-    same = _log_sum([weight + _foretold(beta, bad, good) for weight, beta in readings])
+    hypotheses = _hypotheses(old_bad, old_count - old_bad, reference)
+    same = _log_sum(
+        [weight + _log_marginal(beta, bad, good) for weight, beta in hypotheses]
+    )
     # Worse means above the old version's rate by the least effect that matters: a
     # version that is better than the old one in its trouble is as unlike it.
-    rate = sum(math.exp(weight) * beta[0] / sum(beta) for weight, beta in readings)
-    grid_weight = math.log(_HALF / _GRID)
+    rate = sum(math.exp(weight) * beta[0] / sum(beta) for weight, beta in hypotheses)
+    grid_weight = math.log(_COMPONENT_WEIGHT / _GRID_SIZE)
     worse = [
-        grid_weight + _likelihood(bad, good, rate + excess)
+        grid_weight + _log_likelihood(bad, good, rate + excess)
         for excess in _excesses(least_effect, 1 - rate)
     ]
-    worse.append(math.log(_HALF) + _likelihood(bad, good, rate + effect))
+    worse.append(
+        math.log(_COMPONENT_WEIGHT) + _log_likelihood(bad, good, rate + effect)
+    )
     return _log_sum(worse) - same
 
 
-def _readings(bad, good, reference):
+def _hypotheses(bad, good, reference):
     """Return the log weight and the beta distribution of each reading of the past.
 
     Either the old version goes on as before, or a trouble common to both has just
     begun; the weight of each is how well it foretold the old version's answers.
     """
-    past = (_PAST_ANSWERS * reference, _PAST_ANSWERS * (1 - reference))
-    usual = math.log(1 - _TROUBLE) + _foretold(past, bad, good)
-    trouble = math.log(_TROUBLE) + _foretold((1, 1), bad, good)
-    total = _log_sum([usual, trouble])
+    past = (_PRIOR_ANSWERS * reference, _PRIOR_ANSWERS * (1 - reference))
+    usual = math.log(1 - _COMMON_FAULT_PRIOR) + _log_marginal(past, bad, good)
+    common_fault = math.log(_COMMON_FAULT_PRIOR) + _log_marginal((1, 1), bad, good)
+    total = _log_sum([usual, common_fault])
     return (
         (usual - total, (past[0] + bad, past[1] + good)),
-        (trouble - total, (1 + bad, 1 + good)),
+        (common_fault - total, (1 + bad, 1 + good)),
     )
 
 
 def _excesses(least, most):
     """Return excesses from least to most, evenly spaced by ratio."""
-    ratio = max(1.0, most / least) ** (1 / (_GRID - 1))
-    return [least * ratio**i for i in range(_GRID)]
+    ratio = max(1.0, most / least) ** (1 / (_GRID_SIZE - 1))
+    return [least * ratio**i for i in range(_GRID_SIZE)]
 
 
-def _likelihood(bad, good, rate):
+def _log_likelihood(bad, good, rate):
     rate = min(_MAX_RATE, rate)
     return bad * math.log(rate) + good * math.log(1 - rate)
 
 
-def _foretold(beta, bad, good):
+def _log_marginal(beta, bad, good):
     """Return the log probability of answers under a beta-distributed rate."""
     a, b = beta
     return _log_beta(a + bad, b + good) - _log_beta(a, b)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -3,7 +3,7 @@
 from hemlockhoist.base import InvariantLog
 from hemlockhoist.decisions.policy import VersionPolicy
 from hemlockhoist.decisions.versions.checks import check_not_halted, check_share
-from hemlockhoist.decisions.versions.delays import DelayWatch
+from hemlockhoist.decisions.versions.delays import DelayMonitor
 from hemlockhoist.decisions.versions.evaluator import VersionEvaluator
 from hemlockhoist.decisions.versions.events import (
     Finished,
@@ -33,9 +33,9 @@
 PAUSE_LIMIT_MS = 3_000
 # Steps are worked out this often: they depend on answers, of which few
 # come in the meantime, and cost more than one answer does.
-PLAN_EVERY_MS = 1_000
+PLAN_INTERVAL_MS = 1_000
 AUTHOR = "hemlockhoist"
-_GOES_BACK = (MoveState.ROLLED_BACK, MoveState.CANCELLED)
+_ROLLED_BACK_STATES = (MoveState.ROLLED_BACK, MoveState.CANCELLED)
 
 
 class MoveController(VersionPolicy):
@@ -55,13 +55,13 @@
         "_invariants",
         "_is_over",
         "_is_stale",
-        "_judge",
+        "_evaluator",
         "_lanes",
         "_planned_ms",
         "_planner",
         "_pool",
         "_row",
-        "_seen_ms",
+        "_last_time_ms",
         "_trial",
         "_unix_offset_ms",
         "_watch_ms",
@@ -76,7 +76,7 @@
         self._halts = HaltSet()
         self._events = []
         self._row = None
-        self._seen_ms = now_ms
+        self._last_time_ms = now_ms
         self._is_stale = False
 
     @classmethod
@@ -131,21 +131,21 @@
     @property
     def excluded_upstreams(self):
         """Upstreams that are bad where others of their version are not."""
-        return frozenset(self._judge.set_apart) if self._row else frozenset()
+        return frozenset(self._evaluator.excluded) if self._row else frozenset()
 
     @property
     def verdict(self):
         """The ``TakenBack`` event, where the evidence here was against the version."""
-        return self._judge.verdict if self._row else None
+        return self._evaluator.verdict if self._row else None
 
     def candidates(self, request, versions, now_ms):
         """Return the versions that may serve ``request``, preferred first."""
         if self._row is None:
-            return self._without_move(versions)
-        self._note_time(now_ms)
+            return self._stable_version_only(versions)
+        self._record_time(now_ms)
         return tuple(
             version
-            for version in self._preferred(request, now_ms)
+            for version in self._preferred_versions(request, now_ms)
             if version in versions and not self._is_halted(version)
         )
 
@@ -157,29 +157,29 @@
         check_not_halted(self._invariants, self._row, halted, version)
         if not self._is_counted(version):
             return
-        self._judge.loads.count_grant(version, upstream_id, now_ms)
+        self._evaluator.loads.count_grant(version, upstream_id, now_ms)
         lane = self._lanes.get(request, now_ms)
         if version == self._row.to_version:
-            lane.count_new(request, upstream_id, now_ms)
+            lane.record_new_grant(request, upstream_id, now_ms)
             check_share(self._invariants, self._row, lane)
         else:
-            lane.count_old()
+            lane.record_old_grant()
 
     def on_adopt(self, request, version, now_ms, upstream_id=""):
         """Count a grant of a former home, which is in flight."""
         if not self._is_counted(version):
             return
-        self._judge.loads.count_grant(version, upstream_id, now_ms)
+        self._evaluator.loads.count_grant(version, upstream_id, now_ms)
         lane = self._lanes.get(request, now_ms)
         if version == self._row.to_version:
-            lane.hold(request, upstream_id, now_ms)
+            lane.add_in_flight(request, upstream_id, now_ms)
         else:
             lane.old_outstanding += 1
 
     def on_forget(self, request, version, now_ms):
         """Stop counting a grant whose outcome nobody will report."""
         if self._is_counted(version):
-            self._judge.forget(request, version, now_ms)
+            self._evaluator.forget(request, version, now_ms)
 
     def on_outcome(self, request, version, outcome, now_ms, upstream_id=""):
         """Take the outcome of a granted request as evidence."""
@@ -187,13 +187,13 @@
             return
         lane = self._lanes.get(request, now_ms)
         if version == self._row.from_version:
-            events = self._judge.observe_old(lane, outcome, version, now_ms)
+            events = self._evaluator.observe_old(lane, outcome, version, now_ms)
         else:
-            events = self._judge.observe_new(
+            events = self._evaluator.observe_new(
                 lane, request.request_id, outcome, upstream_id, now_ms
             )
-        self._judge.hear(request.entry_host, now_ms)
-        self._follow_verdict(events, now_ms)
+        self._evaluator.record_report(request.entry_host, now_ms)
+        self._apply_verdict(events, now_ms)
 
     def halt(self, version, reason, now_ms):
         """Grant the version nothing more in this move, here and now.
@@ -204,7 +204,7 @@
         if self._row is None:
             return
         if self._halts.add(self._row.move_id, version, reason):
-            self._tell(Halted, version, now_ms, reason=reason)
+            self._emit(Halted, version, now_ms, reason=reason)
 
     def tick(self, now_ms):
         """Judge what is overdue; return the events since the last call.
@@ -214,10 +214,10 @@
         list of MoveEvent
         """
         if self._row is not None:
-            self._note_time(now_ms)
-            self._follow_verdict(self._judge.judge_overdue(now_ms), now_ms)
+            self._record_time(now_ms)
+            self._apply_verdict(self._evaluator.evaluate_overdue(now_ms), now_ms)
             self._end_watch(now_ms)
-            self._look_for_delay(now_ms)
+            self._check_for_delay(now_ms)
         events, self._events = self._events, []
         return events
 
@@ -232,17 +232,17 @@
             taking back is asked for, as widening needs a live lease.
         """
         row = self._row
-        if row is None or row.state in _GOES_BACK:
+        if row is None or row.state in _ROLLED_BACK_STATES:
             return None
         reason = self._halts.reason(row.move_id, row.to_version)
         if reason is not None:
             return roll_back_move(row, row.move_id, reason, AUTHOR)
         if row.state is not MoveState.RUNNING or not self._may_widen(fencing):
             return None
-        if now_ms - self._planned_ms < PLAN_EVERY_MS:
+        if now_ms - self._planned_ms < PLAN_INTERVAL_MS:
             return None
         self._planned_ms = now_ms
-        self._judge.loads.forget_idle(now_ms)
+        self._evaluator.loads.forget_idle(now_ms)
         return self._wider_row(now_ms, fencing)
 
     def observe_row(self, row, now_ms):
@@ -254,13 +254,13 @@
         if row is None:
             return
         self._is_stale = False
-        self._seen_ms = now_ms
+        self._last_time_ms = now_ms
         former = self._row
         if former is None or row.move_id != former.move_id:
             if former is None or row.started_unix_ms > former.started_unix_ms:
-                self._begin(row, now_ms)
+                self._begin_move(row, now_ms)
         elif is_newer(row, former):
-            self._go_on(row, now_ms)
+            self._apply_row(row, now_ms)
 
     def announcement(self):
         """Return what to tell peers, or None without a move."""
@@ -279,13 +279,13 @@
 
     # Which version may serve.
 
-    def _without_move(self, versions):
+    def _stable_version_only(self, versions):
         stable = self._pool.stable_version
         if not stable:
             return tuple(versions)
         return (stable,) if stable in versions else ()
 
-    def _preferred(self, request, now_ms):
+    def _preferred_versions(self, request, now_ms):
         row = self._row
         old, new = row.from_version, row.to_version
         if self._is_halted(new):
@@ -296,7 +296,7 @@
             return (old,)
         lane = self._lanes.get(request, now_ms)
         is_full = lane.effective_permille >= FULL_PERMILLE
-        if not lane.is_due or not self._may_hold_another(lane, now_ms):
+        if not lane.is_due or not self._may_add_in_flight(lane, now_ms):
             return (old, new) if is_full else (old,)
         return (new, old)
 
@@ -309,12 +309,12 @@
             return False
         return version in (row.from_version, row.to_version)
 
-    def _may_hold_another(self, lane, now_ms):
+    def _may_add_in_flight(self, lane, now_ms):
         """Return whether one more request may wait for the new version's answer."""
         if not self._is_trial_open(lane, now_ms):
             return False
         if lane.effective_permille >= FULL_PERMILLE:
-            return lane.outstanding < lane.max_watched
+            return lane.outstanding < lane.max_outstanding_at_full_share
         if not self._planner.is_trial(lane):
             return lane.outstanding < lane.max_outstanding
         # One at a time: the next booking or label goes to an unproven version only
@@ -325,7 +325,7 @@
         """Return whether the trial's bound allows one more request."""
         schedule = self._planner.schedule
         trial = list(self._lanes)
-        if schedule.passed_part(now_ms) >= self._trial.until_fraction:
+        if schedule.elapsed_fraction(now_ms) >= self._trial.until_fraction:
             if not schedule.is_unproven(lane.share_permille):
                 return True
             trial = [x for x in trial if schedule.is_unproven(x.share_permille)]
@@ -334,16 +334,16 @@
 
     # The course of a move.
 
-    def _begin(self, row, now_ms):
+    def _begin_move(self, row, now_ms):
         rules = self._pool.version_rules
         start_ms = row.started_unix_ms - self._unix_offset_ms
         end_ms = row.moved_by_unix_ms - self._unix_offset_ms
         self._row = row
         self._lanes = LaneTable(row, rules, now_ms)
-        self._judge = VersionEvaluator(row, self._lanes)
+        self._evaluator = VersionEvaluator(row, self._lanes)
         self._planner = Planner(rules, Schedule(rules, start_ms, end_ms))
-        self._delays = DelayWatch(row, self._planner)
-        self._planned_ms = now_ms - PLAN_EVERY_MS
+        self._delays = DelayMonitor(row, self._planner)
+        self._planned_ms = now_ms - PLAN_INTERVAL_MS
         self._finished_ms = None
         self._is_over = row.state is not MoveState.RUNNING
         if row.state is MoveState.FINISHED:
@@ -352,12 +352,12 @@
             self._finished_ms = row.ended_unix_ms - self._unix_offset_ms
             self._is_over = now_ms - self._finished_ms >= self._watch_ms
         self._halts.forget_others(row.move_id)
-        self._follow_halt(now_ms)
+        self._halt_if_rolled_back(now_ms)
 
-    def _go_on(self, row, now_ms):
+    def _apply_row(self, row, now_ms):
         former, self._row = self._row, row
-        for lane in self._lanes.follow(row, now_ms):
-            self._tell(
+        for lane in self._lanes.apply_row(row, now_ms):
+            self._emit(
                 Widened,
                 row.to_version,
                 now_ms,
@@ -366,23 +366,23 @@
                 share_permille=lane.share_permille,
             )
         if row.state is not former.state:
-            self._end(row, now_ms)
+            self._end_move(row, now_ms)
 
-    def _end(self, row, now_ms):
+    def _end_move(self, row, now_ms):
         if row.state is MoveState.FINISHED:
             self._finished_ms = now_ms
             late_ms = max(0, now_ms - self._planner.schedule.end_ms)
-            self._tell(Finished, row.to_version, now_ms, late_ms=late_ms)
+            self._emit(Finished, row.to_version, now_ms, late_ms=late_ms)
             self._end_watch(now_ms)
             return
         self._is_over = True
-        self._follow_halt(now_ms)
+        self._halt_if_rolled_back(now_ms)
 
-    def _follow_halt(self, now_ms):
-        if self._row.state in _GOES_BACK:
+    def _halt_if_rolled_back(self, now_ms):
+        if self._row.state in _ROLLED_BACK_STATES:
             self.halt(self._row.to_version, self._row.reason, now_ms)
 
-    def _follow_verdict(self, events, now_ms):
+    def _apply_verdict(self, events, now_ms):
         self._events += events
         for event in events:
             if isinstance(event, TakenBack):
@@ -401,7 +401,8 @@
     def _wider_row(self, now_ms, fencing):
         lanes = tuple(self._lanes)
         is_tried = (
-            self._planner.schedule.passed_part(now_ms) >= self._trial.min_end_fraction
+            self._planner.schedule.elapsed_fraction(now_ms)
+            >= self._trial.min_end_fraction
         )
         if is_tried and lanes and all(x.share_permille >= FULL_PERMILLE for x in lanes):
             reason = "all routes are on the new version"
@@ -416,16 +417,16 @@
         known |= {(item.route, item.idempotent): item for item in wider}
         return widen_move(self._row, self._row.move_id, tuple(known.values()), fencing)
 
-    def _note_time(self, now_ms):
-        if now_ms - self._seen_ms > PAUSE_LIMIT_MS:
+    def _record_time(self, now_ms):
+        if now_ms - self._last_time_ms > PAUSE_LIMIT_MS:
             self._is_stale = True
-        self._seen_ms = max(self._seen_ms, now_ms)
+        self._last_time_ms = max(self._last_time_ms, now_ms)
 
-    def _look_for_delay(self, now_ms):
+    def _check_for_delay(self, now_ms):
         row = self._row
         if row.state is not MoveState.RUNNING or self._is_halted(row.to_version):
             return
-        self._events += self._delays.look(self._lanes, now_ms)
+        self._events += self._delays.check(self._lanes, now_ms)
 
     def _end_watch(self, now_ms):
         if self._finished_ms is None:
@@ -437,7 +438,7 @@
 
     # What operators are told.
 
-    def _tell(self, kind, version, now_ms, **fields):
+    def _emit(self, kind, version, now_ms, **fields):
         event = kind(
             move_id=self._row.move_id,
             pool=self._row.pool,
--- a/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
@@ -3,10 +3,10 @@
 from hemlockhoist.decisions.versions.events import Late
 
 # The estimate rests on traffic of minutes: it is looked at this often.
-LOOK_EVERY_MS = 5_000
+CHECK_INTERVAL_MS = 5_000
 
 
-class DelayWatch:
+class DelayMonitor:
     """Tells of a delay twice at most: when it shows, and at the time itself.
 
     Parameters
@@ -15,15 +15,15 @@
     planner : Planner
     """
 
-    __slots__ = ("_looked_ms", "_planner", "_row", "_told")
+    __slots__ = ("_checked_ms", "_planner", "_row", "_report_count")
 
     def __init__(self, row, planner):
         self._row = row
         self._planner = planner
-        self._looked_ms = None
-        self._told = 0
+        self._checked_ms = None
+        self._report_count = 0
 
-    def look(self, lanes, now_ms):
+    def check(self, lanes, now_ms):
         """Return the events that are due.
 
         Parameters
@@ -35,17 +35,22 @@
         =======
         list of Late
         """
-        if self._looked_ms is not None and now_ms - self._looked_ms < LOOK_EVERY_MS:
+        if (
+            self._checked_ms is not None
+            and now_ms - self._checked_ms < CHECK_INTERVAL_MS
+        ):
             return []
-        self._looked_ms = now_ms
+        self._checked_ms = now_ms
         schedule = self._planner.schedule
         is_past = now_ms >= schedule.end_ms
-        if self._told >= 1 + is_past or not schedule.is_settled(now_ms):
+        if self._report_count >= 1 + is_past or not schedule.is_estimate_reliable(
+            now_ms
+        ):
             return []
         delay = self._planner.delay(tuple(lanes), now_ms)
         if delay is None:
             return []
-        self._told = 1 + is_past
+        self._report_count = 1 + is_past
         return [self._late(delay, now_ms)]
 
     def _late(self, delay, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
@@ -26,7 +26,7 @@
 
     FAILURES = "failed or were overdue"
     FIRST_TOKEN = "had a slow first token"
-    PACE = "were slow between tokens"
+    TIME_PER_TOKEN = "were slow between tokens"
     DURATION = "were slow in all"
 
 
@@ -39,14 +39,14 @@
 # When the new version has nearly all traffic and load rises, its many slow answers
 # would otherwise be held against a reference that has not heard of the load yet.
 _COMPARED_PER_REFERENCE = 4
-_MAX_COMPARE_CREDIT = 16
+_MAX_COMPARISON_CREDIT = 16
 # With all traffic on the new version nothing is left to compare with at the same
 # time: its latencies are held against the last known ones, times this.
-ALONE_FACTOR = 1.5
+FULL_SHARE_FACTOR = 1.5
 # With fewer answers of the old version there is nothing to compare with.
-_FEW_OLD_ANSWERS = 8
+_MIN_OLD_ANSWERS = 8
 # Attribution to an upstream looks at this many latest answers.
-_RECENT = 48
+_MAX_RECENT = 48
 
 
 class LaneEvidence:
@@ -57,7 +57,13 @@
     rules : hemlockhoist.declarations.VersionRules
     """
 
-    __slots__ = ("_compare_credit", "alone", "recent", "reference", "tests")
+    __slots__ = (
+        "_comparison_credit",
+        "has_all_traffic",
+        "recent",
+        "reference",
+        "tests",
+    )
 
     def __init__(self, rules):
         self.reference = Reference()
@@ -69,9 +75,9 @@
             )
             for measure in Measure
         }
-        self.recent = collections.deque(maxlen=_RECENT)
-        self._compare_credit = _MAX_COMPARE_CREDIT
-        self.alone = False
+        self.recent = collections.deque(maxlen=_MAX_RECENT)
+        self._comparison_credit = _MAX_COMPARISON_CREDIT
+        self.has_all_traffic = False
 
     @property
     def answer_count(self):
@@ -80,13 +86,13 @@
 
     def observe_old(self, outcome, load):
         """Take an answer of the old version, at a load per upstream, as reference."""
-        if _is_silent(outcome, self.reference, load):
+        if _is_uninformative(outcome, self.reference, load):
             return
         reference = self.reference
         is_overdue = outcome.total_ms > reference.overdue_ms(load)
         reference.failures.observe(outcome.kind in FAILED_KINDS or is_overdue)
-        credit = self._compare_credit + _COMPARED_PER_REFERENCE
-        self._compare_credit = min(_MAX_COMPARE_CREDIT, credit)
+        credit = self._comparison_credit + _COMPARED_PER_REFERENCE
+        self._comparison_credit = min(_MAX_COMPARISON_CREDIT, credit)
         if outcome.kind is OutcomeKind.SUCCESS:
             reference.observe_longest(outcome.total_ms, load)
         for measure, value in _latencies(outcome):
@@ -104,7 +110,7 @@
         was_overdue : bool
             Whether it was counted as a failure already, while it was waited for.
         """
-        if _is_silent(outcome, self.reference, load):
+        if _is_uninformative(outcome, self.reference, load):
             return
         is_failed = outcome.kind in FAILED_KINDS
         if not was_overdue:
@@ -112,7 +118,7 @@
             self._observe_failure(is_failed or is_overdue, upstream_id)
         if not is_failed:
             self._observe_latencies(outcome, upstream_id, load)
-            self._observe_own_past(outcome, load)
+            self._observe_own_duration(outcome, load)
 
     def observe_overdue(self, upstream_id):
         """Count a request that is still waited for as a failure."""
@@ -134,7 +140,7 @@
             if verdict is Verdict.SUSPECT:
                 suspect = measure
         if suspect is None:
-            return Verdict.NOTHING, None
+            return Verdict.CLEAR, None
         return Verdict.SUSPECT, suspect
 
     def proven(self, effect_index):
@@ -151,9 +157,9 @@
                 effect_index, self.reference.failures.rate
             )
         ]
-        for measure in (Measure.FIRST_TOKEN, Measure.PACE, Measure.DURATION):
+        for measure in (Measure.FIRST_TOKEN, Measure.TIME_PER_TOKEN, Measure.DURATION):
             profile = _profile(self.reference, measure)
-            if profile.ready:
+            if profile.is_ready:
                 needs.append(
                     self.tests[measure].answers_needed(effect_index, profile.rates.rate)
                 )
@@ -164,13 +170,13 @@
         for test in self.tests.values():
             test.restart_proof()
 
-    def forgive(self, upstream_id):
+    def discard_upstream(self, upstream_id):
         """Drop the evidence against the version: it was one upstream's."""
         for test in self.tests.values():
             test.restart_alarm()
             test.restart_proof()
         kept = [item for item in self.recent if item[0] != upstream_id]
-        self.recent = collections.deque(kept, maxlen=_RECENT)
+        self.recent = collections.deque(kept, maxlen=_MAX_RECENT)
 
     def _rates(self, measure):
         if measure is Measure.FAILURES:
@@ -182,9 +188,9 @@
         self.recent.append((upstream_id, Measure.FAILURES, is_failed))
 
     def _observe_latencies(self, outcome, upstream_id, load):
-        if not self._take_compare_credit():
+        if not self._use_comparison_credit():
             return
-        factor = ALONE_FACTOR if self.alone else 1.0
+        factor = FULL_SHARE_FACTOR if self.has_all_traffic else 1.0
         for measure, value in _latencies(outcome):
             profile = _profile(self.reference, measure)
             slow_ms = profile.slow_ms(load) * factor
@@ -194,7 +200,7 @@
             self.tests[measure].observe(is_slow, profile.rates)
             self.recent.append((upstream_id, measure, is_slow))
 
-    def _observe_own_past(self, outcome, load):
+    def _observe_own_duration(self, outcome, load):
         """Remember how long the new version itself takes, where nothing else is known.
 
         Failure: a home takes over when the old version gets nothing any more, and the
@@ -202,19 +208,19 @@
         new one's is ever overdue.
         """
         reference = self.reference
-        if self.alone and reference.failures.count < _FEW_OLD_ANSWERS:
+        if self.has_all_traffic and reference.failures.count < _MIN_OLD_ANSWERS:
             reference.observe_longest(outcome.total_ms, load)
 
-    def _take_compare_credit(self):
-        if self.alone:
+    def _use_comparison_credit(self):
+        if self.has_all_traffic:
             return True
-        if self._compare_credit < 1:
+        if self._comparison_credit < 1:
             return False
-        self._compare_credit -= 1
+        self._comparison_credit -= 1
         return True
 
 
-def _is_silent(outcome, reference, load):
+def _is_uninformative(outcome, reference, load):
     """Return whether an outcome says nothing of the upstream.
 
     It never reached the upstream, or the caller ended it. A caller that gave up
@@ -229,8 +235,8 @@
 def _profile(reference, measure):
     if measure is Measure.FIRST_TOKEN:
         return reference.first_token
-    if measure is Measure.PACE:
-        return reference.pace
+    if measure is Measure.TIME_PER_TOKEN:
+        return reference.time_per_token
     return reference.duration
 
 
@@ -245,5 +251,7 @@
         latencies.append((Measure.FIRST_TOKEN, float(outcome.first_token_ms)))
         if outcome.output_tokens > 1:
             spent = outcome.total_ms - outcome.first_token_ms
-            latencies.append((Measure.PACE, spent / (outcome.output_tokens - 1)))
+            latencies.append(
+                (Measure.TIME_PER_TOKEN, spent / (outcome.output_tokens - 1))
+            )
     return tuple(latencies)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/fault_attribution.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/fault_attribution.py
@@ -7,7 +7,7 @@
 # The others are cleared while none of their answers is bad, and else when their answers are this much likelier under the old
 # version's rate than under the bad upstream's rate: 9 to 1. A wrong reading costs a
 # handful of bad answers more, as the test goes on with the other upstreams.
-_CLEARED = math.log(9)
+_CLEAR_LIMIT = math.log(9)
 _MAX_RATE = 0.98
 
 
@@ -42,7 +42,7 @@
         return worst
     ratio = bad * math.log(rate / base)
     ratio += (count - bad) * math.log((1 - rate) / (1 - base))
-    return worst if ratio <= -_CLEARED else None
+    return worst if ratio <= -_CLEAR_LIMIT else None
 
 
 def _tally(recent, measure):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lane.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lane.py
@@ -26,12 +26,12 @@
 # while that is kept. Made for a version that turns bad or hangs then: a burst of
 # requests is lost before the first answer shows it. Twice what it held when it last
 # answered well covers the coming and going of ordinary load.
-MIN_WATCHED = 12
-_WATCHED_FACTOR = 1.5
-_USUAL_WEIGHT = 1 / 16
+MIN_OUTSTANDING_AT_FULL_SHARE = 12
+_FULL_SHARE_FACTOR = 1.5
+_TYPICAL_WEIGHT = 1 / 16
 
 
-class Waiting:
+class InFlightRequest:
     """A request that the new version holds."""
 
     __slots__ = ("entry_host", "granted_ms", "is_overdue", "upstream_id")
@@ -55,10 +55,10 @@
     """
 
     __slots__ = (
-        "_allowance_permille",
+        "_cumulative_share_permille",
         "_credit_permille",
         "evidence",
-        "first_ms",
+        "first_seen_ms",
         "granted_count",
         "idempotent",
         "is_suspect",
@@ -67,10 +67,10 @@
         "overdue_count",
         "route",
         "share_permille",
-        "step_answers",
-        "step_ms",
-        "usual_held",
-        "waiting",
+        "answers_at_step_start",
+        "step_started_ms",
+        "typical_outstanding",
+        "in_flight",
     )
 
     def __init__(self, route, idempotent, rules, now_ms):
@@ -82,14 +82,14 @@
         self.overdue_count = 0
         self.is_suspect = False
         self.old_outstanding = 0
-        self.waiting = {}
+        self.in_flight = {}
         self.evidence = LaneEvidence(rules)
-        self.first_ms = now_ms
-        self.usual_held = 0.0
-        self.step_ms = now_ms
-        self.step_answers = 0
+        self.first_seen_ms = now_ms
+        self.typical_outstanding = 0.0
+        self.step_started_ms = now_ms
+        self.answers_at_step_start = 0
         self._credit_permille = START_CREDIT_PERMILLE
-        self._allowance_permille = 0
+        self._cumulative_share_permille = 0
 
     @property
     def key(self):
@@ -115,7 +115,7 @@
         Overdue ones have been judged as failures; were they counted on, a version
         that hangs would get no further request and so no verdict.
         """
-        return len(self.waiting) - self.overdue_count
+        return len(self.in_flight) - self.overdue_count
 
     @property
     def max_outstanding(self):
@@ -125,13 +125,17 @@
         return MIN_OUTSTANDING + int(_OUTSTANDING_FACTOR * part)
 
     @property
-    def max_watched(self):
+    def max_outstanding_at_full_share(self):
         """How many requests it may hold unanswered where it has all traffic."""
-        return MIN_WATCHED + int(_WATCHED_FACTOR * self.usual_held)
+        return MIN_OUTSTANDING_AT_FULL_SHARE + int(
+            _FULL_SHARE_FACTOR * self.typical_outstanding
+        )
 
-    def note_good(self):
+    def record_success(self):
         """Take notice that the new version has answered well, at what it holds."""
-        self.usual_held += _USUAL_WEIGHT * (self.outstanding - self.usual_held)
+        self.typical_outstanding += _TYPICAL_WEIGHT * (
+            self.outstanding - self.typical_outstanding
+        )
 
     @property
     def is_within_share(self):
@@ -139,21 +143,21 @@
 
         Counted apart from the credit that decides, so that a fault there shows.
         """
-        allowed = self._allowance_permille + MAX_CREDIT_PERMILLE
+        allowed = self._cumulative_share_permille + MAX_CREDIT_PERMILLE
         return self.new_count * FULL_PERMILLE <= allowed
 
     def requests_per_s(self, now_ms):
         """Return the lane's traffic since it was first seen."""
-        return 1000 * self.granted_count / max(1000, now_ms - self.first_ms)
+        return 1000 * self.granted_count / max(1000, now_ms - self.first_seen_ms)
 
-    def set_share(self, share_permille, now_ms, keeps_evidence=False):
+    def set_share(self, share_permille, now_ms, keep_evidence=False):
         """Take a share; the evidence for the next one begins anew.
 
         Parameters
         ==========
         share_permille : int
         now_ms : int
-        keeps_evidence : bool, optional
+        keep_evidence : bool, optional
             Set among the shares that need no evidence: what a few answers in a
             hundred show holds for a few more, and non-idempotent calls are too
             precious to be made twice.
@@ -161,67 +165,70 @@
         if share_permille == self.share_permille:
             return
         self.share_permille = share_permille
-        self.step_ms = now_ms
-        self.evidence.alone = share_permille >= FULL_PERMILLE
-        if not keeps_evidence:
-            self.step_answers = self.evidence.answer_count
+        self.step_started_ms = now_ms
+        self.evidence.has_all_traffic = share_permille >= FULL_PERMILLE
+        if not keep_evidence:
+            self.answers_at_step_start = self.evidence.answer_count
             self.evidence.restart_step()
 
-    def count_old(self):
+    def record_old_grant(self):
         """Count a grant of the old version."""
         self.granted_count += 1
         self.old_outstanding += 1
-        self._earn()
+        self._add_credit()
 
-    def count_new(self, request, upstream_id, now_ms):
+    def record_new_grant(self, request, upstream_id, now_ms):
         """Count a grant of the new version."""
         self.granted_count += 1
         self.new_count += 1
-        self._earn()
+        self._add_credit()
         self._credit_permille -= FULL_PERMILLE
-        self.hold(request, upstream_id, now_ms)
+        self.add_in_flight(request, upstream_id, now_ms)
 
-    def release(self, request_id):
+    def remove_in_flight(self, request_id):
         """Forget a request that was answered; return what was held, or None."""
-        held = self.waiting.pop(request_id, None)
+        held = self.in_flight.pop(request_id, None)
         if held is not None:
             self.overdue_count -= held.is_overdue
         return held
 
-    def hold(self, request, upstream_id, now_ms):
+    def add_in_flight(self, request, upstream_id, now_ms):
         """Remember a request that the new version holds."""
-        held = Waiting(now_ms, upstream_id, request.entry_host)
-        self.waiting[request.request_id] = held
+        held = InFlightRequest(now_ms, upstream_id, request.entry_host)
+        self.in_flight[request.request_id] = held
 
-    def newly_overdue(self, load, heard_ms, now_ms):
+    def newly_overdue(self, load, last_report_ms, now_ms):
         """Return the requests whose answer has just become overdue, and mark them.
 
         Parameters
         ==========
         load : float
-        heard_ms : dict
+        last_report_ms : dict
             When each entry host last reported an outcome.
         now_ms : int
         """
-        if not self.waiting:
+        if not self.in_flight:
             return []
         limit_ms = self.evidence.reference.overdue_ms(load)
         overdue = []
         # Insertion order is the order of grants: the first that is in time ends it.
-        for item in self.waiting.values():
+        for item in self.in_flight.values():
             due_ms = item.granted_ms + limit_ms
             if now_ms <= due_ms:
                 break
             # An entry host that has been silent since may be dead: then its missing
             # reports would speak against a version that has answered long ago.
-            if not item.is_overdue and heard_ms.get(item.entry_host, -1) >= due_ms:
+            if (
+                not item.is_overdue
+                and last_report_ms.get(item.entry_host, -1) >= due_ms
+            ):
                 item.is_overdue = True
                 self.overdue_count += 1
                 overdue.append(item)
         return overdue
 
-    def _earn(self):
+    def _add_credit(self):
         share = self.effective_permille
-        self._allowance_permille += share
+        self._cumulative_share_permille += share
         credit = self._credit_permille + share
         self._credit_permille = min(MAX_CREDIT_PERMILLE, credit)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
@@ -25,7 +25,7 @@
         self._row = row
         self._rules = rules
         self._lanes = {}
-        self._open_known(now_ms)
+        self._add_listed_lanes(now_ms)
 
     def __iter__(self):
         return iter(self._lanes.values())
@@ -41,14 +41,14 @@
             return lane
         if len(self._lanes) >= MAX_LANES:
             key = (OTHER_ROUTES, request.idempotent)
-        return self._lanes.get(key) or self._open(key, now_ms)
+        return self._lanes.get(key) or self._add_lane(key, now_ms)
 
-    def _open(self, key, now_ms):
+    def _add_lane(self, key, now_ms):
         lane = self._lanes[key] = Lane(*key, self._rules, now_ms)
-        lane.set_share(self._known_share(lane), now_ms)
+        lane.set_share(self._share_in_row(lane), now_ms)
         return lane
 
-    def _open_known(self, now_ms):
+    def _add_listed_lanes(self, now_ms):
         """Open the lanes that the row names.
 
         Failure: a new home gets bookings only, and takes the pool for one without
@@ -58,27 +58,27 @@
         for share in self._row.lanes:
             key = (share.route, share.idempotent)
             if key not in self._lanes:
-                self._open(key, now_ms)
+                self._add_lane(key, now_ms)
 
-    def follow(self, row, now_ms):
+    def apply_row(self, row, now_ms):
         """Take the shares of a later row; return the lanes that it widens."""
         self._row = row
         if row.state is MoveState.RUNNING:
-            self._open_known(now_ms)
+            self._add_listed_lanes(now_ms)
         widened = []
         for lane in self:
-            share = self._known_share(lane)
+            share = self._share_in_row(lane)
             if share > lane.share_permille:
                 widened.append(lane)
             unproven = share <= self._rules.unproven_share_permille
-            lane.set_share(share, now_ms, keeps_evidence=unproven)
+            lane.set_share(share, now_ms, keep_evidence=unproven)
         return widened
 
     def clear(self):
         """Drop all lanes and their evidence."""
         self._lanes.clear()
 
-    def _known_share(self, lane):
+    def _share_in_row(self, lane):
         row = self._row
         if row.state is not MoveState.RUNNING:
             return FULL_PERMILLE if row.state is MoveState.FINISHED else 0
--- a/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
@@ -15,7 +15,7 @@
 # An order that was not read back by then is sent again: it or its answer was lost.
 RESEND_MS = 5_000
 # A frozen process is taken to wake, or to be restarted by its supervisor, within this.
-LONGEST_PAUSE_MS = 60_000
+MAX_PAUSE_MS = 60_000
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
@@ -63,33 +63,33 @@
         Of the lease.
     lease_until_ms : int
         On the holder's clock, counted from before the lease was asked for.
-    hold_until_ms : int
+    not_before_ms : int
         No order is sent before.
 
     Examples
     ========
-    >>> book = OrderTracker.from_config(checks_fencing=True, fencing=3, lease_until_ms=9_000, now_ms=0)
-    >>> book.want("engine-1", "v2")
-    >>> [order.version for order in book.due(10)]
+    >>> tracker = OrderTracker.from_config(checks_fencing=True, fencing=3, lease_until_ms=9_000, now_ms=0)
+    >>> tracker.set_target("engine-1", "v2")
+    >>> [order.version for order in tracker.due(10)]
     ['v2']
-    >>> book.observe("engine-1", "v2")
-    >>> book.due(8_000)
+    >>> tracker.observe("engine-1", "v2")
+    >>> tracker.due(8_000)
     []
     """
 
     __slots__ = (
         "_entries",
         "_fencing",
-        "_hold_until_ms",
-        "_is_lost",
+        "_not_before_ms",
+        "_is_lease_lost",
         "_lease_until_ms",
     )
 
-    def __init__(self, fencing, lease_until_ms, hold_until_ms):
+    def __init__(self, fencing, lease_until_ms, not_before_ms):
         self._fencing = fencing
         self._lease_until_ms = lease_until_ms
-        self._hold_until_ms = hold_until_ms
-        self._is_lost = False
+        self._not_before_ms = not_before_ms
+        self._is_lease_lost = False
         self._entries = {}
 
     @classmethod
@@ -99,7 +99,7 @@
         fencing,
         lease_until_ms,
         now_ms,
-        longest_pause_ms=LONGEST_PAUSE_MS,
+        max_pause_ms=MAX_PAUSE_MS,
     ):
         """Return the book of a host that has just taken the lease.
 
@@ -109,17 +109,17 @@
             Whether the pool's upstreams refuse old fencing numbers.
         fencing : int
         lease_until_ms, now_ms : int
-        longest_pause_ms : int, optional
+        max_pause_ms : int, optional
             How long a former holder may be frozen and still send an order.
         """
-        pause_ms = 0 if checks_fencing else longest_pause_ms
+        pause_ms = 0 if checks_fencing else max_pause_ms
         return cls(fencing, lease_until_ms, now_ms + pause_ms)
 
     def renew(self, lease_until_ms):
         """Take a renewed lease; the fencing number stays."""
         self._lease_until_ms = max(self._lease_until_ms, lease_until_ms)
 
-    def want(self, upstream_id, version):
+    def set_target(self, upstream_id, version):
         """Have an upstream run a version; repeating it changes nothing."""
         entry = self._entries.get(upstream_id)
         if entry is not None and entry.order.version == version:
@@ -138,9 +138,9 @@
         Nothing is due past the lease: a holder that was frozen finds that out here,
         before it sends.
         """
-        if self._is_lost or now_ms >= self._lease_until_ms:
+        if self._is_lease_lost or now_ms >= self._lease_until_ms:
             return []
-        if now_ms < self._hold_until_ms:
+        if now_ms < self._not_before_ms:
             return []
         entries = [entry for entry in self._entries.values() if _is_due(entry, now_ms)]
         for entry in entries:
@@ -162,13 +162,13 @@
         elif entry.state is OrderState.IN_FORCE:
             entry.state = OrderState.WAITING
 
-    def refuse(self, upstream_id, fencing):
+    def record_refusal(self, upstream_id, fencing):
         """Take an upstream's refusal, which names the number that it holds.
 
         A higher number than this book's is proof that the lease has passed on.
         """
         if fencing > self._fencing:
-            self._is_lost = True
+            self._is_lease_lost = True
 
     def state(self, upstream_id):
         """Return the state of the order to an upstream, or None."""
@@ -176,9 +176,9 @@
         return None if entry is None else entry.state
 
     @property
-    def is_lost(self):
+    def is_lease_lost(self):
         """Whether an upstream has shown that the lease passed to another host."""
-        return self._is_lost
+        return self._is_lease_lost
 
 
 def _is_due(entry, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/planner.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/planner.py
@@ -7,23 +7,23 @@
 from hemlockhoist.decisions.versions.schedule import GATE_PERMILLE
 
 # Answers of the new version before the first share grows to the unproven ceiling.
-_FIRST_ANSWERS = 5
+_MIN_FIRST_ANSWERS = 5
 # Answers in one step below which no evidence suffices.
-_STEP_ANSWERS = 5
+_MIN_STEP_ANSWERS = 5
 # Traffic-weighted part of the idempotent lanes that has to have shown the new version
 # under load before non-idempotent calls begin.
-_GATE_PART = 0.8
+_GATE_FRACTION = 0.8
 # Non-idempotent grants without a single idempotent one after which a pool counts as
 # having no idempotent traffic: its calls begin one at a time.
-GATE_REQUESTS = 100
+NON_IDEMPOTENT_ONLY_GRANTS = 100
 # Non-idempotent calls that a version may get before it is proven on them, one at a
 # time. Coarse evidence takes 13 to 20 good answers; what has not come after twice
 # that will not come.
 MAX_TRIAL_CALLS = 40
 # A lane with less than this part of the pool's traffic may rest on the evidence of
 # the others, where its own can not come in time.
-_THIN_PART = 0.05
-_PROVEN_PART = 0.7
+_LOW_TRAFFIC_FRACTION = 0.05
+_PROVEN_FRACTION = 0.7
 
 
 class Delay(msgspec.Struct, frozen=True, kw_only=True):
@@ -57,7 +57,7 @@
 
     def is_trial(self, lane):
         """Return whether the lane's calls go to the new version one at a time."""
-        return self._is_cautious(lane) and self.schedule.is_unproven(
+        return self._is_deferred(lane) and self.schedule.is_unproven(
             lane.share_permille
         )
 
@@ -100,18 +100,22 @@
 
     def _share(self, lane, lanes, now_ms):
         share = lane.share_permille
-        if lane.is_suspect or share >= FULL_PERMILLE or not self._is_open(lane, lanes):
+        if (
+            lane.is_suspect
+            or share >= FULL_PERMILLE
+            or not self._may_start(lane, lanes)
+        ):
             return share
         # Answers that take long are the ones that come last: a step that is judged
         # before they can have come is judged by the fast ones alone.
-        if share and now_ms - lane.step_ms < lane.evidence.reference.longest_ms:
+        if share and now_ms - lane.step_started_ms < lane.evidence.reference.longest_ms:
             return share
         if not self._may_be_proven(lane, lanes):
             return share
         plan, left_ms = self._plan(lane, lanes, now_ms)
         step = next(step for step in plan.steps if step > share)
         planned_ms = self.schedule.planned_ms(
-            step, lane.idempotent, bool(self._followers(lanes))
+            step, lane.idempotent, bool(self._deferred_lanes(lanes))
         )
         # Waiting for the planned time is given up where it would cost evidence.
         is_urgent = plan.expected_ms >= left_ms or plan.effect_index > 0
@@ -124,44 +128,46 @@
         """Return whether a plan is worth working out: it costs more than this."""
         if lane.share_permille < self._rules.unproven_share_permille:
             return True
-        return lane.evidence.proven(EFFECT_COUNT - 1) or self._is_thin(lane, lanes)
+        return lane.evidence.proven(EFFECT_COUNT - 1) or self._has_low_traffic(
+            lane, lanes
+        )
 
-    def _is_thin(self, lane, lanes):
+    def _has_low_traffic(self, lane, lanes):
         total = sum(
             item.granted_count for item in lanes if item.idempotent is lane.idempotent
         )
-        return lane.granted_count <= _THIN_PART * total
+        return lane.granted_count <= _LOW_TRAFFIC_FRACTION * total
 
     def _plan(self, lane, lanes, now_ms):
         """Return the lane's plan and the time that is left for it."""
         left_ms = self.schedule.end_ms - now_ms
         goal = FULL_PERMILLE
-        followers = self._followers(lanes)
-        if followers and lane.idempotent and lane.share_permille < GATE_PERMILLE:
-            left_ms = self.schedule.gate_ms(followers, now_ms) - now_ms
+        deferred = self._deferred_lanes(lanes)
+        if deferred and lane.idempotent and lane.share_permille < GATE_PERMILLE:
+            left_ms = self.schedule.gate_deadline_ms(deferred, now_ms) - now_ms
             goal = GATE_PERMILLE
         return self.schedule.plan(lane, left_ms, now_ms, goal), left_ms
 
-    def _followers(self, lanes):
+    def _deferred_lanes(self, lanes):
         """Return the lanes that go after the idempotent ones."""
         if not any(lane.idempotent for lane in lanes):
             return []
-        return [lane for lane in lanes if self._is_cautious(lane)]
+        return [lane for lane in lanes if self._is_deferred(lane)]
 
-    def _is_open(self, lane, lanes):
+    def _may_start(self, lane, lanes):
         """Return whether non-idempotent calls may begin, or are not held back."""
-        if lane.share_permille or not self._is_cautious(lane):
+        if lane.share_permille or not self._is_deferred(lane):
             return True
         ahead = [item for item in lanes if item.idempotent]
         total = sum(item.granted_count for item in ahead)
         if not ahead:
-            return lane.granted_count >= GATE_REQUESTS
+            return lane.granted_count >= NON_IDEMPOTENT_ONLY_GRANTS
         if not total:
             return all(item.share_permille >= GATE_PERMILLE for item in ahead)
         shown = [item for item in ahead if item.share_permille >= GATE_PERMILLE]
-        return sum(item.granted_count for item in shown) >= _GATE_PART * total
+        return sum(item.granted_count for item in shown) >= _GATE_FRACTION * total
 
-    def _is_cautious(self, lane):
+    def _is_deferred(self, lane):
         return self._rules.non_idempotent_last and not lane.idempotent
 
     def _is_proven(self, lane, lanes, step, plan, is_urgent, now_ms):
@@ -169,34 +175,34 @@
         if not lane.share_permille:
             return True
         if self.schedule.is_unproven(step):
-            return is_urgent or lane.evidence.answer_count >= _FIRST_ANSWERS
+            return is_urgent or lane.evidence.answer_count >= _MIN_FIRST_ANSWERS
         # The trial of non-idempotent calls is short: they begin after the idempotent
         # ones have given evidence, and each of them is a risk of its own.
         index = EFFECT_COUNT - 1 if self.is_trial(lane) else plan.effect_index
-        answered = lane.evidence.answer_count - lane.step_answers
-        if answered >= _STEP_ANSWERS and lane.evidence.proven(index):
+        answered = lane.evidence.answer_count - lane.answers_at_step_start
+        if answered >= _MIN_STEP_ANSWERS and lane.evidence.proven(index):
             return True
-        return self._may_rest_on_others(lane, lanes, now_ms)
+        return self._may_rely_on_peers(lane, lanes, now_ms)
 
-    def _may_rest_on_others(self, lane, lanes, now_ms):
+    def _may_rely_on_peers(self, lane, lanes, now_ms):
         """Return whether a thin lane may follow its fellows without own evidence."""
-        if not self._is_thin(lane, lanes):
+        if not self._has_low_traffic(lane, lanes):
             return False
-        fellows = [item for item in lanes if item.idempotent is lane.idempotent]
-        total = sum(item.granted_count for item in fellows)
+        peers = [item for item in lanes if item.idempotent is lane.idempotent]
+        total = sum(item.granted_count for item in peers)
         plan, left_ms = self._plan(lane, lanes, now_ms)
         if plan.expected_ms <= left_ms:
             return False
-        proven = [item for item in fellows if item.share_permille >= GATE_PERMILLE]
-        return sum(item.granted_count for item in proven) >= _PROVEN_PART * total
+        proven = [item for item in peers if item.share_permille >= GATE_PERMILLE]
+        return sum(item.granted_count for item in proven) >= _PROVEN_FRACTION * total
 
     def _lane_delay(self, lane, lanes, now_ms):
         left_ms = self.schedule.end_ms - now_ms
-        if self._may_rest_on_others(lane, lanes, now_ms) and left_ms > 0:
+        if self._may_rely_on_peers(lane, lanes, now_ms) and left_ms > 0:
             return None
         is_proven = lane.evidence.proven(EFFECT_COUNT - 1)
-        is_used_up = lane.new_count >= MAX_TRIAL_CALLS
-        if self.is_trial(lane) and is_used_up and not is_proven:
+        is_exhausted = lane.new_count >= MAX_TRIAL_CALLS
+        if self.is_trial(lane) and is_exhausted and not is_proven:
             reason = (
                 f"{lane.route}: {MAX_TRIAL_CALLS} calls have not proven the version"
             )
--- a/libs/decisions/src/hemlockhoist/decisions/versions/reference.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/reference.py
@@ -25,19 +25,19 @@
 _REFRESH_EVERY = 8
 # Two upstreams at one level are not at the same load, and the old version's answers
 # at it may be minutes old: the new version is given this much more.
-_ACROSS_LOADS = 1.1
+_LOAD_MISMATCH_FACTOR = 1.1
 # How fast the drift of the old version's latencies is followed: a slowdown is taken
 # up within some ten of its answers.
 _DRIFT_WEIGHT = 1 / 12
 # Answers at a load before their longest is trusted, and how fast it is forgotten.
-_FEW = 8
-_FADE = 0.997
+_MIN_ANSWERS = 8
+_DECAY = 0.997
 # Loads are told apart by this ratio, up to some hundred grants per upstream.
 _LOG_LEVEL_RATIO = math.log(1.5)
 MAX_LOAD_LEVEL = 16
 _LEVEL_BOUNDS = tuple(math.exp(_LOG_LEVEL_RATIO * i) for i in range(MAX_LOAD_LEVEL))
 # Share of slow answers that is assumed before any was counted.
-_USUAL_SLOW_RATE = 0.08
+_PRIOR_SLOW_RATE = 0.08
 
 
 class RateWindow:
@@ -78,10 +78,10 @@
     def rate(self):
         """The reference rate, with a margin for its own uncertainty."""
         if self._rate is None:
-            self._rate = self._work_out()
+            self._rate = self._compute_rate()
         return self._rate
 
-    def _work_out(self):
+    def _compute_rate(self):
         effective = min(self.count, 400) + 20
         spread = math.sqrt(self._slow * (1 - self._slow) / effective)
         slow = max(self.PRIOR, self._slow + 0.5 * spread)
@@ -105,7 +105,7 @@
     def is_known(self):
         return self.slow < math.inf
 
-    def store(self, value):
+    def add(self, value):
         """Take a latency; return whether what counts as slow was worked out anew."""
         if len(self._latest) < _WINDOW:
             self._latest.append(value)
@@ -134,17 +134,17 @@
     answers against the old version's rate now, at the load it has now.
     """
 
-    __slots__ = ("_by_load", "_log_drift", "_usual", "rates")
+    __slots__ = ("_by_load", "_log_drift", "_base_slow_ms_by_level", "rates")
 
     def __init__(self):
         self._by_load = {}
         # Worked out from ``_by_load``, until it changes.
-        self._usual = {}
+        self._base_slow_ms_by_level = {}
         self._log_drift = 0.0
-        self.rates = RateWindow(_USUAL_SLOW_RATE)
+        self.rates = RateWindow(_PRIOR_SLOW_RATE)
 
     @property
-    def ready(self):
+    def is_ready(self):
         """Whether the old version answered often enough to call a latency slow."""
         return self.rates.count >= _REFRESH_EVERY
 
@@ -157,13 +157,15 @@
         slow_ms = self.slow_ms(load)
         if slow_ms < math.inf:
             self.rates.observe(value > slow_ms)
-            self._follow(value * SLOW_FACTOR * _ACROSS_LOADS * drift / slow_ms)
+            self._update_drift(
+                value * SLOW_FACTOR * _LOAD_MISMATCH_FACTOR * drift / slow_ms
+            )
         level = load_level(load)
         threshold = self._by_load.get(level)
         if threshold is None:
             threshold = self._by_load[level] = _Threshold()
-        if threshold.store(value / drift):
-            self._usual.clear()
+        if threshold.add(value / drift):
+            self._base_slow_ms_by_level.clear()
 
     @property
     def drift(self):
@@ -174,7 +176,7 @@
         """
         return math.exp(max(0.0, self._log_drift))
 
-    def _follow(self, ratio):
+    def _update_drift(self, ratio):
         step = math.log(max(ratio, 1e-3)) - self._log_drift
         self._log_drift += _DRIFT_WEIGHT * step
 
@@ -186,19 +188,21 @@
         all loads that were seen, latency is taken to grow as the load does.
         """
         level = load_level(load)
-        usual_ms = self._usual.get(level)
-        if usual_ms is None:
-            usual_ms = self._usual[level] = self._usual_ms(level)
-        return usual_ms * self.drift
-
-    def _usual_ms(self, level):
+        base_slow_ms = self._base_slow_ms_by_level.get(level)
+        if base_slow_ms is None:
+            base_slow_ms = self._base_slow_ms_by_level[level] = self._base_slow_ms(
+                level
+            )
+        return base_slow_ms * self.drift
+
+    def _base_slow_ms(self, level):
         known = [item for item, found in self._by_load.items() if found.is_known]
         if not known:
             return math.inf
         at_least = [item for item in known if item >= level]
         nearest = min(at_least) if at_least else max(known)
         growth = _growth(nearest, level)
-        return self._by_load[nearest].slow * growth * _ACROSS_LOADS
+        return self._by_load[nearest].slow * growth * _LOAD_MISMATCH_FACTOR
 
 
 def load_level(load):
@@ -226,13 +230,13 @@
         "duration",
         "failures",
         "first_token",
-        "pace",
+        "time_per_token",
     )
 
     def __init__(self):
         self.failures = RateWindow()
         self.first_token = LatencyProfile()
-        self.pace = LatencyProfile()
+        self.time_per_token = LatencyProfile()
         self.duration = LatencyProfile()
         # By load: the longest answer and how many there were.
         self._longest = {}
@@ -245,8 +249,8 @@
         level = load_level(load)
         longest_ms, count = self._longest.get(level, (0.0, 0))
         # A single extreme answer is forgotten over some hundred ordinary ones.
-        faded_ms = longest_ms * _FADE
-        self._longest[level] = (max(total_ms, faded_ms), count + 1)
+        decayed_ms = longest_ms * _DECAY
+        self._longest[level] = (max(total_ms, decayed_ms), count + 1)
         self._count += 1
         if self._count % _REFRESH_EVERY == 0:
             self._limits.clear()
@@ -269,7 +273,9 @@
         return max(OVERDUE_FLOOR_MS, limit_ms * self.duration.drift)
 
     def _limit_ms(self, level):
-        known = [item for item, found in self._longest.items() if found[1] >= _FEW]
+        known = [
+            item for item, found in self._longest.items() if found[1] >= _MIN_ANSWERS
+        ]
         if not known:
             return math.inf
         at_least = [item for item in known if item >= level] or [max(known)]
--- a/libs/decisions/src/hemlockhoist/decisions/versions/schedule.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/schedule.py
@@ -16,11 +16,11 @@
 # Parts of the time from start to "moved by". Idempotent calls go first and far
 # enough to show the version under load; non-idempotent calls follow; the rest is
 # slack for traffic that turns out thinner than it was.
-_IDEMPOTENT_PART = 0.35
-_NON_IDEMPOTENT_PARTS = (0.3, 0.75)
-_ALONE_PART = 0.75
+_IDEMPOTENT_FRACTION = 0.35
+_NON_IDEMPOTENT_FRACTIONS = (0.3, 0.75)
+_SINGLE_PHASE_FRACTION = 0.75
 # The least part that idempotent calls get, however long the others need.
-_LEAST_IDEMPOTENT_PART = 0.15
+_MIN_IDEMPOTENT_FRACTION = 0.15
 # The last share before all: one request in twenty stays on the old version, so that
 # there is something to compare with until the end.
 CONTROL_PERMILLE = 950
@@ -31,9 +31,9 @@
 # Smaller steps where a bad answer may be a booking lost or a label issued twice.
 _CAUTIOUS_STEPS = (100, 200, 350, 550, 800, CONTROL_PERMILLE, FULL_PERMILLE)
 # Fewer steps where the time does not suffice for all: each is still proven.
-_HURRIED_STEPS = (250, 600, FULL_PERMILLE)
+_REDUCED_STEPS = (250, 600, FULL_PERMILLE)
 # Part of the time before operators are told of an expected delay.
-_SETTLE_PART = 0.1
+_ESTIMATE_DELAY_FRACTION = 0.1
 # Good answers come unevenly: an estimate of the time for them is stretched by this.
 _ESTIMATE_FACTOR = 1.3
 
@@ -66,7 +66,7 @@
         The latter is the "moved by" time.
     """
 
-    __slots__ = ("_hurried", "_rules", "_steps", "end_ms", "start_ms")
+    __slots__ = ("_reduced_steps", "_rules", "_steps", "end_ms", "start_ms")
 
     def __init__(self, rules, start_ms, end_ms):
         self._rules = rules
@@ -74,56 +74,58 @@
         self.end_ms = end_ms
         cautious = _CAUTIOUS_STEPS if rules.non_idempotent_last else _PROVEN_STEPS
         self._steps = {
-            True: _from_first(rules, _PROVEN_STEPS),
-            False: _from_first(rules, cautious),
+            True: _with_first_steps(rules, _PROVEN_STEPS),
+            False: _with_first_steps(rules, cautious),
         }
-        self._hurried = _from_first(rules, _HURRIED_STEPS)
+        self._reduced_steps = _with_first_steps(rules, _REDUCED_STEPS)
 
     def is_unproven(self, share_permille):
         """Return whether a share is one that needs no evidence yet."""
         return share_permille <= self._rules.unproven_share_permille
 
-    def passed_part(self, now_ms):
+    def elapsed_fraction(self, now_ms):
         """Return which part of the move's time has passed."""
         return (now_ms - self.start_ms) / max(1, self.end_ms - self.start_ms)
 
-    def is_settled(self, now_ms):
+    def is_estimate_reliable(self, now_ms):
         """Return whether enough time has passed for estimates to mean something."""
-        grace_ms = _SETTLE_PART * (self.end_ms - self.start_ms)
+        grace_ms = _ESTIMATE_DELAY_FRACTION * (self.end_ms - self.start_ms)
         return now_ms >= self.start_ms + grace_ms
 
-    def planned_ms(self, share_permille, idempotent, follows):
+    def planned_ms(self, share_permille, idempotent, has_deferred):
         """Return when a step is planned.
 
         Parameters
         ==========
         share_permille : int
         idempotent : bool
-        follows : bool
+        has_deferred : bool
             Whether the pool has non-idempotent calls that go last.
         """
         steps = self._steps[idempotent]
-        begin, end = 0.0, _ALONE_PART
-        if follows and idempotent:
-            end = _IDEMPOTENT_PART
-        elif follows:
-            begin, end = _NON_IDEMPOTENT_PARTS
+        begin, end = 0.0, _SINGLE_PHASE_FRACTION
+        if has_deferred and idempotent:
+            end = _IDEMPOTENT_FRACTION
+        elif has_deferred:
+            begin, end = _NON_IDEMPOTENT_FRACTIONS
         if share_permille >= FULL_PERMILLE:
-            part = _ALONE_PART
+            fraction = _SINGLE_PHASE_FRACTION
         else:
             before = sum(step < share_permille for step in steps)
-            part = begin + (end - begin) * before / len(steps)
-        return self.start_ms + int(part * (self.end_ms - self.start_ms))
+            fraction = begin + (end - begin) * before / len(steps)
+        return self.start_ms + int(fraction * (self.end_ms - self.start_ms))
 
-    def gate_ms(self, followers, now_ms):
+    def gate_deadline_ms(self, deferred, now_ms):
         """Return until when idempotent calls should have shown the version.
 
         Worked back from the end: the non-idempotent lanes need their time after it.
         """
         window_ms = self.end_ms - self.start_ms
-        needs = [self._slowest(lane, now_ms) for lane in followers]
-        latest = min(_IDEMPOTENT_PART * window_ms, window_ms - max(needs, default=0))
-        return self.start_ms + max(_LEAST_IDEMPOTENT_PART * window_ms, latest)
+        needs = [self._min_duration_ms(lane, now_ms) for lane in deferred]
+        latest = min(
+            _IDEMPOTENT_FRACTION * window_ms, window_ms - max(needs, default=0)
+        )
+        return self.start_ms + max(_MIN_IDEMPOTENT_FRACTION * window_ms, latest)
 
     def plan(self, lane, left_ms, now_ms, goal_permille=FULL_PERMILLE):
         """Return the most thorough plan that reaches the goal in the time left.
@@ -141,30 +143,32 @@
             The shortest one where none is short enough.
         """
         plan = None
-        for steps, index in self._ways(lane):
+        for steps, index in self._options(lane):
             expected = self._expected_ms(lane, steps, index, now_ms, goal_permille)
             plan = Plan(steps, index, expected)
             if expected <= left_ms:
                 break
         return plan
 
-    def _ways(self, lane):
+    def _options(self, lane):
         steps = self._steps[lane.idempotent]
         for index in range(EFFECT_COUNT):
             yield steps, index
-        yield self._hurried, EFFECT_COUNT - 1
+        yield self._reduced_steps, EFFECT_COUNT - 1
 
-    def _slowest(self, lane, now_ms):
+    def _min_duration_ms(self, lane, now_ms):
         """Return the time that a lane needs in a hurry."""
         index = EFFECT_COUNT - 1
-        return self._expected_ms(lane, self._hurried, index, now_ms, FULL_PERMILLE)
+        return self._expected_ms(
+            lane, self._reduced_steps, index, now_ms, FULL_PERMILLE
+        )
 
     def _expected_ms(self, lane, steps, index, now_ms, goal_permille):
         rate = lane.requests_per_s(now_ms)
         if rate <= 0:
             return float("inf")
         needed = lane.evidence.answers_needed(index)
-        done = min(needed, lane.evidence.answer_count - lane.step_answers)
+        done = min(needed, lane.evidence.answer_count - lane.answers_at_step_start)
         longest_ms = lane.evidence.reference.longest_ms
         total_ms = 0.0
         for share in self._shares_to_prove(lane, steps, goal_permille):
@@ -180,7 +184,7 @@
         return [share for share in shares if unproven <= share < goal_permille]
 
 
-def _from_first(rules, later):
+def _with_first_steps(rules, later):
     first = rules.first_share_permille
     unproven = max(first, rules.unproven_share_permille)
     beginning = (first,) if first == unproven else (first, unproven)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/sequential.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/sequential.py
@@ -22,32 +22,32 @@
 # suspicion. Its limit is the logarithm of this number of starts, and the comparison
 # that follows has to reach the stated error rate by itself: so that rate holds for a
 # whole move and not for a single start.
-ALARM_STARTS = 500
+CUSUM_RESTARTS = 500
 # Routes and measures that are compared side by side in one move, each of which may
 # raise a false alarm: the limit of each is raised, so that the rate holds for all.
 _COMPARISONS = 10
 # A suspicion is dropped when the answers since are this much likelier for a good
 # version: 9 to 1.
-_CLEARED = -math.log(9)
+_CLEAR_LIMIT = -math.log(9)
 # Bad luck early in a step is forgotten up to this much: without the cap a good
 # version would have to make up for it answer by answer.
 _PROOF_CAP = 3.0
 # A suspicion is confirmed with this many answers of the old version; where there are
 # none, it stands by itself from so many bad answers on.
 _MIN_COMPARED = 3
-_JUDGE_EVERY = 4
-_BAD_ALONE = 20
+_EVALUATE_EVERY = 4
+_MIN_BAD_UNCOMPARED = 20
 _MIN_RATE = 0.001
 _MAX_RATE = 0.98
 # Reference rates are rounded to this many digits, so that the logarithms of a rate
 # are worked out once.
-_DIGITS = 3
+_RATE_DIGITS = 3
 
 
 class Verdict(enum.Enum):
     """What a test says of a rate."""
 
-    NOTHING = "nothing"
+    CLEAR = "nothing"
     SUSPECT = "suspect"
     BAD = "bad"
 
@@ -81,7 +81,7 @@
         "_alarms",
         "_confirm_limit",
         "_effects",
-        "_suspect",
+        "_suspicion",
         "_proof_limit",
         "_proofs",
         "bad_count",
@@ -91,12 +91,12 @@
 
     def __init__(self, effects, confirm_limit, proof_limit):
         self._effects = effects
-        self._alarm_limit = math.log(ALARM_STARTS)
+        self._alarm_limit = math.log(CUSUM_RESTARTS)
         self._confirm_limit = confirm_limit
         self._proof_limit = proof_limit
         self._alarms = [0.0] * len(effects)
         self._proofs = [0.0] * len(effects)
-        self._suspect = None
+        self._suspicion = None
         self.count = 0
         self.bad_count = 0
         self.reference = 0.0
@@ -130,37 +130,37 @@
         self.reference = reference
         self.count += 1
         self.bad_count += is_bad
-        steps = _log_ratios(is_bad, round(reference, _DIGITS), self._effects)
+        steps = _log_ratios(is_bad, round(reference, _RATE_DIGITS), self._effects)
         for i, step in enumerate(steps):
             proof = self._proofs[i] + step
             self._proofs[i] = proof if proof < _PROOF_CAP else _PROOF_CAP
             alarm = self._alarms[i] + step
             self._alarms[i] = alarm if alarm > 0.0 else 0.0
-        if is_bad and self._suspect is None:
+        if is_bad and self._suspicion is None:
             self._raise_suspicion(window)
 
     def verdict(self, window):
         """Return what the answers say, beside the old version's at the same time."""
-        suspect = self._suspect
+        suspect = self._suspicion
         if suspect is None:
-            return Verdict.NOTHING
+            return Verdict.CLEAR
         new = (self.count - suspect.count, self.bad_count - suspect.bad_count)
         old = (window.count - suspect.old_count, window.bad_count - suspect.old_bad)
-        if old[0] < _MIN_COMPARED and new[1] >= _BAD_ALONE:
+        if old[0] < _MIN_COMPARED and new[1] >= _MIN_BAD_UNCOMPARED:
             return Verdict.BAD
         # A good answer changes little: only some of them are worth the work.
-        if new[1] == suspect.judged_bad and sum(new + old) % _JUDGE_EVERY:
+        if new[1] == suspect.evaluated_bad and sum(new + old) % _EVALUATE_EVERY:
             return Verdict.SUSPECT
-        suspect.judged_bad = new[1]
+        suspect.evaluated_bad = new[1]
         factor = log_bayes_factor(
             new, old, suspect.reference, suspect.effect, self._effects[0]
         )
         if factor >= self._confirm_limit and old[0] >= _MIN_COMPARED:
             return Verdict.BAD
-        if factor > _CLEARED:
+        if factor > _CLEAR_LIMIT:
             return Verdict.SUSPECT
         self.restart_alarm()
-        return Verdict.NOTHING
+        return Verdict.CLEAR
 
     def proven(self, index):
         """Return whether the effect ``index`` is ruled out since the step began."""
@@ -173,12 +173,12 @@
     def restart_alarm(self):
         """Forget what spoke against the version, as it was not the version's."""
         self._alarms = [0.0] * len(self._effects)
-        self._suspect = None
+        self._suspicion = None
 
     def answers_needed(self, index, reference):
         """Return about how many good answers rule out the effect ``index``."""
         return _answers_needed(
-            round(reference, _DIGITS), self._effects, index, self._proof_limit
+            round(reference, _RATE_DIGITS), self._effects, index, self._proof_limit
         )
 
     def _raise_suspicion(self, window):
@@ -186,7 +186,7 @@
         if alarm < self._alarm_limit:
             return
         effect = self._effects[self._alarms.index(alarm)]
-        self._suspect = _Suspicion(
+        self._suspicion = _Suspicion(
             self.count,
             self.bad_count,
             window.count,
@@ -205,7 +205,7 @@
     old_bad: int
     reference: float
     effect: float
-    judged_bad: int = -1
+    evaluated_bad: int = -1
 
 
 @functools.lru_cache(maxsize=8192)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/fakes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/fakes.py
@@ -105,7 +105,7 @@
             self.row = wanted
             self.controller.observe_row(wanted, self.now_ms)
 
-    def told(self, kind):
+    def events_of_type(self, kind):
         return [event for event in self.events if isinstance(event, kind)]
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/fleet.py
@@ -29,7 +29,7 @@
 MAX_BAD_GRANTS = 120
 # All grants of a bad or hanging version may be three homes' worth of this, at any
 # share.
-FIRST_BOUND_PER_HOME = 60
+STRICT_BOUND_PER_HOME = 60
 # A version that hangs is found by overdue answers, which takes the old version's
 # answers to compare with: the bound holds up to this share.
 MAX_HANGING_PERMILLE = 500
@@ -65,7 +65,7 @@
         self.hangs = False
         self.fencing = 0
         self.homes = []
-        self.mail = collections.deque(maxlen=20)
+        self.messages = collections.deque(maxlen=20)
         self.move_count = 0
         self.highest = {}
         self.ended = {}
@@ -81,7 +81,7 @@
 
     # What may happen.
 
-    def operate(self, to_version, moved_by_ms=MOVE_MS):
+    def order_move(self, to_version, moved_by_ms=MOVE_MS):
         """An operator starts a move; refused where one runs."""
         from_version = "v1" if to_version == "v2" else "v2"
         self.move_count += 1
@@ -144,9 +144,9 @@
         for home in self.awake():
             home.now_ms = self.now_ms
             home.controller.tick(self.now_ms)
-            self.write_wanted(home)
+            self.write_wanted_row(home)
 
-    def write_wanted(self, home):
+    def write_wanted_row(self, home):
         """Let a home write what it wants; a conflict makes it read."""
         if not self.store_up:
             return
@@ -229,13 +229,13 @@
         for home in self.awake():
             announcement = home.controller.announcement()
             if announcement is not None:
-                self.mail.append((announcement, self.has_halted(home)))
+                self.messages.append((announcement, self.has_halted(home)))
 
     def deliver(self, index, times=1):
         """Deliver an announcement to all, out of order and repeatedly."""
-        if not self.mail:
+        if not self.messages:
             return
-        announcement, was_halted = self.mail[index % len(self.mail)]
+        announcement, was_halted = self.messages[index % len(self.messages)]
         for home in self.awake():
             former, halted = home.controller.row, self.has_halted(home)
             for _ in range(times):
@@ -264,8 +264,8 @@
     def take_over(self):
         """A new home, with the lease; what it knows is the store's row, or a peer's."""
         row = self.store if self.store_up else None
-        if row is None and self.mail:
-            row = self.mail[-1][0].row
+        if row is None and self.messages:
+            row = self.messages[-1][0].row
         self.homes.append(Home(self, self.kind, row))
         del self.homes[:-3]
 
@@ -275,13 +275,13 @@
         self.home.was_frozen = ms > 3_000
         self.take_over()
 
-    def spoil(self, hangs):
+    def degrade(self, hangs):
         self.is_bad, self.hangs = not hangs, hangs
         for home in self.homes:
             home.bad_grants = 0
 
 
-class FirstBoundFleet(Fleet):
+class StrictBoundFleet(Fleet):
     """A fleet that checks the run's first, stricter bound on bad grants too."""
 
     def __init__(self):
@@ -298,5 +298,5 @@
             self.bad_move_id, self.bad_grants = row.move_id, 0
         if self.is_bad or self.hangs:
             self.bad_grants += 1
-            limit = FIRST_BOUND_PER_HOME * len(self.homes)
+            limit = STRICT_BOUND_PER_HOME * len(self.homes)
             assert self.bad_grants <= limit, "a bad version goes on"
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_controller.py
@@ -49,7 +49,7 @@
         traffic = Traffic()
         hang = lambda version, _: answer() if version == "v1" else None  # noqa: E731
         traffic.serve(hang, 3000)
-        self.assertEqual(len(traffic.told(TakenBack)), 1)
+        self.assertEqual(len(traffic.events_of_type(TakenBack)), 1)
         self.assertLessEqual(traffic.counts["v2"], 12)
 
 
@@ -74,7 +74,7 @@
         """
         self.take_over(60_000)
         self.traffic.serve(bad, 300)
-        self.assertEqual(len(self.traffic.told(TakenBack)), 1)
+        self.assertEqual(len(self.traffic.events_of_type(TakenBack)), 1)
         self.assertLessEqual(self.traffic.counts["v2"], 40)
 
     def test_version_that_hangs_under_such_a_home(self):
@@ -82,7 +82,7 @@
         self.traffic.serve(good, 40)
         hang = lambda version, _: answer() if version == "v1" else None  # noqa: E731
         self.traffic.serve(hang, 600)
-        self.assertEqual(len(self.traffic.told(TakenBack)), 1)
+        self.assertEqual(len(self.traffic.events_of_type(TakenBack)), 1)
         self.assertLessEqual(self.traffic.counts["v2"], 40 + 60)
 
     def test_burst_that_hangs_is_mostly_kept_from_it(self):
@@ -100,7 +100,7 @@
     def test_long_after_the_end_nothing_is_judged(self):
         self.take_over(HOUR_MS)
         self.traffic.serve(bad, 300)
-        self.assertEqual(self.traffic.told(TakenBack), [])
+        self.assertEqual(self.traffic.events_of_type(TakenBack), [])
 
 
 class NewHomeTest(unittest.TestCase):
@@ -124,7 +124,7 @@
     def test_a_good_version_is_moved_in_time(self):
         traffic = Traffic()
         traffic.serve(good, 36_000)
-        self.assertEqual([e.late_ms for e in traffic.told(Finished)], [0])
+        self.assertEqual([e.late_ms for e in traffic.events_of_type(Finished)], [0])
         self.assertEqual(traffic.row.state, MoveState.FINISHED)
         self.assertGreater(traffic.log.checks[Property.BAD_VERSION_SMALL_SHARE], 30_000)
 
@@ -133,7 +133,7 @@
         traffic.serve(bad, 3000)
         self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
         self.assertLessEqual(traffic.counts["v2"], 8)
-        self.assertIn("failed", traffic.told(TakenBack)[0].reason)
+        self.assertIn("failed", traffic.events_of_type(TakenBack)[0].reason)
 
     def test_a_long_good_past_hides_nothing(self):
         """A version serves well for half an hour, then begins to fail.
@@ -150,7 +150,7 @@
 
     def test_badness_after_the_end_is_taken_back(self):
         traffic = Traffic()
-        while not traffic.told(Finished):
+        while not traffic.events_of_type(Finished):
             traffic.serve(good, 1000)
         traffic.serve(bad, 100)
         self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
@@ -164,13 +164,15 @@
         traffic = Traffic()
         one_bad = lambda v, u: failed() if (v, u) == ("v2", 1) else answer()  # noqa: E731
         traffic.serve(one_bad, 10_000)
-        self.assertEqual(traffic.told(TakenBack), [])
-        self.assertEqual(traffic.told(UpstreamSetApart)[0].upstream_id, "v2-1")
+        self.assertEqual(traffic.events_of_type(TakenBack), [])
+        self.assertEqual(
+            traffic.events_of_type(UpstreamSetApart)[0].upstream_id, "v2-1"
+        )
 
     def test_too_little_traffic_is_told(self):
         traffic = Traffic(moved_by_ms=HOUR_MS // 4)
         traffic.serve(good, 100, gap_ms=10_000)
-        self.assertTrue(traffic.told(Late))
+        self.assertTrue(traffic.events_of_type(Late))
         self.assertLessEqual(traffic.counts["v2"], 5)
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
@@ -17,7 +17,7 @@
 from hemlockhoist.decisions.versions.lane import Lane
 from hemlockhoist.decisions.versions.planner import Planner
 from hemlockhoist.decisions.versions.tests.fakes import Traffic, answer
-from hemlockhoist.decisions.versions.tests.fleet import FirstBoundFleet, Fleet
+from hemlockhoist.decisions.versions.tests.fleet import Fleet, StrictBoundFleet
 
 MAX_STEPS = 4_000
 
@@ -28,11 +28,11 @@
     def __init__(self):
         super().__init__()
         self.fleet = Fleet()
-        self.fleet.operate("v2")
+        self.fleet.order_move("v2")
 
     @rule(to_version=st.sampled_from(["v1", "v2"]))
-    def operate(self, to_version):
-        self.fleet.operate(to_version)
+    def order_move(self, to_version):
+        self.fleet.order_move(to_version)
 
     @rule()
     def cancel(self):
@@ -77,8 +77,8 @@
         self.fleet.freeze(ms)
 
     @rule(hangs=st.booleans())
-    def spoil(self, hangs):
-        self.fleet.spoil(hangs)
+    def degrade(self, hangs):
+        self.fleet.degrade(hangs)
 
 
 class FleetTest(FleetMachine.TestCase):
@@ -91,11 +91,11 @@
     settings = settings(max_examples=40, stateful_step_count=40, deadline=None)
 
 
-def steps_until_caught(seed=1, kind=Fleet):
+def steps_until_failure(seed=1, kind=Fleet):
     """Drive a fleet by seeded chance; return the step that broke a rule, or None."""
     draw = random.Random(seed)
     fleet = kind()
-    fleet.operate("v2")
+    fleet.order_move("v2")
     for step in range(1, MAX_STEPS + 1):
         try:
             _take_step(fleet, draw)
@@ -112,7 +112,7 @@
         fleet.advance(draw.randint(100, 2_000))
         return
     rare = (
-        lambda: fleet.operate(draw.choice(["v1", "v2"])),
+        lambda: fleet.order_move(draw.choice(["v1", "v2"])),
         lambda: fleet.cancel() if draw.random() < 0.1 else None,
         lambda: fleet.halt() if draw.random() < 0.2 else None,
         fleet.gossip,
@@ -122,7 +122,7 @@
         lambda: (
             fleet.freeze(draw.randint(500, 30_000)) if draw.random() < 0.3 else None
         ),
-        lambda: fleet.spoil(draw.random() < 0.5) if draw.random() < 0.2 else None,
+        lambda: fleet.degrade(draw.random() < 0.5) if draw.random() < 0.2 else None,
     )
     draw.choice(rare)()
 
@@ -144,22 +144,22 @@
     "an older row is taken": (controller, "is_newer", _always(True)),
     "a new home starts at a full share": (
         lanes.LaneTable,
-        "_known_share",
+        "_share_in_row",
         _full_share,
     ),
-    "non-idempotent calls begin at once": (Planner, "_is_cautious", _always(False)),
+    "non-idempotent calls begin at once": (Planner, "_is_deferred", _always(False)),
 }
 
 
 class MutationTest(unittest.TestCase):
     def test_the_unbroken_code_passes(self):
         for seed in range(1, 4):
-            self.assertIsNone(steps_until_caught(seed))
+            self.assertIsNone(steps_until_failure(seed))
 
     def test_each_broken_guard_is_caught(self):
         for name, (owner, attribute, broken) in MUTATIONS.items():
             with self.subTest(name), mock.patch.object(owner, attribute, broken):
-                found = [steps_until_caught(seed) for seed in range(1, 4)]
+                found = [steps_until_failure(seed) for seed in range(1, 4)]
                 steps = [step for step in found if step is not None]
                 self.assertTrue(steps, name)
                 print(f"mutation: {name}: caught after {min(steps)} steps")
@@ -173,15 +173,15 @@
         traffic = Traffic()
         with mock.patch.object(Lane, "newly_overdue", _always([])):
             traffic.serve(hang, 3_000)
-        self.assertEqual(traffic.told(TakenBack), [])
+        self.assertEqual(traffic.events_of_type(TakenBack), [])
         traffic = Traffic()
-        while not traffic.told(TakenBack):
+        while not traffic.events_of_type(TakenBack):
             traffic.serve(hang, 1)
         self.assertLess(traffic.sequence, 3_000)
         print(f"mutation: overdue answers: verdict after {traffic.sequence} requests")
 
 
-class FirstBoundTest(unittest.TestCase):
+class StrictBoundTest(unittest.TestCase):
     def test_version_that_turns_bad_at_a_full_share_goes_on_under_new_homes(self):
         """
         A version has all of the traffic and turns bad, and the pool's home changes. A
@@ -191,4 +191,4 @@
         """
         for seed in range(1, 7):
             with self.subTest(seed=seed):
-                self.assertIsNone(steps_until_caught(seed, FirstBoundFleet))
+                self.assertIsNone(steps_until_failure(seed, StrictBoundFleet))
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
@@ -14,9 +14,9 @@
 PAUSE_MS = 3_000
 
 
-def book(checks_fencing=True, fencing=1, now_ms=0):
+def new_tracker(checks_fencing=True, fencing=1, now_ms=0):
     return OrderTracker.from_config(
-        checks_fencing, fencing, now_ms + LEASE_MS, now_ms, longest_pause_ms=PAUSE_MS
+        checks_fencing, fencing, now_ms + LEASE_MS, now_ms, max_pause_ms=PAUSE_MS
     )
 
 
@@ -27,19 +27,19 @@
         It is sent again under the same id until the engine is seen to run the
         version, and then no more.
         """
-        orders = book()
-        orders.want("e1", "v2")
+        orders = new_tracker()
+        orders.set_target("e1", "v2")
         first = orders.due(0)
         self.assertEqual(orders.due(1), [])
         self.assertEqual(orders.due(RESEND_MS), first)
-        orders.want("e1", "v2")
+        orders.set_target("e1", "v2")
         orders.observe("e1", "v2")
         self.assertEqual(orders.due(2 * RESEND_MS - 1), [])
         self.assertIs(orders.state("e1"), OrderState.IN_FORCE)
 
     def test_a_holder_past_its_lease_sends_nothing(self):
-        orders = book()
-        orders.want("e1", "v2")
+        orders = new_tracker()
+        orders.set_target("e1", "v2")
         self.assertEqual(orders.due(LEASE_MS), [])
         orders.renew(2 * LEASE_MS)
         self.assertEqual(len(orders.due(LEASE_MS)), 1)
@@ -51,8 +51,8 @@
         the frozen host's would come after it and stay. The successor waits out the
         longest pause; what slips in later is read back and ordered anew.
         """
-        successor = book(checks_fencing=False, fencing=2)
-        successor.want("e1", "v1")
+        successor = new_tracker(checks_fencing=False, fencing=2)
+        successor.set_target("e1", "v1")
         self.assertEqual(successor.due(PAUSE_MS - 1), [])
         self.assertEqual(len(successor.due(PAUSE_MS)), 1)
         successor.observe("e1", "v1")
@@ -60,11 +60,11 @@
         self.assertEqual(len(successor.due(PAUSE_MS + 1)), 1)
 
     def test_a_refusal_with_a_higher_number_ends_the_book(self):
-        orders = book(fencing=1)
-        orders.want("e1", "v2")
-        orders.refuse("e1", 1)
-        self.assertFalse(orders.is_lost)
-        orders.refuse("e1", 2)
+        orders = new_tracker(fencing=1)
+        orders.set_target("e1", "v2")
+        orders.record_refusal("e1", 1)
+        self.assertFalse(orders.is_lease_lost)
+        orders.record_refusal("e1", 2)
         self.assertEqual(orders.due(0), [])
 
 
@@ -79,19 +79,19 @@
         self.now_ms = 0
         self.engine = "v1"
         self.engine_fencing = 0
-        self.books = [self.new_book(1)]
+        self.trackers = [self.new_holder(1)]
         self.frozen = []
         self.taken_ms = 0
 
-    def new_book(self, fencing):
+    def new_holder(self, fencing):
         made = OrderTracker.from_config(
             self.checks_fencing,
             fencing,
             self.now_ms + LEASE_MS,
             self.now_ms,
-            longest_pause_ms=self.pause_ms,
+            max_pause_ms=self.pause_ms,
         )
-        made.want("e1", f"v{fencing + 1}")
+        made.set_target("e1", f"v{fencing + 1}")
         return made
 
     def apply(self, order):
@@ -110,25 +110,25 @@
 
     @rule()
     def send(self):
-        for order in self.books[-1].due(self.now_ms):
+        for order in self.trackers[-1].due(self.now_ms):
             self.apply(order)
-        self.books[-1].renew(self.now_ms + LEASE_MS)
+        self.trackers[-1].renew(self.now_ms + LEASE_MS)
 
     @rule()
     def read_back(self):
-        self.books[-1].observe("e1", self.engine)
+        self.trackers[-1].observe("e1", self.engine)
 
     @rule(pause_ms=st.integers(1, PAUSE_MS))
-    @precondition(lambda self: len(self.books) < 4)
+    @precondition(lambda self: len(self.trackers) < 4)
     def freeze_the_holder_as_it_sends(self, pause_ms):
-        for order in self.books[-1].due(self.now_ms):
+        for order in self.trackers[-1].due(self.now_ms):
             self.frozen.append((self.now_ms + pause_ms, order))
-        self.books.append(self.new_book(len(self.books) + 1))
+        self.trackers.append(self.new_holder(len(self.trackers) + 1))
         self.taken_ms = self.now_ms
 
     @invariant()
     def an_order_in_force_stays_so(self):
-        current = self.books[-1]
+        current = self.trackers[-1]
         if (
             current.state("e1") is OrderState.IN_FORCE
             and not self.engine_runs_the_order()
@@ -136,7 +136,7 @@
             raise AssertionError(f"engine runs {self.engine}")
 
     def engine_runs_the_order(self):
-        return self.engine == f"v{len(self.books) + 1}"
+        return self.engine == f"v{len(self.trackers) + 1}"
 
 
 class IgnoringOrderMachine(OrderMachine):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
@@ -8,7 +8,10 @@
     TakenBack,
     Widened,
 )
-from hemlockhoist.decisions.versions.planner import GATE_REQUESTS, MAX_TRIAL_CALLS
+from hemlockhoist.decisions.versions.planner import (
+    MAX_TRIAL_CALLS,
+    NON_IDEMPOTENT_ONLY_GRANTS,
+)
 from hemlockhoist.decisions.versions.tests.fakes import (
     HOUR_MS,
     Traffic,
@@ -29,7 +32,7 @@
         traffic.serve(good, 5_000)
         traffic.store_up = False
         traffic.serve(bad, 1_000)
-        self.assertEqual(len(traffic.told(TakenBack)), 1)
+        self.assertEqual(len(traffic.events_of_type(TakenBack)), 1)
         self.assertEqual(traffic.row.state, MoveState.RUNNING)
         before = traffic.counts["v2"]
         traffic.serve(bad, 1_000)
@@ -44,7 +47,9 @@
         row = traffic.row
         traffic.store_up = False
         traffic.serve(good, 10_000)
-        self.assertEqual(traffic.told(Widened)[-1].share_permille, row.share_permille)
+        self.assertEqual(
+            traffic.events_of_type(Widened)[-1].share_permille, row.share_permille
+        )
         share = traffic.controller.announcement().row.share_permille
         self.assertEqual(share, row.share_permille)
 
@@ -74,7 +79,7 @@
         share = (traffic.counts["v2"] - before["v2"]) / 1_000
         self.assertAlmostEqual(share, heard.row.share_permille / 1000, delta=0.01)
         traffic.serve(bad, 1_000)
-        self.assertEqual(len(traffic.told(TakenBack)), 1)
+        self.assertEqual(len(traffic.events_of_type(TakenBack)), 1)
 
     def test_a_frozen_home_grants_nothing_before_it_hears_from_a_peer(self):
         """A home is frozen; meanwhile the version turns bad and peers halt it.
@@ -121,8 +126,8 @@
         for request, version in zip(lost, versions, strict=True):
             traffic.controller.on_forget(request, version, traffic.now_ms)
         traffic.serve(good, 300)
-        self.assertEqual(traffic.told(TakenBack), [])
-        self.assertTrue(all(not lane.waiting for lane in traffic.controller._lanes))
+        self.assertEqual(traffic.events_of_type(TakenBack), [])
+        self.assertTrue(all(not lane.in_flight for lane in traffic.controller._lanes))
 
     def test_a_halted_version_is_granted_only_by_a_fault(self):
         traffic = Traffic()
@@ -137,8 +142,8 @@
             traffic.serve(outcome_of, 1, idempotent=i % 3 != 0)
 
     def shares(self, traffic, idempotent):
-        told = traffic.told(Widened)
-        return [e for e in told if e.idempotent is idempotent]
+        events = traffic.events_of_type(Widened)
+        return [e for e in events if e.idempotent is idempotent]
 
     def test_bookings_follow_lookups_that_have_shown_the_version(self):
         traffic = Traffic()
@@ -146,12 +151,12 @@
         first = self.shares(traffic, idempotent=False)[0]
         shown = [e for e in self.shares(traffic, True) if e.share_permille >= 500]
         self.assertGreaterEqual(first.at_ms, shown[0].at_ms)
-        self.assertEqual([e.late_ms for e in traffic.told(Finished)], [0])
+        self.assertEqual([e.late_ms for e in traffic.events_of_type(Finished)], [0])
 
     def test_a_version_that_fails_at_once_gets_no_booking(self):
         traffic = Traffic()
         self.serve_mixed(traffic, 6_000, bad)
-        self.assertEqual(traffic.told(TakenBack)[0].non_idempotent_count, 0)
+        self.assertEqual(traffic.events_of_type(TakenBack)[0].non_idempotent_count, 0)
 
     def test_a_pool_without_lookups_begins_one_at_a_time(self):
         """A label registry has only calls that issue labels.
@@ -162,7 +167,7 @@
         """
         traffic = Traffic()
         never = lambda version, _: answer() if version == "v1" else None  # noqa: E731
-        traffic.serve(good, GATE_REQUESTS, idempotent=False)
+        traffic.serve(good, NON_IDEMPOTENT_ONLY_GRANTS, idempotent=False)
         self.assertEqual(traffic.counts["v2"], 0)
         for _ in range(3_000):
             traffic.grant(traffic.request(idempotent=False))
@@ -175,7 +180,7 @@
     def test_a_pool_without_lookups_is_moved(self):
         traffic = Traffic()
         traffic.serve(good, 36_000, idempotent=False)
-        self.assertEqual([e.late_ms for e in traffic.told(Finished)], [0])
+        self.assertEqual([e.late_ms for e in traffic.events_of_type(Finished)], [0])
 
     def test_an_undecided_trial_ends_at_its_bound(self):
         """Calls are slower than before, but too few to call the version slow.
@@ -193,5 +198,5 @@
 
         traffic.serve(sometimes_slow, 18_000, idempotent=False)
         self.assertLessEqual(traffic.counts["v2"], MAX_TRIAL_CALLS)
-        if not traffic.told(TakenBack):
-            self.assertIn("have not proven", traffic.told(Late)[-1].reason)
+        if not traffic.events_of_type(TakenBack):
+            self.assertIn("have not proven", traffic.events_of_type(Late)[-1].reason)
