--- a/libs/decisions/src/hemlockhoist/decisions/versions/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/__init__.py
@@ -1,4 +1,4 @@
-"""Version moves: counted shares, sequential evidence, and orders to upstreams."""
+"""Version moves: traffic shares, sequential tests, and orders to upstreams."""
 
 from hemlockhoist.decisions.versions.controller import MoveController
 from hemlockhoist.decisions.versions.events import (
@@ -37,15 +37,15 @@
     "MoveRequest",
     "MoveState",
     "Order",
-    "OrderTracker",
     "OrderState",
+    "OrderTracker",
     "TakenBack",
     "TrialBound",
     "UpstreamSetApart",
     "Widened",
     "cancel_move",
     "finish_move",
-    "start_move",
     "roll_back_move",
+    "start_move",
     "widen_move",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/versions/checks.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/checks.py
@@ -1,4 +1,4 @@
-"""Assertions that a bad version gets a small share, and none once it is halted."""
+"""Invariant checks on the share of a new version and on halted versions."""
 
 from hemlockhoist.base import Property
 
@@ -16,22 +16,22 @@
     Raises
     ======
     PropertyViolation
-        When it is, and violations are fatal.
+        If it is halted and violations are fatal.
     """
     invariants.check(
         Property.BAD_VERSION_SMALL_SHARE,
         halted_reason is None,
-        f"pool {row.pool}: grant of {version}, which is halted: {halted_reason}",
+        f"pool {row.pool}: grant of halted version {version}: {halted_reason}",
     )
 
 
 def check_share(invariants, row, lane):
-    """Check that the new version's grants on a lane are within its shares so far.
+    """Check that the grants of the new version on a lane are within its shares.
 
     Raises
     ======
     PropertyViolation
-        When they are not, and violations are fatal.
+        If they are not and violations are fatal.
     """
     invariants.check(
         Property.BAD_VERSION_SMALL_SHARE,
--- a/libs/decisions/src/hemlockhoist/decisions/versions/confirm.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/confirm.py
@@ -1,34 +1,35 @@
-"""Confirm or clear a suspicion with both versions' answers of the same time.
-
-A failing dependency strikes both versions at once, and the new one's answers may
-tell of it first; a rate that is worked out from the old version's past then accuses
-a good version. So a suspicion opens a fresh comparison: only answers that come from
-now on count, of both versions, and the question is how much likelier the new ones
-are under a rate of their own than under the old version's. What is not known of the
-old version's rate is part of the answer, as a distribution instead of a number.
+"""Bayes factor that confirms or clears a suspicion against a new version.
+
+A failing dependency affects both versions at once, but may show first in the answers of
+the new one; compared with the old version's past rate, a good version then looks bad.
+So a suspicion is decided by the answers of both versions since it was raised. The factor
+states how much likelier the new version's answers are under a rate of its own than under
+the old version's rate. The uncertainty of that rate is included: it enters as a
+distribution, not as a point estimate.
 """
 
 import math
 
-# The old version's past counts like this many answers.
+# Weight of the old version's past rate, in answers.
 _PRIOR_ANSWERS = 10
-# How likely it is, before any answer, that a trouble common to both has just begun.
+# Prior probability that a fault common to both versions has just begun.
 _COMMON_FAULT_PRIOR = 0.2
-# Half of the alternative is the effect that raised the suspicion, half any rate.
+# Weight of each half of the alternative hypothesis: the effect size that raised the
+# suspicion, and a grid of any effect sizes.
 _COMPONENT_WEIGHT = 0.5
 _GRID_SIZE = 8
 _MAX_RATE = 0.98
 
 
 def log_bayes_factor(new, old, reference, effect, least_effect):
-    """Return the logarithm of how much likelier the answers are for a bad version.
+    """Return the log Bayes factor of a bad version against a good one.
 
     Parameters
     ==========
     new, old : tuple of int
-        Answers and bad answers of either version since the suspicion.
+        Numbers of answers and of bad answers of each version since the suspicion.
     reference : float
-        Rate of the old version before it.
+        Rate of the old version before the suspicion.
     effect : float
         Excess of the new version's rate that raised the suspicion.
     least_effect : float
@@ -48,8 +49,9 @@
     same = _log_sum(
         [weight + _log_marginal(beta, bad, good) for weight, beta in hypotheses]
     )
-    # Worse means above the old version's rate by the least effect that matters: a
-    # version that is better than the old one in its trouble is as unlike it.
+    # The alternative only includes rates above the old version's by at least the least
+    # effect. A version that is better than the old one during a fault differs from it
+    # as well, but is not bad.
     rate = sum(math.exp(weight) * beta[0] / sum(beta) for weight, beta in hypotheses)
     grid_weight = math.log(_COMPONENT_WEIGHT / _GRID_SIZE)
     worse = [
@@ -63,10 +65,10 @@
 
 
 def _hypotheses(bad, good, reference):
-    """Return the log weight and the beta distribution of each reading of the past.
+    """Return the log weight and beta distribution of each hypothesis on the old rate.
 
-    Either the old version goes on as before, or a trouble common to both has just
-    begun; the weight of each is how well it foretold the old version's answers.
+    Either the old version's rate is unchanged, or a fault common to both versions has
+    just begun. Each is weighted by its marginal likelihood of the old version's answers.
     """
     past = (_PRIOR_ANSWERS * reference, _PRIOR_ANSWERS * (1 - reference))
     usual = math.log(1 - _COMMON_FAULT_PRIOR) + _log_marginal(past, bad, good)
@@ -79,7 +81,7 @@
 
 
 def _excesses(least, most):
-    """Return excesses from least to most, evenly spaced by ratio."""
+    """Return geometrically spaced excesses from ``least`` to ``most``."""
     ratio = max(1.0, most / least) ** (1 / (_GRID_SIZE - 1))
     return [least * ratio**i for i in range(_GRID_SIZE)]
 
@@ -90,7 +92,7 @@
 
 
 def _log_marginal(beta, bad, good):
-    """Return the log probability of answers under a beta-distributed rate."""
+    """Return the log marginal likelihood of answers under a beta-distributed rate."""
     a, b = beta
     return _log_beta(a + bad, b + good) - _log_beta(a, b)
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -26,42 +26,44 @@
 from hemlockhoist.decisions.versions.schedule import Schedule
 from hemlockhoist.decisions.versions.trial import UNBOUNDED
 
-# Evidence is gathered this long after the end, while the old version can return.
+# How long the new version is observed after the end of the move, while traffic can
+# still go back to the old one.
 WATCH_MS = 600_000
-# A home whose clock jumps by this much was frozen: peers may have halted the version
-# meanwhile. It grants the new version nothing until it has heard from one of them.
+# A home whose clock jumps by this much was suspended, and peers may have halted the
+# version meanwhile. It grants the new version nothing until a peer or the store has
+# reported the state of the move.
 PAUSE_LIMIT_MS = 3_000
-# Steps are worked out this often: they depend on answers, of which few
-# come in the meantime, and cost more than one answer does.
+# Interval between planning rounds. Planning costs more than recording one answer, and
+# only few answers arrive in between.
 PLAN_INTERVAL_MS = 1_000
 AUTHOR = "hemlockhoist"
 _ROLLED_BACK_STATES = (MoveState.ROLLED_BACK, MoveState.CANCELLED)
 
 
 class MoveController(VersionPolicy):
-    """Spreads a pool's traffic over two versions while one replaces the other.
+    """Splits a pool's traffic between two versions while one replaces the other.
 
-    The host reads and writes the row: it asks ``wanted_row``, writes the answer by
-    compare-and-set, and hands what the table service then holds to ``observe_row``.
-    No share grows before the wider row is written, so a new home that knows only the
-    row never grants more than its predecessor did.
+    The host reads and writes the row: it calls ``wanted_row``, writes the result by
+    compare-and-set, and passes the stored row to ``observe_row``. A share takes effect
+    only after its row is written, so a new home that knows only the row never grants
+    more than its predecessor did.
     """
 
     __slots__ = (
         "_delays",
+        "_evaluator",
         "_events",
         "_finished_ms",
         "_halts",
         "_invariants",
         "_is_over",
         "_is_stale",
-        "_evaluator",
         "_lanes",
+        "_last_time_ms",
         "_planned_ms",
         "_planner",
         "_pool",
         "_row",
-        "_last_time_ms",
         "_trial",
         "_unix_offset_ms",
         "_watch_ms",
@@ -90,21 +92,21 @@
         trial=UNBOUNDED,
         watch_ms=WATCH_MS,
     ):
-        """Return a controller that goes on where the row stands.
+        """Return a controller that continues from the state in the row.
 
         Parameters
         ==========
         pool : hemlockhoist.declarations.Pool
         move : Move or None
-            The row, from the table service or from a peer's announcement.
+            Row from the table service or from a peer's announcement.
         now_ms, unix_ms : int
-            The home's clock, and the date at the same moment.
+            Time on the home's clock, and the Unix time at the same moment.
         invariants : hemlockhoist.base.InvariantLog, optional
         trial : TrialBound, optional
-            On what the pool's unproven version may get over all routes.
+            Limit on the requests of an unproven version over all routes.
         watch_ms : int, optional
-            How long the version is watched after the end, while the old one can
-            return; 0 where the old one stops with the end.
+            How long the version is observed after the end of the move; 0 if the old
+            version's upstreams stop at the end.
         """
         log = invariants if invariants is not None else InvariantLog(fatal=False)
         controller = cls(pool, now_ms, unix_ms - now_ms, log, trial, watch_ms)
@@ -113,33 +115,33 @@
         return controller
 
     def record_unix_ms(self, now_ms, unix_ms):
-        """Take the date; the times of rows that come from here on are read by it.
+        """Set the Unix time by which the times in later rows are converted.
 
-        Made for a home that begins before it has heard the date from the store.
+        Needed by a home that starts before it has learned the time from the store.
         """
         self._unix_offset_ms = unix_ms - now_ms
 
     def redeclare(self, pool):
-        """Take a changed record of the pool; a move under way keeps its rules."""
+        """Set a changed declaration of the pool; a running move keeps its rules."""
         self._pool = pool
 
     @property
     def row(self):
-        """The move's row as last known, or None."""
+        """Latest known row of the move, or None."""
         return self._row
 
     @property
     def excluded_upstreams(self):
-        """Upstreams that are bad where others of their version are not."""
+        """Upstreams whose answers are bad while others of their version are good."""
         return frozenset(self._evaluator.excluded) if self._row else frozenset()
 
     @property
     def verdict(self):
-        """The ``TakenBack`` event, where the evidence here was against the version."""
+        """``TakenBack`` event if this home found the version bad, otherwise None."""
         return self._evaluator.verdict if self._row else None
 
     def candidates(self, request, versions, now_ms):
-        """Return the versions that may serve ``request``, preferred first."""
+        """Return the versions that may serve ``request``, in order of preference."""
         if self._row is None:
             return self._stable_version_only(versions)
         self._record_time(now_ms)
@@ -150,7 +152,7 @@
         )
 
     def on_grant(self, request, version, now_ms, upstream_id=""):
-        """Count a grant, and check that it was within the share."""
+        """Count a grant and check that it was within the share."""
         if self._row is None:
             return
         halted = self._halts.reason(self._row.move_id, version)
@@ -166,7 +168,7 @@
             lane.record_old_grant()
 
     def on_adopt(self, request, version, now_ms, upstream_id=""):
-        """Count a grant of a former home, which is in flight."""
+        """Count an in-flight grant that a former home issued."""
         if not self._is_counted(version):
             return
         self._evaluator.loads.count_grant(version, upstream_id, now_ms)
@@ -177,12 +179,12 @@
             lane.old_outstanding += 1
 
     def on_forget(self, request, version, now_ms):
-        """Stop counting a grant whose outcome nobody will report."""
+        """Stop counting a grant whose outcome will never be reported."""
         if self._is_counted(version):
             self._evaluator.forget(request, version, now_ms)
 
     def on_outcome(self, request, version, outcome, now_ms, upstream_id=""):
-        """Take the outcome of a granted request as evidence."""
+        """Record the outcome of a granted request as evidence."""
         if not self._is_counted(version):
             return
         lane = self._lanes.get(request, now_ms)
@@ -196,10 +198,10 @@
         self._apply_verdict(events, now_ms)
 
     def halt(self, version, reason, now_ms):
-        """Grant the version nothing more in this move, here and now.
+        """Stop granting the version for the rest of this move, with immediate effect.
 
-        Needs no store and no lease. A version that is halted stays so until a new
-        move, whatever is heard or read afterwards.
+        Needs no store and no lease. A halted version stays halted until a new move,
+        whatever is received or read afterwards.
         """
         if self._row is None:
             return
@@ -207,7 +209,7 @@
             self._emit(Halted, version, now_ms, reason=reason)
 
     def tick(self, now_ms):
-        """Judge what is overdue; return the events since the last call.
+        """Evaluate overdue requests and return the events since the last call.
 
         Returns
         =======
@@ -228,8 +230,8 @@
         ==========
         now_ms : int
         fencing : int, optional
-            Of the lease that the host holds and that is live; without one only a
-            taking back is asked for, as widening needs a live lease.
+            Fencing token of a live lease that the host holds. Without one, only a
+            roll-back is returned, as larger shares need a live lease.
         """
         row = self._row
         if row is None or row.state in _ROLLED_BACK_STATES:
@@ -246,10 +248,11 @@
         return self._wider_row(now_ms, fencing)
 
     def observe_row(self, row, now_ms):
-        """Take the row that the table service holds, or that a peer told of.
+        """Apply a row from the table service or from a peer.
 
-        An older move, a state that has ended reverting to running, and a smaller
-        share under an older lease are ignored: peers' news come late and crossed.
+        Ignores rows of an older move, rows that would return a final state to running,
+        and smaller shares under an older lease, as announcements of peers arrive late
+        and out of order.
         """
         if row is None:
             return
@@ -263,21 +266,21 @@
             self._apply_row(row, now_ms)
 
     def announcement(self):
-        """Return what to tell peers, or None without a move."""
+        """Return the announcement for peers, or None if there is no move."""
         if self._row is None:
             return None
         halted = self._halts.of_move(self._row.move_id)
         return MoveAnnouncement(row=self._row, halted=halted)
 
     def observe_announcement(self, announcement, now_ms):
-        """Take a peer's announcement: its row, and what it has halted."""
+        """Apply the row and the halted versions of a peer's announcement."""
         self.observe_row(announcement.row, now_ms)
         if self._row.move_id != announcement.row.move_id:
             return
         for version, reason in announcement.halted.items():
             self.halt(version, reason, now_ms)
 
-    # Which version may serve.
+    # Selection of versions.
 
     def _stable_version_only(self, versions):
         stable = self._pool.stable_version
@@ -310,19 +313,19 @@
         return version in (row.from_version, row.to_version)
 
     def _may_add_in_flight(self, lane, now_ms):
-        """Return whether one more request may wait for the new version's answer."""
+        """Return whether the new version may hold one more unanswered request."""
         if not self._is_trial_open(lane, now_ms):
             return False
         if lane.effective_permille >= FULL_PERMILLE:
             return lane.outstanding < lane.max_outstanding_at_full_share
         if not self._planner.is_trial(lane):
             return lane.outstanding < lane.max_outstanding
-        # One at a time: the next booking or label goes to an unproven version only
-        # when the one before has been answered, or has been judged as overdue.
+        # One at a time: an unproven version gets the next non-idempotent request only
+        # when the previous one has been answered or counted as overdue.
         return lane.outstanding == 0 and lane.new_count < MAX_TRIAL_CALLS
 
     def _is_trial_open(self, lane, now_ms):
-        """Return whether the trial's bound allows one more request."""
+        """Return whether the trial bound allows one more request."""
         schedule = self._planner.schedule
         trial = list(self._lanes)
         if schedule.elapsed_fraction(now_ms) >= self._trial.until_fraction:
@@ -332,7 +335,7 @@
         new = sum(item.new_count for item in trial)
         return self._trial.allows(new, sum(item.granted_count for item in trial))
 
-    # The course of a move.
+    # Progress of a move.
 
     def _begin_move(self, row, now_ms):
         rules = self._pool.version_rules
@@ -348,7 +351,7 @@
         self._is_over = row.state is not MoveState.RUNNING
         if row.state is MoveState.FINISHED:
             # A home that takes over after the end has no answers of the old version
-            # to compare with, and goes on to watch by the new one's own past.
+            # to compare with; it compares with the new version's own past answers.
             self._finished_ms = row.ended_unix_ms - self._unix_offset_ms
             self._is_over = now_ms - self._finished_ms >= self._watch_ms
         self._halts.forget_others(row.move_id)
@@ -389,10 +392,10 @@
                 self.halt(event.version, event.reason, now_ms)
 
     def _may_widen(self, fencing):
-        """Return whether the host's lease allows a wider share.
+        """Return whether the host's lease permits larger shares.
 
-        A holder that was paused past its lease has an older number than the row, or
-        does not know yet what happened meanwhile.
+        A holder that was paused past its lease has an older fencing token than the
+        row, or has not yet learned what happened during the pause.
         """
         if fencing is None or self._is_stale:
             return False
@@ -436,7 +439,7 @@
         self._is_over = True
         self._lanes.clear()
 
-    # What operators are told.
+    # Events for operators.
 
     def _emit(self, kind, version, now_ms, **fields):
         event = kind(
--- a/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
@@ -1,13 +1,13 @@
-"""Tell operators when a move can not finish in time, and why."""
+"""Reports to operators on moves that will not finish in time."""
 
 from hemlockhoist.decisions.versions.events import Late
 
-# The estimate rests on traffic of minutes: it is looked at this often.
+# Interval between checks. The estimate is based on minutes of traffic and changes slowly.
 CHECK_INTERVAL_MS = 5_000
 
 
 class DelayMonitor:
-    """Tells of a delay twice at most: when it shows, and at the time itself.
+    """Reports a delay at most twice: when it is expected, and at the "moved by" time.
 
     Parameters
     ==========
@@ -15,7 +15,7 @@
     planner : Planner
     """
 
-    __slots__ = ("_checked_ms", "_planner", "_row", "_report_count")
+    __slots__ = ("_checked_ms", "_planner", "_report_count", "_row")
 
     def __init__(self, row, planner):
         self._row = row
@@ -24,7 +24,7 @@
         self._report_count = 0
 
     def check(self, lanes, now_ms):
-        """Return the events that are due.
+        """Return the delay to report now, if any.
 
         Parameters
         ==========
--- a/libs/decisions/src/hemlockhoist/decisions/versions/evaluator.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evaluator.py
@@ -1,4 +1,4 @@
-"""Turn the answers of both versions into verdicts."""
+"""Evaluation of the new version by the answers of both versions."""
 
 import itertools
 
@@ -10,7 +10,7 @@
 
 
 class VersionEvaluator:
-    """Gathers evidence on a move's lanes and says when the version is bad.
+    """Collects evidence on the lanes of a move and decides if the version is bad.
 
     Parameters
     ==========
@@ -19,13 +19,13 @@
     """
 
     __slots__ = (
-        "_last_report_ms",
         "_lanes",
+        "_last_report_ms",
         "_move_id",
         "_new_version",
         "_pool",
-        "loads",
         "excluded",
+        "loads",
         "verdict",
     )
 
@@ -40,13 +40,13 @@
         self.verdict = None
 
     def observe_old(self, lane, outcome, version, now_ms):
-        """Take an answer of the old version; return the events that follow."""
+        """Record an answer of the old version and return the resulting events."""
         lane.old_outstanding = max(0, lane.old_outstanding - 1)
         lane.evidence.observe_old(outcome, self.loads.load(version, now_ms))
         return self._evaluate(lane, now_ms) if lane.is_suspect else []
 
     def observe_new(self, lane, request_id, outcome, upstream_id, now_ms):
-        """Take an answer of the new version; return the events that follow."""
+        """Record an answer of the new version and return the resulting events."""
         if outcome.kind is OutcomeKind.SUCCESS:
             lane.record_success()
         held = lane.remove_in_flight(request_id)
@@ -60,11 +60,11 @@
         return self._evaluate(lane, now_ms)
 
     def record_report(self, entry_host, now_ms):
-        """Note that an entry host is alive: it has reported an outcome."""
+        """Record that an entry host has reported an outcome and is therefore alive."""
         self._last_report_ms[entry_host] = now_ms
 
     def forget(self, request, version, now_ms):
-        """Stop counting a request whose outcome nobody will report."""
+        """Stop counting a request whose outcome will never be reported."""
         lane = self._lanes.get(request, now_ms)
         if version == self._new_version:
             lane.remove_in_flight(request.request_id)
@@ -72,7 +72,7 @@
             lane.old_outstanding = max(0, lane.old_outstanding - 1)
 
     def evaluate_overdue(self, now_ms):
-        """Count answers that are overdue as failures; return what follows."""
+        """Count overdue answers as failures and return the resulting events."""
         if self.verdict is not None:
             return []
         events = []
@@ -94,8 +94,8 @@
         recent = itertools.chain(*(item.evidence.recent for item in self._lanes))
         reference = lane.evidence.tests[measure].reference
         upstream_id = single_bad_upstream(recent, measure, reference)
-        # One upstream may be at fault by itself; when a second one is bad as well,
-        # what they share is the version.
+        # A single upstream may be faulty on its own. If a second one is bad as well,
+        # the fault is attributed to the version that they share.
         if upstream_id and not self.excluded:
             return [self._exclude(lane, upstream_id, measure, now_ms)]
         self.verdict = self._roll_back(lane, measure, now_ms)
@@ -112,7 +112,10 @@
             version=self._new_version,
             at_ms=now_ms,
             upstream_id=upstream_id,
-            reason=f"{lane.route}: its answers {measure.value}, its fellows' did not",
+            reason=(
+                f"{lane.route}: answers of this upstream {measure.value}, "
+                "those of the version's other upstreams did not"
+            ),
         )
 
     def _roll_back(self, lane, measure, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/events.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/events.py
@@ -1,17 +1,17 @@
-"""What operators are told of a version move, one record for each event."""
+"""Events of version moves, reported to operators."""
 
 import msgspec
 
 
 class MoveEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of the events of a move.
+    """Base class of the events of a move.
 
     Parameters
     ==========
     move_id, pool, version : str
-        ``version`` is the one that the event is about.
+        ``version`` is the version that the event concerns.
     at_ms : int
-        On the home's clock.
+        Time on the home's clock.
     """
 
     move_id: str
@@ -21,7 +21,7 @@
 
 
 class Widened(MoveEvent, frozen=True, kw_only=True):
-    """A route's share of the new version grew."""
+    """The new version's share of a route was increased."""
 
     route: str
     idempotent: bool
@@ -29,23 +29,23 @@
 
 
 class Halted(MoveEvent, frozen=True, kw_only=True):
-    """The version gets no further grant in this move."""
+    """The version gets no further grants in this move."""
 
     reason: str
 
 
 class TakenBack(MoveEvent, frozen=True, kw_only=True):
-    """The evidence speaks against the version; all traffic is on the old one.
+    """The version was found bad; the old version gets all traffic.
 
     Parameters
     ==========
     route, measure : str
     bad_count, answer_count : int
-        Of the new version, since the move began.
+        Answers of the new version since the move began.
     reference_permille : int
-        How often the old version did the same at the time.
+        Rate of bad answers of the old version at that time.
     granted_count, non_idempotent_count : int
-        What the version had received in all.
+        Requests that the version had received in total.
     """
 
     route: str
@@ -58,7 +58,7 @@
 
     @property
     def reason(self):
-        """The figures as a sentence."""
+        """Counts and rates as a sentence."""
         return (
             f"{self.route}: {self.bad_count} of {self.answer_count} answers "
             f"{self.measure}; old version at that time: "
@@ -69,23 +69,23 @@
 
 
 class Finished(MoveEvent, frozen=True, kw_only=True):
-    """All traffic is on the new version.
+    """The new version gets all traffic.
 
-    ``late_ms`` is 0 where it was in time.
+    ``late_ms`` is 0 if the move finished in time.
     """
 
     late_ms: int
 
 
 class Late(MoveEvent, frozen=True, kw_only=True):
-    """The move will not, or did not, finish by its time."""
+    """The move is not expected to finish, or did not finish, in time."""
 
     reason: str
     expected_late_ms: int
 
 
 class UpstreamSetApart(MoveEvent, frozen=True, kw_only=True):
-    """One upstream is bad where others of its version are not."""
+    """One upstream of the version was found bad and excluded from the evidence."""
 
     upstream_id: str
     reason: str
--- a/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
@@ -1,4 +1,4 @@
-"""The evidence for or against a new version on one route."""
+"""Evidence for or against a new version on one lane."""
 
 import collections
 import enum
@@ -19,9 +19,10 @@
 
 
 class Measure(enum.Enum):
-    """What is compared between the versions; the value completes a sentence."""
+    """Quantity compared between the versions; the value completes a sentence."""
 
-    # Members are single objects; their names need not be hashed for each answer.
+    # Members are singletons, so identity hashing avoids hashing their names for each
+    # answer.
     __hash__ = object.__hash__
 
     FAILURES = "failed or were overdue"
@@ -30,27 +31,28 @@
     DURATION = "were slow in all"
 
 
-# Smallest first, one column for fine, middle and coarse steps. Fine: a version that
-# fails one time in twenty is found. Coarse: little traffic proves it in some 13 answers.
+# Effect sizes of fine, middle and coarse steps, smallest first. The fine one detects a
+# version that fails one time in twenty; the coarse one proves a good version within
+# some 13 answers, for routes with little traffic.
 _FAILURE_EFFECTS = (0.04, 0.12, 0.3)
 _SLOW_EFFECTS = (0.12, 0.25, 0.45)
 EFFECT_COUNT = len(_FAILURE_EFFECTS)
 # How many latencies of the new version are compared for each one of the old version.
-# When the new version has nearly all traffic and load rises, its many slow answers
-# would otherwise be held against a reference that has not heard of the load yet.
+# Without this limit, when the new version has nearly all traffic and load rises, its
+# many slow answers would be compared with a reference measured before the rise.
 _COMPARED_PER_REFERENCE = 4
 _MAX_COMPARISON_CREDIT = 16
-# With all traffic on the new version nothing is left to compare with at the same
-# time: its latencies are held against the last known ones, times this.
-FULL_SHARE_FACTOR = 1.5
-# With fewer answers of the old version there is nothing to compare with.
+# When the new version has all traffic, there are no simultaneous answers of the old one.
+# Its latencies are compared with the last known thresholds times this factor.
+FULL_SHARE_SLOW_FACTOR = 1.5
+# With fewer answers of the old version, there is no reference to compare with.
 _MIN_OLD_ANSWERS = 8
-# Attribution to an upstream looks at this many latest answers.
+# Number of latest answers kept for attributing a fault to an upstream.
 _MAX_RECENT = 48
 
 
 class LaneEvidence:
-    """Both versions' answers on one lane, and the verdicts on the new one.
+    """Answers of both versions on one lane and the tests of the new version.
 
     Parameters
     ==========
@@ -81,11 +83,11 @@
 
     @property
     def answer_count(self):
-        """Answers of the new version that were taken as evidence."""
+        """Number of answers of the new version that count as evidence."""
         return self.tests[Measure.FAILURES].count
 
     def observe_old(self, outcome, load):
-        """Take an answer of the old version, at a load per upstream, as reference."""
+        """Add an answer of the old version, at a load per upstream, to the reference."""
         if _is_uninformative(outcome, self.reference, load):
             return
         reference = self.reference
@@ -99,7 +101,7 @@
             _profile(reference, measure).observe(value, load)
 
     def observe_new(self, outcome, upstream_id, load, was_overdue=False):
-        """Take an answer of the new version as evidence.
+        """Record an answer of the new version as evidence.
 
         Parameters
         ==========
@@ -108,7 +110,7 @@
         load : float
             Recent grants per upstream of the new version.
         was_overdue : bool
-            Whether it was counted as a failure already, while it was waited for.
+            Whether the request was already counted as a failure while in flight.
         """
         if _is_uninformative(outcome, self.reference, load):
             return
@@ -121,16 +123,16 @@
             self._observe_own_duration(outcome, load)
 
     def observe_overdue(self, upstream_id):
-        """Count a request that is still waited for as a failure."""
+        """Count a request that is still in flight as a failure."""
         self._observe_failure(True, upstream_id)
 
     def verdict(self):
-        """Return the verdict on the new version, and the measure that gives it.
+        """Return the verdict on the new version and the measure it is based on.
 
         Returns
         =======
         tuple of Verdict and Measure
-            The measure is None where nothing speaks against the version.
+            The measure is None if there is no evidence against the version.
         """
         suspect = None
         for measure, test in self.tests.items():
@@ -144,14 +146,14 @@
         return Verdict.SUSPECT, suspect
 
     def proven(self, effect_index):
-        """Return whether the answers since the step began suffice for the next one."""
+        """Return whether the answers since the step began permit the next step."""
         for test in self.tests.values():
             if test.count and not test.proven(effect_index):
                 return False
         return True
 
     def answers_needed(self, effect_index):
-        """Return about how many good answers one step takes."""
+        """Return the approximate number of good answers that one step needs."""
         needs = [
             self.tests[Measure.FAILURES].answers_needed(
                 effect_index, self.reference.failures.rate
@@ -166,12 +168,12 @@
         return max(needs)
 
     def restart_step(self):
-        """Begin a step with no evidence for the version."""
+        """Start a step, discarding the evidence in favour of the version."""
         for test in self.tests.values():
             test.restart_proof()
 
     def discard_upstream(self, upstream_id):
-        """Drop the evidence against the version: it was one upstream's."""
+        """Discard the evidence caused by one bad upstream."""
         for test in self.tests.values():
             test.restart_alarm()
             test.restart_proof()
@@ -190,7 +192,7 @@
     def _observe_latencies(self, outcome, upstream_id, load):
         if not self._use_comparison_credit():
             return
-        factor = FULL_SHARE_FACTOR if self.has_all_traffic else 1.0
+        factor = FULL_SHARE_SLOW_FACTOR if self.has_all_traffic else 1.0
         for measure, value in _latencies(outcome):
             profile = _profile(self.reference, measure)
             slow_ms = profile.slow_ms(load) * factor
@@ -201,11 +203,11 @@
             self.recent.append((upstream_id, measure, is_slow))
 
     def _observe_own_duration(self, outcome, load):
-        """Remember how long the new version itself takes, where nothing else is known.
+        """Use the new version's own durations where the old version has too few.
 
-        Failure: a home takes over when the old version gets nothing any more, and the
-        new one hangs from then on. Without any answer to compare with, none of the
-        new one's is ever overdue.
+        Failure case: a home takes over when the old version gets no more traffic, and
+        the new version hangs from then on. Without any reference duration, no request
+        would ever become overdue.
         """
         reference = self.reference
         if self.has_all_traffic and reference.failures.count < _MIN_OLD_ANSWERS:
@@ -221,11 +223,11 @@
 
 
 def _is_uninformative(outcome, reference, load):
-    """Return whether an outcome says nothing of the upstream.
+    """Return whether an outcome carries no information about the upstream.
 
-    It never reached the upstream, or the caller ended it. A caller that gave up
-    after a time that is slow for the old version does say something: of a version
-    that is so slow that callers leave, no whole answer would ever be seen.
+    This holds if the request never reached the upstream or the caller cancelled it. A
+    cancellation after a time that is slow for the old version is informative: a
+    version so slow that callers disconnect would never complete an answer.
     """
     if outcome.kind is OutcomeKind.CANCELLED:
         return outcome.total_ms <= reference.duration.slow_ms(load)
@@ -241,7 +243,7 @@
 
 
 def _latencies(outcome):
-    """Return the latencies of an answer, each with its measure."""
+    """Return pairs of measure and latency of an answer."""
     if outcome.kind is OutcomeKind.CANCELLED:
         return ((Measure.DURATION, float(outcome.total_ms)),)
     if outcome.kind is not OutcomeKind.SUCCESS or outcome.total_ms < 0:
--- a/libs/decisions/src/hemlockhoist/decisions/versions/fault_attribution.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/fault_attribution.py
@@ -1,12 +1,13 @@
-"""Tell one bad upstream from a bad version."""
+"""Attribution of a fault to a single upstream or to the version."""
 
 import math
 
-# An upstream can be told apart only where another one has answered beside it.
+# A fault can be attributed to one upstream only if another one has answered as well.
 MIN_UPSTREAMS = 2
-# The others are cleared while none of their answers is bad, and else when their answers are this much likelier under the old
-# version's rate than under the bad upstream's rate: 9 to 1. A wrong reading costs a
-# handful of bad answers more, as the test goes on with the other upstreams.
+# The other upstreams are cleared if none of their answers is bad, or if their answers
+# are likelier by 9 to 1 under the old version's rate than under the bad upstream's rate.
+# A wrong attribution costs only a few more bad answers, as the test continues with the
+# other upstreams.
 _CLEAR_LIMIT = math.log(9)
 _MAX_RATE = 0.98
 
@@ -20,12 +21,12 @@
         Latest answers of the new version: upstream id, measure, whether bad.
     measure : Measure
     base_rate : float
-        The old version's rate.
+        Rate of bad answers of the old version.
 
     Returns
     =======
     str or None
-        None where the answers of the other upstreams do not clear the version.
+        None if the answers of the other upstreams do not clear the version.
     """
     tallies = _tally(recent, measure)
     if len(tallies) < MIN_UPSTREAMS:
--- a/libs/decisions/src/hemlockhoist/decisions/versions/halts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/halts.py
@@ -1,13 +1,12 @@
-"""Versions that may get no more work: a set that only grows."""
+"""Grow-only set of versions that get no more work."""
 
 
 class HaltSet:
     """Halted versions of each move.
 
-    Nothing is ever taken out but by forgetting a move that is no longer known, so
-    hosts may merge what peers tell them in any order and as often as they like: no
-    order of messages brings a bad version back. A version gets another try by a new
-    move, which has another id.
+    Entries are removed only together with a move that is no longer current, so hosts
+    can merge announcements of peers in any order and repeatedly: no order of messages
+    revives a bad version. A version can be tried again by a new move with a new id.
     """
 
     __slots__ = ("_reasons",)
@@ -16,7 +15,7 @@
         self._reasons = {}
 
     def add(self, move_id, version, reason):
-        """Halt a version; return whether that is new."""
+        """Add a halted version and return whether it was not halted before."""
         key = (move_id, version)
         if key in self._reasons:
             return False
@@ -24,11 +23,11 @@
         return True
 
     def reason(self, move_id, version):
-        """Return why the version is halted, or None."""
+        """Return the reason why the version is halted, or None."""
         return self._reasons.get((move_id, version))
 
     def of_move(self, move_id):
-        """Return the halted versions of a move and the reasons."""
+        """Return a dict of the halted versions of a move and the reasons."""
         return {
             version: reason
             for (halted_move, version), reason in self._reasons.items()
@@ -36,7 +35,7 @@
         }
 
     def forget_others(self, move_id):
-        """Forget all moves but one."""
+        """Remove the entries of all moves but one."""
         self._reasons = {
             key: reason for key, reason in self._reasons.items() if key[0] == move_id
         }
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lane.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lane.py
@@ -1,38 +1,39 @@
-"""One route's calls of one kind: how many may reach the new version.
+"""Traffic split of one lane: the idempotent or non-idempotent calls of one route.
 
-Shares are counted: each grant of either version earns the new version a part of a
-grant, and it is spent whole. So a share of 1 % is one grant in a hundred, also for a
-route with little traffic, and a burst gets no more than its part.
+Shares are enforced by counting, not by random sampling: each grant of either version
+adds the share to the credit of the new version, which spends one whole grant at a time.
+So a share of 1 % is one grant in a hundred, also for a route with little traffic, and a
+burst does not exceed its share.
 """
 
 from hemlockhoist.decisions.versions.evidence import LaneEvidence
 from hemlockhoist.decisions.versions.move import FULL_PERMILLE
 
-# Earned grants that were not used, as the new version had no free place, lapse
-# beyond this: a new version that was full gets no burst afterwards.
+# Upper limit of unused credit: a new version that had no free slot for a while gets no
+# burst afterwards.
 MAX_CREDIT_PERMILLE = 1000
-# The first grant comes half a period after the move begins, not at once: a home
-# that takes over begins a period anew, and hosts come and go all day.
+# The first grant comes half a period after the start of the move, not at once. A home
+# that takes over starts a new period, and homes change often.
 START_CREDIT_PERMILLE = 500
-# While an alarm lacks answers of the old version to confirm it, half the requests go
-# there: so they come within a few requests, whichever way the verdict falls.
+# While a suspicion awaits answers of the old version, at least half of the requests go
+# there, so that the comparison needs few requests, whatever its verdict.
 SUSPECT_PERMILLE = 500
-# Requests that the new version may hold unanswered whatever its share; beside that,
-# twice what its share of the old version's would be. A version that hangs gives no
-# answer to judge by: what it holds is all the harm it can do until it is overdue.
+# Unanswered requests that the new version may hold at any share, in addition to twice
+# its proportional share of the old version's. A version that hangs gives no answers to
+# evaluate, so this bounds the requests it affects until they are overdue.
 MIN_OUTSTANDING = 2
 _OUTSTANDING_FACTOR = 2
-# With all traffic on the new version, what it holds beyond these goes to the old one
-# while that is kept. Made for a version that turns bad or hangs then: a burst of
-# requests is lost before the first answer shows it. Twice what it held when it last
-# answered well covers the coming and going of ordinary load.
+# Unanswered requests that the new version may hold at full share, in addition to its
+# typical number times the factor below; further ones go to the old version while it is
+# available. Otherwise, if the version hangs or becomes bad, a burst of requests is lost
+# before the first answer shows it. The factor covers ordinary variation of the load.
 MIN_OUTSTANDING_AT_FULL_SHARE = 12
-_FULL_SHARE_FACTOR = 1.5
+_TYPICAL_FACTOR = 1.5
 _TYPICAL_WEIGHT = 1 / 16
 
 
 class InFlightRequest:
-    """A request that the new version holds."""
+    """A request that the new version has not answered yet."""
 
     __slots__ = ("entry_host", "granted_ms", "is_overdue", "upstream_id")
 
@@ -44,7 +45,7 @@
 
 
 class Lane:
-    """Counts, share and evidence of one route's calls of one kind.
+    """Counts, share and evidence of one route and one kind of call.
 
     Parameters
     ==========
@@ -55,22 +56,22 @@
     """
 
     __slots__ = (
-        "_cumulative_share_permille",
         "_credit_permille",
+        "_cumulative_share_permille",
+        "answers_at_step_start",
         "evidence",
         "first_seen_ms",
         "granted_count",
         "idempotent",
+        "in_flight",
         "is_suspect",
         "new_count",
         "old_outstanding",
         "overdue_count",
         "route",
         "share_permille",
-        "answers_at_step_start",
         "step_started_ms",
         "typical_outstanding",
-        "in_flight",
     )
 
     def __init__(self, route, idempotent, rules, now_ms):
@@ -93,74 +94,74 @@
 
     @property
     def key(self):
-        """What tells the lane from others of its pool."""
+        """Key that identifies the lane within its pool."""
         return (self.route, self.idempotent)
 
     @property
     def is_due(self):
-        """Whether the next grant belongs to the new version, by count."""
+        """Whether the credit entitles the new version to the next grant."""
         return self._credit_permille + self.effective_permille >= FULL_PERMILLE
 
     @property
     def effective_permille(self):
-        """The share that is granted now: less than reached, while under suspicion."""
+        """Share in effect: the lane's share, limited during a suspicion."""
         if self.is_suspect:
             return min(self.share_permille, SUSPECT_PERMILLE)
         return self.share_permille
 
     @property
     def outstanding(self):
-        """How many requests the new version holds that are not overdue yet.
+        """Number of requests that the new version holds and that are not overdue.
 
-        Overdue ones have been judged as failures; were they counted on, a version
-        that hangs would get no further request and so no verdict.
+        Overdue ones were already counted as failures. If they were included, a version
+        that hangs would get no further requests and hence no verdict.
         """
         return len(self.in_flight) - self.overdue_count
 
     @property
     def max_outstanding(self):
-        """How many requests the new version may hold unanswered."""
+        """Maximum number of requests that the new version may hold unanswered."""
         rest = max(1, FULL_PERMILLE - self.share_permille)
         part = self.old_outstanding * self.share_permille / rest
         return MIN_OUTSTANDING + int(_OUTSTANDING_FACTOR * part)
 
     @property
     def max_outstanding_at_full_share(self):
-        """How many requests it may hold unanswered where it has all traffic."""
+        """Maximum number of unanswered requests of a version that has all traffic."""
         return MIN_OUTSTANDING_AT_FULL_SHARE + int(
-            _FULL_SHARE_FACTOR * self.typical_outstanding
+            _TYPICAL_FACTOR * self.typical_outstanding
         )
 
     def record_success(self):
-        """Take notice that the new version has answered well, at what it holds."""
+        """Record a successful answer, updating the typical number of requests held."""
         self.typical_outstanding += _TYPICAL_WEIGHT * (
             self.outstanding - self.typical_outstanding
         )
 
     @property
     def is_within_share(self):
-        """Whether the new version's grants are within its shares so far.
+        """Whether the grants of the new version so far are within its shares.
 
-        Counted apart from the credit that decides, so that a fault there shows.
+        Counted separately from the credit, so that an error there is detected.
         """
         allowed = self._cumulative_share_permille + MAX_CREDIT_PERMILLE
         return self.new_count * FULL_PERMILLE <= allowed
 
     def requests_per_s(self, now_ms):
-        """Return the lane's traffic since it was first seen."""
+        """Return the lane's request rate since it was first seen."""
         return 1000 * self.granted_count / max(1000, now_ms - self.first_seen_ms)
 
     def set_share(self, share_permille, now_ms, keep_evidence=False):
-        """Take a share; the evidence for the next one begins anew.
+        """Set the share and restart the evidence for the next step.
 
         Parameters
         ==========
         share_permille : int
         now_ms : int
         keep_evidence : bool, optional
-            Set among the shares that need no evidence: what a few answers in a
-            hundred show holds for a few more, and non-idempotent calls are too
-            precious to be made twice.
+            Set for shares that need no evidence: results at such a small share are
+            valid at a slightly larger one, and repeating them would expose more
+            non-idempotent calls.
         """
         if share_permille == self.share_permille:
             return
@@ -186,23 +187,24 @@
         self.add_in_flight(request, upstream_id, now_ms)
 
     def remove_in_flight(self, request_id):
-        """Forget a request that was answered; return what was held, or None."""
+        """Remove a request from those in flight and return its record, or None."""
         held = self.in_flight.pop(request_id, None)
         if held is not None:
             self.overdue_count -= held.is_overdue
         return held
 
     def add_in_flight(self, request, upstream_id, now_ms):
-        """Remember a request that the new version holds."""
+        """Add a request to those that the new version holds."""
         held = InFlightRequest(now_ms, upstream_id, request.entry_host)
         self.in_flight[request.request_id] = held
 
     def newly_overdue(self, load, last_report_ms, now_ms):
-        """Return the requests whose answer has just become overdue, and mark them.
+        """Mark and return the requests that have become overdue since the last call.
 
         Parameters
         ==========
         load : float
+            Recent grants per upstream of the new version.
         last_report_ms : dict
             When each entry host last reported an outcome.
         now_ms : int
@@ -211,13 +213,14 @@
             return []
         limit_ms = self.evidence.reference.overdue_ms(load)
         overdue = []
-        # Insertion order is the order of grants: the first that is in time ends it.
+        # Requests are in the order of their grants, so all after the first one that is
+        # not overdue are not overdue either.
         for item in self.in_flight.values():
             due_ms = item.granted_ms + limit_ms
             if now_ms <= due_ms:
                 break
-            # An entry host that has been silent since may be dead: then its missing
-            # reports would speak against a version that has answered long ago.
+            # An entry host that has not reported since then may have failed. Its missing
+            # reports must not count against a version that may have answered in time.
             if (
                 not item.is_overdue
                 and last_report_ms.get(item.entry_host, -1) >= due_ms
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
@@ -1,16 +1,16 @@
-"""The lanes of a move: one for each route and kind of call."""
+"""Table of the lanes of a move: one for each route and kind of call."""
 
 from hemlockhoist.decisions.versions.lane import Lane
 from hemlockhoist.decisions.versions.move import FULL_PERMILLE, MoveState
 
-# Routes beyond this many share one lane of each kind: state stays bounded, whatever
-# paths callers invent.
+# Routes beyond this many lanes share one lane for each kind of call. This bounds memory,
+# whatever paths callers request.
 MAX_LANES = 64
 OTHER_ROUTES = "(other routes)"
 
 
 class LaneTable:
-    """Lanes by route and kind, with the shares that the move's row gives them.
+    """Lanes by route and kind of call, with the shares in the row of the move.
 
     Parameters
     ==========
@@ -49,11 +49,11 @@
         return lane
 
     def _add_listed_lanes(self, now_ms):
-        """Open the lanes that the row names.
+        """Create the lanes that the row lists.
 
-        Failure: a new home gets bookings only, and takes the pool for one without
-        calls that may be repeated. It would give the bookings to a version that has
-        not shown itself on those; and it would end the move by the lanes it has seen.
+        Failure case: a new home gets only non-idempotent calls at first, and assumes
+        that the pool has no idempotent ones. It would send those calls to a version that
+        was not tested on idempotent ones, and finish the move by the lanes it has seen.
         """
         for share in self._row.lanes:
             key = (share.route, share.idempotent)
@@ -61,7 +61,7 @@
                 self._add_lane(key, now_ms)
 
     def apply_row(self, row, now_ms):
-        """Take the shares of a later row; return the lanes that it widens."""
+        """Apply the shares of a later row and return the lanes whose share grew."""
         self._row = row
         if row.state is MoveState.RUNNING:
             self._add_listed_lanes(now_ms)
@@ -75,7 +75,7 @@
         return widened
 
     def clear(self):
-        """Drop all lanes and their evidence."""
+        """Remove all lanes and their evidence."""
         self._lanes.clear()
 
     def _share_in_row(self, lane):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/loads.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/loads.py
@@ -1,21 +1,20 @@
-"""How loaded each version's upstreams are, by the rate of this home's grants.
+"""Load of each version's upstreams, measured by the rate of this home's grants.
 
-The rate of grants is taken and not the number in flight: a dependency that makes
-answers slow raises the number in flight as well, and a slow version would be compared
-with the old one at a load that its own slowness has made.
+The number of requests in flight is not used: it also rises when answers become slow, so
+a slow version would be compared with the old one at a load caused by its own slowness.
 """
 
 import math
 
-# Grants are counted with this time constant: long enough for a number that means
-# something, short enough for a burst to be seen while its answers come.
+# Time constant of the exponentially decaying count of grants: long enough for a stable
+# count, short enough to detect a burst while its answers arrive.
 WINDOW_MS = 4_000
-# An upstream that was granted nothing for this long counts no longer.
+# An upstream without a grant for this long is no longer counted.
 _FORGET_AFTER_MS = 60_000
 
 
 class _VersionLoad:
-    """Recent grants of one version, and its upstreams."""
+    """Recent grants of one version and the upstreams that got them."""
 
     __slots__ = ("at_ms", "grants", "upstreams")
 
@@ -25,7 +24,7 @@
         self.upstreams = {}
 
     def grants_at(self, now_ms):
-        """Return the recent grants, older ones fading."""
+        """Return the exponentially decayed count of grants at a time."""
         return self.grants * math.exp((self.at_ms - now_ms) / WINDOW_MS)
 
 
@@ -38,7 +37,7 @@
         self._by_version = {}
 
     def count_grant(self, version, upstream_id, now_ms):
-        """Count a grant of an upstream of the version."""
+        """Count a grant on an upstream of the version."""
         found = self._by_version.get(version)
         if found is None:
             found = self._by_version[version] = _VersionLoad()
@@ -47,14 +46,14 @@
         found.upstreams[upstream_id] = now_ms
 
     def load(self, version, now_ms):
-        """Return the grants per upstream in the latest four seconds or so."""
+        """Return the grants per upstream in about the last four seconds."""
         found = self._by_version.get(version)
         if found is None:
             return 0.0
         return found.grants_at(now_ms) / max(1, len(found.upstreams))
 
     def forget_idle(self, now_ms):
-        """Drop upstreams that have been granted nothing for a minute."""
+        """Remove upstreams that have had no grant for a minute."""
         for found in self._by_version.values():
             idle = [
                 upstream_id
--- a/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
@@ -1,30 +1,31 @@
-"""Orders to upstreams to load a version, under a lease that may pass to another host.
-
-Some engines refuse an order with an old fencing number. Others ignore the number: a
-host that was frozen past its lease can still change them when it wakes. Against that
-stand three things: orders may be repeated without harm, what an upstream runs is read
-back and put right, and a new holder of the lease waits with its first order until the
-longest pause of its predecessor is past, so that the predecessor's order comes first
-and is overwritten.
+"""Orders to upstreams to load a version, issued by the holder of a lease.
+
+Some engines reject an order with an old fencing token. Others ignore the token, so a
+host that was suspended past its lease can still change them when it resumes. There are
+three safeguards: orders are idempotent, the version that an upstream runs is read back
+and corrected, and a new lease holder delays its first order by the longest pause of its
+predecessor, so that the predecessor's order arrives first and is overwritten.
 """
 
 import enum
 
 import msgspec
 
-# An order that was not read back by then is sent again: it or its answer was lost.
+# An order that is not confirmed by reading back within this time is sent again, as the
+# order or its response may be lost.
 RESEND_MS = 5_000
-# A frozen process is taken to wake, or to be restarted by its supervisor, within this.
+# A suspended process is assumed to resume, or to be restarted by its supervisor, within
+# this time.
 MAX_PAUSE_MS = 60_000
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to one upstream.
+    """An order to one upstream to load a version.
 
     Parameters
     ==========
     order_id : str
-        The same for each repetition.
+        Stays the same when the order is sent again.
     upstream_id, version : str
     fencing : int
     """
@@ -36,7 +37,7 @@
 
 
 class OrderState(enum.Enum):
-    """How far an order has come."""
+    """State of an order."""
 
     WAITING = "waiting"
     SENT = "sent"
@@ -55,16 +56,17 @@
 
 
 class OrderTracker:
-    """What one lease holder has ordered, and what is to be sent now.
+    """Tracks the orders of one lease holder and which of them to send.
 
     Parameters
     ==========
     fencing : int
-        Of the lease.
+        Fencing token of the lease.
     lease_until_ms : int
-        On the holder's clock, counted from before the lease was asked for.
+        End of the lease on the holder's clock, measured from before the lease was
+        requested.
     not_before_ms : int
-        No order is sent before.
+        Time before which no order is sent.
 
     Examples
     ========
@@ -80,9 +82,9 @@
     __slots__ = (
         "_entries",
         "_fencing",
-        "_not_before_ms",
         "_is_lease_lost",
         "_lease_until_ms",
+        "_not_before_ms",
     )
 
     def __init__(self, fencing, lease_until_ms, not_before_ms):
@@ -101,26 +103,26 @@
         now_ms,
         max_pause_ms=MAX_PAUSE_MS,
     ):
-        """Return the book of a host that has just taken the lease.
+        """Return the tracker of a host that has just acquired the lease.
 
         Parameters
         ==========
         checks_fencing : bool
-            Whether the pool's upstreams refuse old fencing numbers.
+            Whether the pool's upstreams reject old fencing tokens.
         fencing : int
         lease_until_ms, now_ms : int
         max_pause_ms : int, optional
-            How long a former holder may be frozen and still send an order.
+            How long a former holder may be suspended and still send an order.
         """
         pause_ms = 0 if checks_fencing else max_pause_ms
         return cls(fencing, lease_until_ms, now_ms + pause_ms)
 
     def renew(self, lease_until_ms):
-        """Take a renewed lease; the fencing number stays."""
+        """Extend the lease; the fencing token stays the same."""
         self._lease_until_ms = max(self._lease_until_ms, lease_until_ms)
 
     def set_target(self, upstream_id, version):
-        """Have an upstream run a version; repeating it changes nothing."""
+        """Set the version that an upstream is to run; idempotent."""
         entry = self._entries.get(upstream_id)
         if entry is not None and entry.order.version == version:
             return
@@ -135,8 +137,8 @@
     def due(self, now_ms):
         """Return the orders to send now.
 
-        Nothing is due past the lease: a holder that was frozen finds that out here,
-        before it sends.
+        Nothing is due after the end of the lease, so a holder that was suspended
+        notices the loss here, before it sends.
         """
         if self._is_lease_lost or now_ms >= self._lease_until_ms:
             return []
@@ -149,10 +151,10 @@
         return [entry.order for entry in entries]
 
     def observe(self, upstream_id, version):
-        """Take what an upstream was read back to run.
+        """Record the version that an upstream was read back to run.
 
-        Another version than the one ordered, although that was in force before, is
-        the work of a former holder that woke late: the order is due again.
+        If the upstream no longer runs a version that was in force, a former holder that
+        resumed late has changed it, and the order is due again.
         """
         entry = self._entries.get(upstream_id)
         if entry is None:
@@ -163,9 +165,9 @@
             entry.state = OrderState.WAITING
 
     def record_refusal(self, upstream_id, fencing):
-        """Take an upstream's refusal, which names the number that it holds.
+        """Record that an upstream rejected an order, stating the token that it holds.
 
-        A higher number than this book's is proof that the lease has passed on.
+        A higher token than this holder's proves that another host holds the lease.
         """
         if fencing > self._fencing:
             self._is_lease_lost = True
@@ -177,7 +179,7 @@
 
     @property
     def is_lease_lost(self):
-        """Whether an upstream has shown that the lease passed to another host."""
+        """Whether a rejection has shown that another host holds the lease."""
         return self._is_lease_lost
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/planner.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/planner.py
@@ -1,4 +1,4 @@
-"""Which lanes may widen now."""
+"""Decisions on which lanes may increase their share."""
 
 import msgspec
 
@@ -6,34 +6,36 @@
 from hemlockhoist.decisions.versions.move import FULL_PERMILLE, LaneShare
 from hemlockhoist.decisions.versions.schedule import GATE_PERMILLE
 
-# Answers of the new version before the first share grows to the unproven ceiling.
+# Answers of the new version needed before the first share is increased to the largest
+# unproven share.
 _MIN_FIRST_ANSWERS = 5
-# Answers in one step below which no evidence suffices.
+# Minimum number of answers in one step, whatever the tests say.
 _MIN_STEP_ANSWERS = 5
-# Traffic-weighted part of the idempotent lanes that has to have shown the new version
-# under load before non-idempotent calls begin.
+# Traffic-weighted fraction of the idempotent lanes that must have reached the gate share
+# before non-idempotent calls begin.
 _GATE_FRACTION = 0.8
-# Non-idempotent grants without a single idempotent one after which a pool counts as
-# having no idempotent traffic: its calls begin one at a time.
+# After this many non-idempotent grants and no idempotent one, a pool is assumed to have
+# no idempotent traffic, and its calls begin one at a time.
 NON_IDEMPOTENT_ONLY_GRANTS = 100
-# Non-idempotent calls that a version may get before it is proven on them, one at a
-# time. Coarse evidence takes 13 to 20 good answers; what has not come after twice
-# that will not come.
+# Maximum number of non-idempotent calls, one at a time, that a version gets before it is
+# proven on them. The coarse test needs 13 to 20 good answers; if twice that has not
+# proven the version, more calls are not expected to.
 MAX_TRIAL_CALLS = 40
-# A lane with less than this part of the pool's traffic may rest on the evidence of
-# the others, where its own can not come in time.
+# A lane with at most this fraction of the traffic of its kind may rely on the evidence
+# of the others if its own would not arrive in time.
 _LOW_TRAFFIC_FRACTION = 0.05
+# Traffic-weighted fraction of those other lanes that must have reached the gate share.
 _PROVEN_FRACTION = 0.7
 
 
 class Delay(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a move can not finish by its time.
+    """Reason why a move is not expected to finish in time.
 
     Parameters
     ==========
     reason : str
     late_ms : int
-        How late it is expected to be; -1 where that can not be said.
+        Expected delay; -1 if it cannot be estimated.
     """
 
     reason: str
@@ -41,7 +43,7 @@
 
 
 class Planner:
-    """Decides on steps from the lanes' evidence and the schedule.
+    """Plans the next steps of lanes by their evidence and the schedule.
 
     Parameters
     ==========
@@ -56,13 +58,13 @@
         self.schedule = schedule
 
     def is_trial(self, lane):
-        """Return whether the lane's calls go to the new version one at a time."""
+        """Return whether the lane sends its calls to the new version one at a time."""
         return self._is_deferred(lane) and self.schedule.is_unproven(
             lane.share_permille
         )
 
     def wider_lanes(self, lanes, now_ms):
-        """Return the wider shares that lanes may have now, each one step on.
+        """Return the shares that may be increased now, each by one step.
 
         Parameters
         ==========
@@ -72,7 +74,7 @@
         Returns
         =======
         tuple of LaneShare
-            Of the lanes that widen.
+            New shares of the lanes whose share increases.
         """
         wider = []
         for lane in lanes:
@@ -88,7 +90,7 @@
         return tuple(wider)
 
     def delay(self, lanes, now_ms):
-        """Return why the move can not finish in time, or None."""
+        """Return the longest expected delay of a lane, or None."""
         late = None
         for lane in lanes:
             if lane.share_permille >= FULL_PERMILLE:
@@ -106,8 +108,8 @@
             or not self._may_start(lane, lanes)
         ):
             return share
-        # Answers that take long are the ones that come last: a step that is judged
-        # before they can have come is judged by the fast ones alone.
+        # Slow answers arrive last. A step that is evaluated before they can have arrived
+        # would be evaluated by the fast ones alone.
         if share and now_ms - lane.step_started_ms < lane.evidence.reference.longest_ms:
             return share
         if not self._may_be_proven(lane, lanes):
@@ -117,7 +119,7 @@
         planned_ms = self.schedule.planned_ms(
             step, lane.idempotent, bool(self._deferred_lanes(lanes))
         )
-        # Waiting for the planned time is given up where it would cost evidence.
+        # The planned time is ignored if waiting for it would require weaker evidence.
         is_urgent = plan.expected_ms >= left_ms or plan.effect_index > 0
         if now_ms < planned_ms and not is_urgent:
             return share
@@ -125,7 +127,7 @@
         return step if proven else share
 
     def _may_be_proven(self, lane, lanes):
-        """Return whether a plan is worth working out: it costs more than this."""
+        """Return whether the lane could be proven; cheaper than computing a plan."""
         if lane.share_permille < self._rules.unproven_share_permille:
             return True
         return lane.evidence.proven(EFFECT_COUNT - 1) or self._has_low_traffic(
@@ -139,7 +141,7 @@
         return lane.granted_count <= _LOW_TRAFFIC_FRACTION * total
 
     def _plan(self, lane, lanes, now_ms):
-        """Return the lane's plan and the time that is left for it."""
+        """Return the lane's plan and the time left for it."""
         left_ms = self.schedule.end_ms - now_ms
         goal = FULL_PERMILLE
         deferred = self._deferred_lanes(lanes)
@@ -149,13 +151,13 @@
         return self.schedule.plan(lane, left_ms, now_ms, goal), left_ms
 
     def _deferred_lanes(self, lanes):
-        """Return the lanes that go after the idempotent ones."""
+        """Return the lanes that wait for the idempotent ones."""
         if not any(lane.idempotent for lane in lanes):
             return []
         return [lane for lane in lanes if self._is_deferred(lane)]
 
     def _may_start(self, lane, lanes):
-        """Return whether non-idempotent calls may begin, or are not held back."""
+        """Return whether the lane has begun, is not deferred, or may begin now."""
         if lane.share_permille or not self._is_deferred(lane):
             return True
         ahead = [item for item in lanes if item.idempotent]
@@ -171,13 +173,13 @@
         return self._rules.non_idempotent_last and not lane.idempotent
 
     def _is_proven(self, lane, lanes, step, plan, is_urgent, now_ms):
-        # A lane that is held back has no answers to open with: its gate has opened.
+        # A deferred lane has no answers yet; it begins when its gate opens.
         if not lane.share_permille:
             return True
         if self.schedule.is_unproven(step):
             return is_urgent or lane.evidence.answer_count >= _MIN_FIRST_ANSWERS
         # The trial of non-idempotent calls is short: they begin after the idempotent
-        # ones have given evidence, and each of them is a risk of its own.
+        # ones have provided evidence, and each call may cause harm.
         index = EFFECT_COUNT - 1 if self.is_trial(lane) else plan.effect_index
         answered = lane.evidence.answer_count - lane.answers_at_step_start
         if answered >= _MIN_STEP_ANSWERS and lane.evidence.proven(index):
@@ -185,7 +187,7 @@
         return self._may_rely_on_peers(lane, lanes, now_ms)
 
     def _may_rely_on_peers(self, lane, lanes, now_ms):
-        """Return whether a thin lane may follow its fellows without own evidence."""
+        """Return whether a lane with little traffic may use its peers' evidence."""
         if not self._has_low_traffic(lane, lanes):
             return False
         peers = [item for item in lanes if item.idempotent is lane.idempotent]
@@ -214,8 +216,8 @@
         needed = lane.evidence.answers_needed(plan.effect_index)
         reason = (
             f"{lane.route}: at {rate:.2f} requests/s and a share of "
-            f"{lane.share_permille} per mille the {needed} good answers that each "
-            "step needs do not come in time"
+            f"{lane.share_permille} per mille, the {needed} good answers needed for "
+            "each step will not arrive in time"
         )
         late_ms = plan.expected_ms - left_ms
         return Delay(
--- a/libs/decisions/src/hemlockhoist/decisions/versions/reference.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/reference.py
@@ -1,51 +1,53 @@
-"""What the old version does at the same time: rates and usual latencies.
+"""Reference rates and latencies of the old version.
 
-Load makes every version slower and a failing dependency makes every version fail.
-So nothing is compared with a fixed threshold: "slow" means slower than the old
-version's recent median by a factor, and how often the old version itself is that
-slow, in its latest answers, is the rate the new one is tested against.
+Load makes every version slower, and a failing dependency makes every version fail.
+Therefore no fixed thresholds are used: an answer is slow if it exceeds the old version's
+recent median latency by a factor, and the new version is tested against the rate at
+which the old version's latest answers are that slow.
 """
 
 import array
 import bisect
 import math
 
-# An answer is slow from this multiple of the old version's recent median on. With
-# 1.5 the coming and going of a burst alone made one good answer in three slow.
+# An answer is slow above this multiple of the old version's recent median. With 1.5, the
+# load changes of a burst alone made one good answer in three slow.
 SLOW_FACTOR = 2.0
-# An answer is overdue when it takes this multiple of the old version's recent
-# maximum: it is waited for no longer before it counts as a failure.
+# A request is overdue, and counts as a failure, after this multiple of the old version's
+# recent maximum duration.
 OVERDUE_FACTOR = 2.0
-# Below this no answer is overdue: the old version has answered too few times, or so
-# fast that a pause of a process would count.
+# Minimum overdue time, for when the old version has answered too few times, or so fast
+# that a pause of a process would exceed the limit.
 OVERDUE_FLOOR_MS = 2_000
 _WINDOW = 64
-# With fewer, the median is so uncertain that a good version may seem slow.
+# With fewer latencies, the median is so uncertain that a good version may appear slow.
 _MIN_WINDOW = 24
 _REFRESH_EVERY = 8
-# Two upstreams at one level are not at the same load, and the old version's answers
-# at it may be minutes old: the new version is given this much more.
+# Tolerance for the new version, as loads within one level differ and the old version's
+# answers at that level may be minutes old.
 _LOAD_MISMATCH_FACTOR = 1.1
-# How fast the drift of the old version's latencies is followed: a slowdown is taken
-# up within some ten of its answers.
+# Smoothing weight of the drift of the old version's latencies: a slowdown is reflected
+# within some ten of its answers.
 _DRIFT_WEIGHT = 1 / 12
-# Answers at a load before their longest is trusted, and how fast it is forgotten.
+# Answers needed at a load level before their maximum is used, and the decay factor of
+# that maximum for each answer.
 _MIN_ANSWERS = 8
 _DECAY = 0.997
-# Loads are told apart by this ratio, up to some hundred grants per upstream.
+# Ratio of the bounds of successive load levels, up to some hundred grants per upstream.
 _LOG_LEVEL_RATIO = math.log(1.5)
 MAX_LOAD_LEVEL = 16
 _LEVEL_BOUNDS = tuple(math.exp(_LOG_LEVEL_RATIO * i) for i in range(MAX_LOAD_LEVEL))
-# Share of slow answers that is assumed before any was counted.
+# Assumed rate of slow answers before any was counted.
 _PRIOR_SLOW_RATE = 0.08
 
 
 class RateWindow:
-    """A rate that follows its latest answers, slowly and fast.
+    """Rate of bad answers, tracked by a slow and a fast moving average.
 
-    A failing dependency raises the fast rate within some answers of the old version,
-    before the slow one has noticed; the larger of the two is the reference, so that
-    trouble common to both versions is not held against the new one.
+    A failing dependency raises the fast average within a few answers of the old
+    version, long before the slow one. The fast one is the reference if it exceeds the
+    slow one by a margin, so that a fault common to both versions does not count against
+    the new one.
     """
 
     __slots__ = ("_fast", "_rate", "_slow", "bad_count", "count")
@@ -53,7 +55,7 @@
     PRIOR = 0.01
     _SLOW_WEIGHT = 1 / 400
     _FAST_WEIGHT = 1 / 16
-    # How far the fast rate has to be above the slow one before it is taken.
+    # Margin by which the fast rate must exceed the slow one to be used.
     _FAST_MARGIN = 0.15
 
     def __init__(self, prior=PRIOR):
@@ -64,19 +66,19 @@
         self._rate = None
 
     def observe(self, is_bad):
-        """Take one answer of the old version."""
+        """Record one answer of the old version."""
         self.count += 1
         self.bad_count += is_bad
         self._rate = None
-        # Until the window is full the slow rate is a plain mean with a prior worth
-        # 20 answers: one early failure is no rate of 100 %.
+        # Until the window is full, the slow rate is a mean with a prior worth 20 answers,
+        # so that one early failure does not give a rate of 100 %.
         weight = max(self._SLOW_WEIGHT, 1 / (self.count + 20))
         self._slow += weight * (is_bad - self._slow)
         self._fast += self._FAST_WEIGHT * (is_bad - self._fast)
 
     @property
     def rate(self):
-        """The reference rate, with a margin for its own uncertainty."""
+        """Reference rate, including a margin for its uncertainty."""
         if self._rate is None:
             self._rate = self._compute_rate()
         return self._rate
@@ -91,7 +93,7 @@
 
 
 class _Threshold:
-    """The recent latencies at one load, and what counts as slow beside them."""
+    """Recent latencies at one load level and the threshold of slow ones."""
 
     __slots__ = ("_latest", "_position", "_since_refresh", "slow")
 
@@ -106,7 +108,7 @@
         return self.slow < math.inf
 
     def add(self, value):
-        """Take a latency; return whether what counts as slow was worked out anew."""
+        """Add a latency and return whether the threshold was recomputed."""
         if len(self._latest) < _WINDOW:
             self._latest.append(value)
         else:
@@ -125,33 +127,34 @@
 
 
 class LatencyProfile:
-    """The old version's latencies by load, and how often it is slow now.
-
-    While a move widens, the old version's upstreams empty and the new one's fill. A
-    comparison at one time would then be one of idle with loaded upstreams and would
-    call every good version slow near its end. Each latency is therefore held against
-    the old version's latest ones at the same load per upstream, and the rate of slow
-    answers against the old version's rate now, at the load it has now.
+    """Latencies of the old version by load, and its current rate of slow answers.
+
+    As the share of the new version grows, the load moves from the old version's
+    upstreams to the new one's. Comparing simultaneous answers would compare idle with
+    loaded upstreams and find every good version slow near the end of its move. Each
+    latency is therefore compared with the old version's latest ones at the same load per
+    upstream, and the rate of slow answers with the old version's current rate at its
+    current load.
     """
 
-    __slots__ = ("_by_load", "_log_drift", "_base_slow_ms_by_level", "rates")
+    __slots__ = ("_base_slow_ms_by_level", "_by_load", "_log_drift", "rates")
 
     def __init__(self):
         self._by_load = {}
-        # Worked out from ``_by_load``, until it changes.
+        # Cache of values computed from ``_by_load``; cleared when that changes.
         self._base_slow_ms_by_level = {}
         self._log_drift = 0.0
         self.rates = RateWindow(_PRIOR_SLOW_RATE)
 
     @property
     def is_ready(self):
-        """Whether the old version answered often enough to call a latency slow."""
+        """Whether there are enough answers of the old version to compare with."""
         return self.rates.count >= _REFRESH_EVERY
 
     def observe(self, value, load):
-        """Take a latency of the old version at a load per upstream.
+        """Record a latency of the old version at a load per upstream.
 
-        It is judged by those before it, as the new version's latencies are.
+        Like the latencies of the new version, it is compared with earlier ones only.
         """
         drift = self.drift
         slow_ms = self.slow_ms(load)
@@ -169,10 +172,10 @@
 
     @property
     def drift(self):
-        """How much slower the old version is now than usual at its load; at least 1.
+        """Slowdown of the old version against its usual latency at its load; at least 1.
 
-        A dependency that slows both versions strikes at the load that the old one
-        has just then; the new one, at another load, is allowed the same.
+        A slow dependency affects both versions but is measured at the old version's
+        current load; the same factor is allowed to the new version at another load.
         """
         return math.exp(max(0.0, self._log_drift))
 
@@ -181,11 +184,11 @@
         self._log_drift += _DRIFT_WEIGHT * step
 
     def slow_ms(self, load):
-        """Return from where on a latency is slow at ``load``; infinite if unknown.
+        """Return the threshold of slow latencies at ``load``; infinite if unknown.
 
-        Where the old version was never seen at that load, the next higher load
-        stands in: it is slower, so a good version is not called slow by it. Beyond
-        all loads that were seen, latency is taken to grow as the load does.
+        If the old version was never observed at that load, the next higher load is
+        used. Its latencies are larger, so a good version is not found slow by it. Beyond
+        all observed loads, latency is assumed to grow in proportion to the load.
         """
         level = load_level(load)
         base_slow_ms = self._base_slow_ms_by_level.get(level)
@@ -206,7 +209,7 @@
 
 
 def load_level(load):
-    """Return the level of a number of recent grants per upstream.
+    """Return the load level of a number of recent grants per upstream.
 
     Examples
     ========
@@ -221,7 +224,7 @@
 
 
 class Reference:
-    """The old version on one route: failures, first token, pace, and duration."""
+    """Reference of one lane: failures and latencies of the old version."""
 
     __slots__ = (
         "_count",
@@ -238,17 +241,17 @@
         self.first_token = LatencyProfile()
         self.time_per_token = LatencyProfile()
         self.duration = LatencyProfile()
-        # By load: the longest answer and how many there were.
+        # By load level: the longest duration and the number of answers.
         self._longest = {}
-        # Worked out from ``_longest``, and kept for some answers.
+        # Cache of values computed from ``_longest``; cleared every few answers.
         self._limits = {}
         self._count = 0
 
     def observe_longest(self, total_ms, load):
-        """Remember how long whole answers take, to know when one is overdue."""
+        """Record the duration of a complete answer, for the overdue limit."""
         level = load_level(load)
         longest_ms, count = self._longest.get(level, (0.0, 0))
-        # A single extreme answer is forgotten over some hundred ordinary ones.
+        # A single extreme duration decays over some hundred ordinary answers.
         decayed_ms = longest_ms * _DECAY
         self._longest[level] = (max(total_ms, decayed_ms), count + 1)
         self._count += 1
@@ -257,14 +260,14 @@
 
     @property
     def longest_ms(self):
-        """The longest answer lately, at any load; 0 while there are none."""
+        """Longest recent duration of an answer at any load; 0 if there are none."""
         return max((item[0] for item in self._longest.values()), default=0.0)
 
     def overdue_ms(self, load):
         """Return how long an answer may take before it counts as a failure.
 
-        Beyond the loads that were seen the time grows with the load, so that a burst
-        makes no good version overdue, and one that hangs is found all the same.
+        Beyond the observed loads the limit grows with the load, so that a burst does not
+        make a good version overdue, while one that hangs is still detected.
         """
         level = load_level(load)
         limit_ms = self._limits.get(level)
@@ -279,6 +282,6 @@
         if not known:
             return math.inf
         at_least = [item for item in known if item >= level] or [max(known)]
-        # The longest of few answers is short: all higher loads have their say.
+        # The maximum of few answers may be too low, so all higher loads are included.
         longest_ms = max(self._longest[item][0] for item in at_least)
         return longest_ms * OVERDUE_FACTOR * _growth(max(at_least), level)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/schedule.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/schedule.py
@@ -1,9 +1,9 @@
-"""How fast a share widens: no faster than the evidence, no later than it must.
+"""Schedule of the share increases of a move.
 
-The steps are spread over the first part of the time that the operator gave, so that
-each share is watched for a while; where the traffic is too thin for that, they follow
-one another as soon as the evidence suffices. What evidence is asked for, and in how
-many steps, is the most that the remaining time allows.
+The steps are spread over the first part of the duration set by the operator, so that
+each share is observed for a while. If there is too little traffic for that, each step
+follows as soon as the evidence suffices. The number of steps, and the evidence that each
+requires, are the most that the remaining time allows.
 """
 
 import itertools
@@ -13,42 +13,43 @@
 from hemlockhoist.decisions.versions.evidence import EFFECT_COUNT
 from hemlockhoist.decisions.versions.move import FULL_PERMILLE
 
-# Parts of the time from start to "moved by". Idempotent calls go first and far
-# enough to show the version under load; non-idempotent calls follow; the rest is
-# slack for traffic that turns out thinner than it was.
+# Fractions of the time from the start to the "moved by" time. Idempotent calls go first,
+# up to a share that shows the version under load, then non-idempotent calls. The rest
+# is slack in case the traffic decreases.
 _IDEMPOTENT_FRACTION = 0.35
 _NON_IDEMPOTENT_FRACTIONS = (0.3, 0.75)
 _SINGLE_PHASE_FRACTION = 0.75
-# The least part that idempotent calls get, however long the others need.
+# Minimum fraction for idempotent calls, however long the others need.
 _MIN_IDEMPOTENT_FRACTION = 0.15
-# The last share before all: one request in twenty stays on the old version, so that
-# there is something to compare with until the end.
+# Last share before the full one: one request in twenty stays on the old version as a
+# control group until the end.
 CONTROL_PERMILLE = 950
-# Share at which idempotent calls have shown the version under load, so that
+# Share at which idempotent calls have tested the version under load, so that
 # non-idempotent ones may begin.
 GATE_PERMILLE = 500
 _PROVEN_STEPS = (120, 250, GATE_PERMILLE, CONTROL_PERMILLE, FULL_PERMILLE)
-# Smaller steps where a bad answer may be a booking lost or a label issued twice.
+# Smaller steps for non-idempotent calls, where a bad answer may be a lost booking or a
+# label issued twice.
 _CAUTIOUS_STEPS = (100, 200, 350, 550, 800, CONTROL_PERMILLE, FULL_PERMILLE)
-# Fewer steps where the time does not suffice for all: each is still proven.
+# Fewer steps if there is no time for all of them; each still has to be proven.
 _REDUCED_STEPS = (250, 600, FULL_PERMILLE)
-# Part of the time before operators are told of an expected delay.
+# Fraction of the duration after which expected delays are reported to operators.
 _ESTIMATE_DELAY_FRACTION = 0.1
-# Good answers come unevenly: an estimate of the time for them is stretched by this.
+# Estimated durations are multiplied by this, as answers arrive irregularly.
 _ESTIMATE_FACTOR = 1.3
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """How a lane is to reach its goal.
+    """Plan of how a lane reaches its goal.
 
     Parameters
     ==========
     steps : tuple of int
         Shares in per mille.
     effect_index : int
-        The evidence asked for at each; 0 is the strongest.
+        Effect size to rule out at each step; 0 requires the strongest evidence.
     expected_ms : float
-        How long it takes from now, if the version is good.
+        Expected duration from now if the version is good.
     """
 
     steps: tuple[int, ...]
@@ -57,13 +58,13 @@
 
 
 class Schedule:
-    """The steps of a move and the times they are planned for.
+    """Steps of a move and their planned times.
 
     Parameters
     ==========
     rules : hemlockhoist.declarations.VersionRules
     start_ms, end_ms : int
-        The latter is the "moved by" time.
+        Start of the move and its "moved by" time.
     """
 
     __slots__ = ("_reduced_steps", "_rules", "_steps", "end_ms", "start_ms")
@@ -80,20 +81,20 @@
         self._reduced_steps = _with_first_steps(rules, _REDUCED_STEPS)
 
     def is_unproven(self, share_permille):
-        """Return whether a share is one that needs no evidence yet."""
+        """Return whether a share is small enough to need no evidence."""
         return share_permille <= self._rules.unproven_share_permille
 
     def elapsed_fraction(self, now_ms):
-        """Return which part of the move's time has passed."""
+        """Return the elapsed fraction of the move's duration."""
         return (now_ms - self.start_ms) / max(1, self.end_ms - self.start_ms)
 
     def is_estimate_reliable(self, now_ms):
-        """Return whether enough time has passed for estimates to mean something."""
+        """Return whether enough time has elapsed for reliable estimates."""
         grace_ms = _ESTIMATE_DELAY_FRACTION * (self.end_ms - self.start_ms)
         return now_ms >= self.start_ms + grace_ms
 
     def planned_ms(self, share_permille, idempotent, has_deferred):
-        """Return when a step is planned.
+        """Return the planned time of a step.
 
         Parameters
         ==========
@@ -116,9 +117,9 @@
         return self.start_ms + int(fraction * (self.end_ms - self.start_ms))
 
     def gate_deadline_ms(self, deferred, now_ms):
-        """Return until when idempotent calls should have shown the version.
+        """Return the time by which idempotent calls should reach the gate share.
 
-        Worked back from the end: the non-idempotent lanes need their time after it.
+        Computed backwards from the end, leaving the time that the deferred lanes need.
         """
         window_ms = self.end_ms - self.start_ms
         needs = [self._min_duration_ms(lane, now_ms) for lane in deferred]
@@ -128,7 +129,7 @@
         return self.start_ms + max(_MIN_IDEMPOTENT_FRACTION * window_ms, latest)
 
     def plan(self, lane, left_ms, now_ms, goal_permille=FULL_PERMILLE):
-        """Return the most thorough plan that reaches the goal in the time left.
+        """Return the plan with the strongest evidence that fits into the time left.
 
         Parameters
         ==========
@@ -140,7 +141,7 @@
         Returns
         =======
         Plan
-            The shortest one where none is short enough.
+            The shortest plan if none fits.
         """
         plan = None
         for steps, index in self._options(lane):
@@ -157,7 +158,7 @@
         yield self._reduced_steps, EFFECT_COUNT - 1
 
     def _min_duration_ms(self, lane, now_ms):
-        """Return the time that a lane needs in a hurry."""
+        """Return the expected duration of the lane's shortest plan."""
         index = EFFECT_COUNT - 1
         return self._expected_ms(
             lane, self._reduced_steps, index, now_ms, FULL_PERMILLE
@@ -177,7 +178,7 @@
         return total_ms * _ESTIMATE_FACTOR
 
     def _shares_to_prove(self, lane, steps, goal_permille):
-        """Return the shares that have to be proven before the goal is reached."""
+        """Return the shares to be proven before the goal is reached."""
         later = (step for step in steps if step > lane.share_permille)
         shares = itertools.chain((lane.share_permille,), later)
         unproven = self._rules.unproven_share_permille
--- a/libs/decisions/src/hemlockhoist/decisions/versions/sequential.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/sequential.py
@@ -1,13 +1,13 @@
 """Sequential tests of a rate against a reference rate, with stated error rates.
 
-Two questions are asked of the same answers. *Is it bad?* is a cumulative sum test: a
-likelihood ratio that starts again from zero whenever it speaks for the version, so
-that a long good past does not hide badness that begins late. It raises a suspicion,
-which a fresh comparison confirms or clears. *Is it good enough for
-the next step?* is a sequential probability ratio test over the answers since the
-step began. Both look for several effects side by side: a version that always fails
-is found in a few answers by the large effect, one that fails now and then by the
-small one.
+Two tests run on the same answers. Whether the version is bad is decided by a cumulative
+sum (CUSUM) test: a log-likelihood ratio that is reset to zero whenever it becomes
+negative, so that a long good history does not hide a late degradation. When it exceeds
+its limit, a comparison on new answers confirms or clears the suspicion. Whether the
+version is good enough for the next step is decided by a sequential probability ratio
+test (SPRT) over the answers since the step began. Both test several effect sizes in
+parallel: the large one detects within a few answers a version that always fails, the
+small one a version that fails occasionally.
 """
 
 import enum
@@ -18,34 +18,33 @@
 
 from hemlockhoist.decisions.versions.confirm import log_bayes_factor
 
-# The cumulative sum starts anew at each zero, and every start may raise a false
-# suspicion. Its limit is the logarithm of this number of starts, and the comparison
-# that follows has to reach the stated error rate by itself: so that rate holds for a
-# whole move and not for a single start.
+# The cumulative sum restarts at each zero, and each restart may raise a false suspicion.
+# Its limit is the logarithm of this number of restarts, and the comparison that follows
+# has to reach the stated error rate by itself, so that the rate holds for a whole move
+# and not for a single restart.
 CUSUM_RESTARTS = 500
-# Routes and measures that are compared side by side in one move, each of which may
-# raise a false alarm: the limit of each is raised, so that the rate holds for all.
+# Assumed number of routes and measures tested in one move, each of which may raise a
+# false alarm. The limit of each is raised so that the error rate holds for all together.
 _COMPARISONS = 10
-# A suspicion is dropped when the answers since are this much likelier for a good
-# version: 9 to 1.
+# A suspicion is cleared when the answers since then favour a good version by 9 to 1.
 _CLEAR_LIMIT = -math.log(9)
-# Bad luck early in a step is forgotten up to this much: without the cap a good
-# version would have to make up for it answer by answer.
+# Upper limit of the SPRT statistic. Without it, a good version with a few bad answers
+# early in a step would need as many good answers to offset each of them.
 _PROOF_CAP = 3.0
-# A suspicion is confirmed with this many answers of the old version; where there are
-# none, it stands by itself from so many bad answers on.
+# Answers of the old version needed to confirm a suspicion. With fewer, the new version
+# is bad after ``_MIN_BAD_UNCOMPARED`` bad answers.
 _MIN_COMPARED = 3
 _EVALUATE_EVERY = 4
 _MIN_BAD_UNCOMPARED = 20
 _MIN_RATE = 0.001
 _MAX_RATE = 0.98
-# Reference rates are rounded to this many digits, so that the logarithms of a rate
-# are worked out once.
+# Reference rates are rounded to this many digits so that the cached logarithms of a
+# rate can be reused.
 _RATE_DIGITS = 3
 
 
 class Verdict(enum.Enum):
-    """What a test says of a rate."""
+    """Result of a test of a rate."""
 
     CLEAR = "nothing"
     SUSPECT = "suspect"
@@ -53,14 +52,14 @@
 
 
 class SequentialTest:
-    """Tests whether a rate exceeds a reference by one of several effects.
+    """Tests whether a rate exceeds a reference rate by one of several effect sizes.
 
     Parameters
     ==========
     effects : tuple of float
-        Added to the reference rate, the smallest first.
+        Excess over the reference rate, the smallest first.
     confirm_limit, proof_limit : float
-        Logarithms of the likelihood ratio at which a verdict is given.
+        Log-likelihood ratios at which the version counts as bad or as proven.
 
     Examples
     ========
@@ -81,9 +80,9 @@
         "_alarms",
         "_confirm_limit",
         "_effects",
-        "_suspicion",
         "_proof_limit",
         "_proofs",
+        "_suspicion",
         "bad_count",
         "count",
         "reference",
@@ -103,28 +102,28 @@
 
     @classmethod
     def from_error_rates(cls, effects, false_alarm_permille, missed_permille):
-        """Return a test with the stated error rates for one move.
+        """Return a test with the given error rates for one move.
 
         Parameters
         ==========
         effects : tuple of float
         false_alarm_permille : int
-            How often a good version is taken for a bad one, at most.
+            Maximum rate at which a good version is found bad.
         missed_permille : int
-            How often a version that is bad by an effect passes one step.
+            Rate at which a version that is worse by an effect size passes one step.
         """
         confirm = math.log(1000 * _COMPARISONS / max(1, false_alarm_permille))
         proof = math.log(1000 / max(1, missed_permille))
         return cls(effects, confirm, proof)
 
     def observe(self, is_bad, window):
-        """Take one answer.
+        """Update the tests with one answer.
 
         Parameters
         ==========
         is_bad : bool
         window : RateWindow
-            Of the old version's answers.
+            Rate of the old version.
         """
         reference = window.rate
         self.reference = reference
@@ -140,7 +139,7 @@
             self._raise_suspicion(window)
 
     def verdict(self, window):
-        """Return what the answers say, beside the old version's at the same time."""
+        """Return the verdict, given the old version's answers over the same period."""
         suspect = self._suspicion
         if suspect is None:
             return Verdict.CLEAR
@@ -148,7 +147,7 @@
         old = (window.count - suspect.old_count, window.bad_count - suspect.old_bad)
         if old[0] < _MIN_COMPARED and new[1] >= _MIN_BAD_UNCOMPARED:
             return Verdict.BAD
-        # A good answer changes little: only some of them are worth the work.
+        # Good answers change the factor little, so it is computed for some of them only.
         if new[1] == suspect.evaluated_bad and sum(new + old) % _EVALUATE_EVERY:
             return Verdict.SUSPECT
         suspect.evaluated_bad = new[1]
@@ -163,20 +162,20 @@
         return Verdict.CLEAR
 
     def proven(self, index):
-        """Return whether the effect ``index`` is ruled out since the step began."""
+        """Return whether the answers of this step rule out the effect ``index``."""
         return self._proofs[index] <= -self._proof_limit
 
     def restart_proof(self):
-        """Begin a step: earlier answers no longer speak for the version."""
+        """Start a step, resetting the SPRT statistics."""
         self._proofs = [0.0] * len(self._effects)
 
     def restart_alarm(self):
-        """Forget what spoke against the version, as it was not the version's."""
+        """Reset the CUSUM statistics and the suspicion."""
         self._alarms = [0.0] * len(self._effects)
         self._suspicion = None
 
     def answers_needed(self, index, reference):
-        """Return about how many good answers rule out the effect ``index``."""
+        """Return how many answers of a good version rule out an effect on average."""
         return _answers_needed(
             round(reference, _RATE_DIGITS), self._effects, index, self._proof_limit
         )
@@ -197,7 +196,7 @@
 
 
 class _Suspicion(msgspec.Struct):
-    """Counts of both versions when a suspicion arose, and what raised it."""
+    """Counts of both versions when a suspicion was raised, and the effect size."""
 
     count: int
     bad_count: int
@@ -210,7 +209,7 @@
 
 @functools.lru_cache(maxsize=8192)
 def _log_ratios(is_bad, reference, effects):
-    """Return the logarithm of the likelihood ratio of one answer for each effect."""
+    """Return the log-likelihood ratio of one answer for each effect size."""
     base = min(max(reference, _MIN_RATE), _MAX_RATE - 0.01)
     rates = [min(base + effect, _MAX_RATE) for effect in effects]
     if is_bad:
--- a/libs/decisions/src/hemlockhoist/decisions/versions/trial.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/trial.py
@@ -1,4 +1,4 @@
-"""A bound on all that an unproven version may get of a pool's requests."""
+"""Bound on the requests of a pool that an unproven version may get in total."""
 
 import msgspec
 
@@ -6,25 +6,25 @@
 
 
 class TrialBound(msgspec.Struct, frozen=True, kw_only=True):
-    """How many requests may reach a version before the evidence speaks for it.
+    """Limits how many requests reach a version before it is proven.
 
-    Load: a move that has to be over in seconds. At a small share the answers that
-    prove a version take longer than that, so its first share has to be large; what
-    bounds the harm of a bad version is then the number of requests that it gets.
+    Intended for moves that have to complete within seconds. At a small share, proving a
+    version takes longer than that, so the first share has to be large; the harm of a
+    bad version is then bounded by the number of requests that it gets.
 
     Parameters
     ==========
     share_permille : int
-        Of the pool's requests since the move began.
+        Share of the pool's requests since the move began.
     requests : int
-        Beside that share.
+        Requests allowed in addition to that share.
     until_fraction : float
-        Part of the move's time during which the bound holds for all routes, proven ones
-        too: a version may turn bad later, or under load, and counts as bad from its
-        first request.
+        Fraction of the move's duration during which the bound applies to all routes,
+        including proven ones. A version may become bad later or under load, and then
+        counts as bad from its first request.
     min_end_fraction : float
-        Part of its time before which the move does not end, so that the version is
-        seen under its whole load while the old one can return.
+        Fraction of the move's duration before which the move does not end, so that the
+        version is observed under full load while a roll-back is still possible.
 
     Examples
     ========
@@ -47,13 +47,13 @@
         Parameters
         ==========
         new : int
-            Requests that it got.
+            Requests that the version has got.
         granted : int
-            Requests of the pool, those included.
+            All requests of the pool, those included.
         """
         bound = self.share_permille * granted + self.requests * FULL_PERMILLE
         return (new + 1) * FULL_PERMILLE <= bound
 
 
-# Where the share of each route is the only bound.
+# No bound besides the share of each route.
 UNBOUNDED = TrialBound(share_permille=FULL_PERMILLE, requests=1)
