--- a/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
@@ -15,13 +15,13 @@
     planner : Planner
     """
 
-    __slots__ = ("_checked_ms", "_planner", "_report_count", "_row")
+    __slots__ = ("_checked_ms", "_planner", "_reported_stage", "_row")
 
     def __init__(self, row, planner):
         self._row = row
         self._planner = planner
         self._checked_ms = None
-        self._report_count = 0
+        self._reported_stage = 0
 
     def check(self, lanes, now_ms):
         """Return the delay to report now, if any.
@@ -43,14 +43,14 @@
         self._checked_ms = now_ms
         schedule = self._planner.schedule
         is_past = now_ms >= schedule.end_ms
-        if self._report_count >= 1 + is_past or not schedule.is_estimate_reliable(
+        if self._reported_stage >= 1 + is_past or not schedule.is_estimate_reliable(
             now_ms
         ):
             return []
         delay = self._planner.delay(tuple(lanes), now_ms)
         if delay is None:
             return []
-        self._report_count = 1 + is_past
+        self._reported_stage = 1 + is_past
         return [self._late(delay, now_ms)]
 
     def _late(self, delay, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
@@ -203,7 +203,7 @@
             self.recent.append((upstream_id, measure, is_slow))
 
     def _observe_own_duration(self, outcome, load):
-        """Use the new version's own durations where the old version has too few.
+        """Use the new version's own durations if the old version has too few.
 
         Failure case: a home takes over when the old version gets no more traffic, and
         the new version hangs from then on. Without any reference duration, no request
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
@@ -85,5 +85,5 @@
         for share in row.lanes:
             if (share.route, share.idempotent) == lane.key:
                 return share.share_permille
-        held_back = self._rules.non_idempotent_last and not lane.idempotent
-        return 0 if held_back else self._rules.first_share_permille
+        is_deferred = self._rules.non_idempotent_last and not lane.idempotent
+        return 0 if is_deferred else self._rules.first_share_permille
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/fakes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A pool, its requests, and a home with a store, for the tests of this package."""
+"""Pool, requests, and a home with a store, for the tests of this package."""
 
 from hemlockhoist.base import InvariantLog
 from hemlockhoist.decisions.versions import MoveController, MoveRequest, start_move
@@ -37,7 +37,7 @@
 
 
 class Traffic:
-    """Feeds one controller with requests; the store is this object's ``row``."""
+    """Sends requests through one controller; ``row`` is the stored row."""
 
     def __init__(self, controller=None, moved_by_ms=HOUR_MS):
         self.row = new_row(moved_by_ms)
@@ -69,7 +69,7 @@
         )
 
     def grant(self, request, versions=("v1", "v2"), upstream=1):
-        """Grant as a scheduler does; return the version, or None."""
+        """Issue a grant as a scheduler does and return the version, or None."""
         chosen = self.controller.candidates(request, versions, self.now_ms)
         if not chosen:
             return None
@@ -80,7 +80,7 @@
         return version
 
     def serve(self, outcome_of, count, gap_ms=100, idempotent=True, upstreams=3):
-        """Serve requests one after another, each answered before the next."""
+        """Serve requests sequentially, each answered before the next one."""
         for _ in range(count):
             request = self.request(idempotent)
             upstream = self.sequence % upstreams
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/fleet.py
@@ -1,7 +1,7 @@
-"""Homes, a store and peers as plain lists, for randomised runs of version moves.
+"""Model of homes, a store and peers for randomised tests of version moves.
 
-One home holds the lease at a time; others may be frozen with an old one and wake.
-The model keeps its own account of what may be granted, apart from the code's.
+One home holds the lease at a time; others may be suspended with an expired one and
+resume. The model computes independently of the code which grants are allowed.
 """
 
 import collections
@@ -23,20 +23,20 @@
 )
 
 MOVE_MS = 300_000
-# Grants that a version may get of one home after its badness began. A home that took
-# over at a full share has no answers of the old version: 20 failures on either of two
-# lanes are its verdict, and a burst of 40 may be in flight on each when it falls.
+# Grants that a version may get from one home after it became bad. A home that took over
+# at full share has no answers of the old version: its verdict needs 20 failures on either
+# of two lanes, and a burst of 40 may be in flight on each at that time.
 MAX_BAD_GRANTS = 120
-# All grants of a bad or hanging version may be three homes' worth of this, at any
+# Limit for each of up to three homes on the grants of a bad or hanging version, at any
 # share.
 STRICT_BOUND_PER_HOME = 60
-# A version that hangs is found by overdue answers, which takes the old version's
-# answers to compare with: the bound holds up to this share.
+# A version that hangs is detected by overdue answers, which needs answers of the old
+# version as a reference: the bound is checked up to this share.
 MAX_HANGING_PERMILLE = 500
 
 
 class Home(Traffic):
-    """One home: a controller, its lease, and requests in flight."""
+    """Home with a controller, a lease, and requests in flight."""
 
     def __init__(self, fleet, kind, row):
         self.now_ms = fleet.now_ms
@@ -45,15 +45,15 @@
         self.counts = {"v1": 0, "v2": 0}
         self.in_flight = []
         self.bad_grants = 0
-        self.frozen_until_ms = -1
-        self.was_frozen = False
+        self.suspended_until_ms = -1
+        self.was_suspended = False
         self.controller = kind.from_config(
             POOL, row, self.now_ms, UNIX_MS + self.now_ms, fleet.log
         )
 
 
 class Fleet:
-    """The world of one randomised run; ``kind`` is the controller under test."""
+    """State of one randomised run; ``kind`` is the controller class under test."""
 
     def __init__(self, kind=MoveController):
         self.kind = kind
@@ -79,10 +79,10 @@
     def home(self):
         return self.homes[-1]
 
-    # What may happen.
+    # Operations.
 
     def order_move(self, to_version, moved_by_ms=MOVE_MS):
-        """An operator starts a move; refused where one runs."""
+        """Start a move for an operator; has no effect if one is running."""
         from_version = "v1" if to_version == "v2" else "v2"
         self.move_count += 1
         order = MoveRequest(
@@ -101,7 +101,9 @@
             row = start_move(former, order, UNIX_MS + self.now_ms)
         except MoveError:
             return
-        assert former is None or former.state is not MoveState.RUNNING, "two moves run"
+        assert former is None or former.state is not MoveState.RUNNING, (
+            "second move started while one is running"
+        )
         self.is_bad = self.hangs = False
         self.write(row)
 
@@ -115,22 +117,26 @@
         self.write(row)
 
     def halt(self):
-        """The home is told that the version is bad, by its operator."""
+        """Halt the new version at the home on behalf of an operator."""
         row = self.home.controller.row
         if row is not None:
-            self.home.controller.halt(row.to_version, "told so", self.now_ms)
+            self.home.controller.halt(
+                row.to_version, "halted by an operator", self.now_ms
+            )
 
     def write(self, row):
-        """Write the row, as by compare-and-set, and check what is written."""
+        """Write the row, as after a successful compare-and-set, and check it."""
         former = self.store
-        assert former is None or row.fencing >= former.fencing, "an old lease wrote"
+        assert former is None or row.fencing >= former.fencing, (
+            "row written under an old lease"
+        )
         state = self.ended.get(row.move_id)
         allowed = (None, row.state)
         if state is MoveState.FINISHED:
             allowed += (MoveState.FINISHED,)
-            assert row.state is not MoveState.RUNNING, "a finished move runs again"
+            assert row.state is not MoveState.RUNNING, "finished move is running again"
         else:
-            assert state in allowed, f"{state} became {row.state}"
+            assert state in allowed, f"{state} changed to {row.state}"
         if row.state is not MoveState.RUNNING:
             self.ended[row.move_id] = row.state
         for lane in row.lanes:
@@ -141,13 +147,13 @@
 
     def advance(self, ms):
         self.now_ms += ms
-        for home in self.awake():
+        for home in self.active():
             home.now_ms = self.now_ms
             home.controller.tick(self.now_ms)
             self.write_wanted_row(home)
 
     def write_wanted_row(self, home):
-        """Let a home write what it wants; a conflict makes it read."""
+        """Write the row that a home wants; on a conflict, the home reads instead."""
         if not self.store_up:
             return
         known = home.controller.row
@@ -159,15 +165,15 @@
             self.write(wanted)
         if wanted is not None or known != self.store:
             home.controller.observe_row(self.store, self.now_ms)
-            home.was_frozen = False
+            home.was_suspended = False
 
-    def awake(self):
-        return [home for home in self.homes if home.frozen_until_ms <= self.now_ms]
+    def active(self):
+        return [home for home in self.homes if home.suspended_until_ms <= self.now_ms]
 
     def serve(self, count, idempotent=True, index=-1):
-        """Let a home grant requests, and check each grant."""
-        awake = self.awake()
-        home = awake[index % len(awake)]
+        """Issue grants at a home and check each of them."""
+        active = self.active()
+        home = active[index % len(active)]
         home.now_ms = self.now_ms
         for _ in range(count):
             request = home.request(idempotent)
@@ -182,37 +188,41 @@
         if row is None or version != row.to_version:
             return
         running = row.state is MoveState.RUNNING
-        assert not (home.was_frozen and running), "granted on waking"
+        assert not (home.was_suspended and running), (
+            "resumed home granted the new version before it learned the state"
+        )
         self.check_known_share(home, row)
         if running and not idempotent:
             self.check_idempotent_first(row)
         small = row.share_permille <= MAX_HANGING_PERMILLE and running
         if self.is_bad or (self.hangs and small):
             home.bad_grants += 1
-            assert home.bad_grants <= MAX_BAD_GRANTS, "a bad version goes on"
+            assert home.bad_grants <= MAX_BAD_GRANTS, "too many grants of a bad version"
 
     def check_known_share(self, home, row):
-        """A home grants no route more than was ever written for it."""
+        """Check that no route's share exceeds the largest one written for it."""
         for lane in home.controller._lanes:
             known = self.highest.get((row.move_id, *lane.key))
             first = POOL.version_rules.first_share_permille if lane.idempotent else 0
             limit = first if known is None else known
             if row.state is MoveState.RUNNING:
-                assert lane.share_permille <= limit, "more than was written"
+                assert lane.share_permille <= limit, "share exceeds the written one"
 
     def check_idempotent_first(self, row):
-        """Non-idempotent calls follow idempotent ones that have shown the version."""
+        """Check that non-idempotent calls wait until the gate share is reached."""
         shares = [
             share
             for (move_id, _, idempotent), share in self.highest.items()
             if move_id == row.move_id and idempotent
         ]
-        assert max(shares, default=1000) >= 500, "non-idempotent calls went first"
+        assert max(shares, default=1000) >= 500, (
+            "non-idempotent calls before idempotent ones"
+        )
 
     def respond(self, index=-1):
-        """Answer what is in flight at a home."""
-        awake = self.awake()
-        home = awake[index % len(awake)]
+        """Answer the requests in flight at a home."""
+        active = self.active()
+        home = active[index % len(active)]
         waiting, home.in_flight = home.in_flight, []
         for request, version in waiting:
             row = home.controller.row
@@ -225,32 +235,34 @@
             home.controller.on_outcome(request, version, outcome, self.now_ms)
 
     def gossip(self):
-        """Put every home's announcement in the post."""
-        for home in self.awake():
+        """Queue the announcement of every home that is not suspended."""
+        for home in self.active():
             announcement = home.controller.announcement()
             if announcement is not None:
                 self.messages.append((announcement, self.has_halted(home)))
 
     def deliver(self, index, times=1):
-        """Deliver an announcement to all, out of order and repeatedly."""
+        """Deliver an announcement to all homes, possibly late and repeatedly."""
         if not self.messages:
             return
         announcement, was_halted = self.messages[index % len(self.messages)]
-        for home in self.awake():
+        for home in self.active():
             former, halted = home.controller.row, self.has_halted(home)
             for _ in range(times):
                 home.controller.observe_announcement(announcement, self.now_ms)
-            home.was_frozen = False
+            home.was_suspended = False
             row = home.controller.row
             if row.move_id == announcement.row.move_id and was_halted:
-                assert self.has_halted(home), "a halt was not taken from a peer"
+                assert self.has_halted(home), "halt of a peer was not applied"
             if former is not None and row.move_id == former.move_id:
-                assert self.has_halted(home) or not halted, "a halt was undone"
+                assert self.has_halted(home) or not halted, "halt was undone"
                 ended = former.state is not MoveState.RUNNING
-                assert not ended or row.state is not MoveState.RUNNING, "reverted"
+                assert not ended or row.state is not MoveState.RUNNING, (
+                    "final state reverted to running"
+                )
 
     def has_halted(self, home):
-        """Return whether the home grants the new version nothing any more."""
+        """Return whether the home has halted the new version."""
         row = home.controller.row
         if row is None:
             return False
@@ -262,17 +274,17 @@
         return known is not None
 
     def take_over(self):
-        """A new home, with the lease; what it knows is the store's row, or a peer's."""
+        """Add a new home with the lease and the row of the store or of a peer."""
         row = self.store if self.store_up else None
         if row is None and self.messages:
             row = self.messages[-1][0].row
         self.homes.append(Home(self, self.kind, row))
         del self.homes[:-3]
 
-    def freeze(self, ms):
-        """The newest home stops for a while; another takes the lease."""
-        self.home.frozen_until_ms = self.now_ms + ms
-        self.home.was_frozen = ms > 3_000
+    def suspend(self, ms):
+        """Suspend the newest home for a while; another one acquires the lease."""
+        self.home.suspended_until_ms = self.now_ms + ms
+        self.home.was_suspended = ms > 3_000
         self.take_over()
 
     def degrade(self, hangs):
@@ -282,7 +294,7 @@
 
 
 class StrictBoundFleet(Fleet):
-    """A fleet that checks the run's first, stricter bound on bad grants too."""
+    """Fleet that also checks a stricter bound on grants over all homes."""
 
     def __init__(self):
         self.bad_grants = 0
@@ -299,4 +311,6 @@
         if self.is_bad or self.hangs:
             self.bad_grants += 1
             limit = STRICT_BOUND_PER_HOME * len(self.homes)
-            assert self.bad_grants <= limit, "a bad version goes on"
+            assert self.bad_grants <= limit, (
+                "too many grants of a bad version over all homes"
+            )
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_controller.py
@@ -19,19 +19,19 @@
 
 
 class ShareTest(unittest.TestCase):
-    def test_without_a_move_only_the_stable_version_serves(self):
+    def test_only_the_stable_version_serves_without_a_move(self):
         traffic = Traffic()
         traffic.row = None
         traffic.controller = traffic.new_home()
         chosen = traffic.controller.candidates(traffic.request(), ("v1", "v2"), 0)
         self.assertEqual(chosen, ("v1",))
 
-    def test_a_burst_gets_no_more_than_the_first_share(self):
-        """A thousand requests arrive within a moment after a move began.
+    def test_burst_at_the_start_does_not_exceed_the_first_share(self):
+        """Guards against a burst reaching an untested version.
 
-        Nothing is known of the new version yet. Were shares drawn, or earned by
-        waiting, it might get dozens; it gets what one in a hundred allows, and no
-        more than it may hold unanswered.
+        A thousand requests arrive at once after a move has started. With randomly
+        sampled or time-based shares, the new version could get dozens of them. It must
+        get at most one in a hundred, and no more than it may hold unanswered.
         """
         traffic = Traffic()
         for _ in range(1000):
@@ -39,12 +39,12 @@
         self.assertLessEqual(traffic.counts["v2"], 10)
         self.assertGreaterEqual(traffic.counts["v2"], 2)
 
-    def test_a_version_that_hangs_holds_few_requests(self):
-        """The new version accepts connections and never answers.
+    def test_hanging_version_gets_few_requests(self):
+        """Guards against a version that accepts connections and never answers.
 
-        No answer means no evidence: were only answers counted, its share would stay
-        and every hundredth caller would hang. What it holds is bounded, and an
-        overdue answer counts as a failure.
+        If only answers counted as evidence, it would keep its share and every hundredth
+        caller would hang. The unanswered requests are bounded, and an overdue answer
+        counts as a failure.
         """
         traffic = Traffic()
         hang = lambda version, _: answer() if version == "v1" else None  # noqa: E731
@@ -54,7 +54,7 @@
 
 
 class TakeOverTest(unittest.TestCase):
-    """The pool's home changes while, or after, the new version got all traffic."""
+    """The pool's home changes after the new version got all traffic."""
 
     def setUp(self):
         self.traffic = Traffic()
@@ -66,18 +66,19 @@
         self.traffic.advance(after_ms)
         self.traffic.controller = self.traffic.new_home()
 
-    def test_version_that_fails_under_a_home_that_took_over_after_the_end(self):
-        """Callers get failures for hours after a move that went well.
+    def test_new_home_detects_a_version_that_fails_after_the_end(self):
+        """Guards against failures that persist for hours after a successful move.
 
-        The version turns bad minutes after its end, and the home that watched it is
-        gone. The next one has no answers of the old version to compare with.
+        The version becomes bad minutes after the end of the move, when the home that
+        observed it has gone. The next home has no answers of the old version to compare
+        with.
         """
         self.take_over(60_000)
         self.traffic.serve(bad, 300)
         self.assertEqual(len(self.traffic.events_of_type(TakenBack)), 1)
         self.assertLessEqual(self.traffic.counts["v2"], 40)
 
-    def test_version_that_hangs_under_such_a_home(self):
+    def test_new_home_detects_a_version_that_hangs_after_the_end(self):
         self.take_over(60_000)
         self.traffic.serve(good, 40)
         hang = lambda version, _: answer() if version == "v1" else None  # noqa: E731
@@ -85,30 +86,30 @@
         self.assertEqual(len(self.traffic.events_of_type(TakenBack)), 1)
         self.assertLessEqual(self.traffic.counts["v2"], 40 + 60)
 
-    def test_burst_that_hangs_is_mostly_kept_from_it(self):
+    def test_unanswered_burst_goes_mostly_to_the_old_version(self):
         self.take_over(60_000)
         for _ in range(500):
             self.traffic.grant(self.traffic.request())
         self.assertLessEqual(self.traffic.counts["v2"], 20)
 
-    def test_burst_goes_to_it_where_the_old_version_has_left(self):
+    def test_burst_goes_to_the_new_version_if_the_old_one_is_gone(self):
         self.take_over(60_000)
         for _ in range(500):
             self.traffic.grant(self.traffic.request(), versions=("v2",))
         self.assertEqual(self.traffic.counts["v2"], 500)
 
-    def test_long_after_the_end_nothing_is_judged(self):
+    def test_failures_long_after_the_end_are_not_evaluated(self):
         self.take_over(HOUR_MS)
         self.traffic.serve(bad, 300)
         self.assertEqual(self.traffic.events_of_type(TakenBack), [])
 
 
 class NewHomeTest(unittest.TestCase):
-    def test_bookings_wait_where_the_row_knows_calls_that_may_be_repeated(self):
-        """The first to meet an unproven version are bookings.
+    def test_non_idempotent_calls_wait_if_the_row_lists_idempotent_ones(self):
+        """Guards against non-idempotent calls being the first on an unproven version.
 
-        A new home of a pool gets bookings only, for a while, and takes the pool for
-        one that has nothing else.
+        A new home of a pool gets only non-idempotent calls for a while, and must not
+        assume that the pool has no others.
         """
         traffic = Traffic()
         traffic.serve(good, 2_000)
@@ -121,25 +122,25 @@
 
 
 class MoveTest(unittest.TestCase):
-    def test_a_good_version_is_moved_in_time(self):
+    def test_move_to_a_good_version_finishes_in_time(self):
         traffic = Traffic()
         traffic.serve(good, 36_000)
         self.assertEqual([e.late_ms for e in traffic.events_of_type(Finished)], [0])
         self.assertEqual(traffic.row.state, MoveState.FINISHED)
         self.assertGreater(traffic.log.checks[Property.BAD_VERSION_SMALL_SHARE], 30_000)
 
-    def test_a_version_that_fails_at_once_gets_a_handful(self):
+    def test_version_that_always_fails_gets_few_requests(self):
         traffic = Traffic()
         traffic.serve(bad, 3000)
         self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
         self.assertLessEqual(traffic.counts["v2"], 8)
         self.assertIn("failed", traffic.events_of_type(TakenBack)[0].reason)
 
-    def test_a_long_good_past_hides_nothing(self):
-        """A version serves well for half an hour, then begins to fail.
+    def test_late_failure_is_detected_after_a_long_good_period(self):
+        """Guards against a version that fails after half an hour of good answers.
 
-        Thousands of good answers speak for it. A test over all of them would need
-        hundreds of failures; the restarted one needs a handful.
+        A test over all of its thousands of good answers would need hundreds of
+        failures; the cumulative sum, which restarts at zero, needs only a few.
         """
         traffic = Traffic()
         traffic.serve(good, 15_000)
@@ -148,18 +149,18 @@
         self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
         self.assertLessEqual(traffic.counts["v2"] - before, 12)
 
-    def test_badness_after_the_end_is_taken_back(self):
+    def test_failure_after_the_end_is_rolled_back(self):
         traffic = Traffic()
         while not traffic.events_of_type(Finished):
             traffic.serve(good, 1000)
         traffic.serve(bad, 100)
         self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
 
-    def test_one_bad_upstream_is_not_a_bad_version(self):
-        """One of the new version's three upstreams sits on a broken host.
+    def test_one_bad_upstream_does_not_stop_the_move(self):
+        """Guards against rolling back a good version because of one broken machine.
 
-        Its answers fail while those of its fellows are good. The upstream is set
-        apart and named to the operators; the version goes on.
+        Only the answers of one of the version's three upstreams fail. That upstream is
+        excluded and reported to the operators, and the move continues.
         """
         traffic = Traffic()
         one_bad = lambda v, u: failed() if (v, u) == ("v2", 1) else answer()  # noqa: E731
@@ -169,7 +170,7 @@
             traffic.events_of_type(UpstreamSetApart)[0].upstream_id, "v2-1"
         )
 
-    def test_too_little_traffic_is_told(self):
+    def test_delay_caused_by_little_traffic_is_reported(self):
         traffic = Traffic(moved_by_ms=HOUR_MS // 4)
         traffic.serve(good, 100, gap_ms=10_000)
         self.assertTrue(traffic.events_of_type(Late))
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_evidence.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_evidence.py
@@ -23,7 +23,7 @@
             self.evidence.observe_old(outcome, load)
 
     def new(self, count, factor=1.0, load=1, fail=0.0):
-        """Return the answers of the new version until the verdict, or None."""
+        """Return how many answers of the new version led to the verdict, or None."""
         for i in range(count):
             is_failed = self.draw.random() < fail
             outcome = failed() if is_failed else answer(self.latency(factor))
@@ -34,7 +34,7 @@
         return None
 
     def both(self, count, factor=1.0, fail=0.0):
-        """Return whether the new version is called bad when both are the same."""
+        """Return whether a new version equal to the old one is found bad."""
         for i in range(count):
             self.old(1, factor, fail=fail)
             is_failed = self.draw.random() < fail
@@ -46,24 +46,24 @@
 
 
 class VerdictTest(EvidenceCase):
-    def test_always_failing_is_found_in_a_handful(self):
+    def test_constant_failure_is_detected_within_eight_answers(self):
         self.old(500)
         self.assertLessEqual(self.new(20, fail=1.0), 8)
 
-    def test_one_in_five_failing_is_found_within_a_hundred(self):
+    def test_failure_rate_of_one_in_five_is_detected_within_hundred_answers(self):
         self.old(500)
         self.assertLessEqual(self.new(300, fail=0.2), 100)
 
-    def test_three_times_slower_is_found(self):
+    def test_threefold_latency_is_detected(self):
         self.old(500)
         self.assertLessEqual(self.new(200, factor=3.0), 40)
         self.assertIs(self.evidence.verdict()[1], Measure.DURATION)
 
-    def test_callers_that_give_up_speak_against_the_version(self):
-        """The new version is so slow that callers leave before it answers.
+    def test_slow_cancellations_count_against_the_version(self):
+        """Guards against a version so slow that all callers disconnect.
 
-        It never completes an answer, so no latency would ever be seen; that callers
-        left after a time that is long for the old version is what there is to see.
+        It never completes an answer, so there are no latencies to compare. Only the
+        time after which callers cancelled shows that it is slow.
         """
         self.old(500)
         for _ in range(20):
@@ -72,7 +72,7 @@
             self.old(1)
         self.assertIs(self.evidence.verdict()[0], Verdict.BAD)
 
-    def test_what_was_never_sent_says_nothing(self):
+    def test_requests_that_were_not_sent_are_no_evidence(self):
         self.old(500)
         for _ in range(50):
             outcome = answer(0, kind=OutcomeKind.NOT_SENT)
@@ -80,22 +80,23 @@
         self.assertEqual(self.evidence.answer_count, 0)
 
 
-class FairnessTest(EvidenceCase):
-    def test_trouble_common_to_both_versions_is_no_verdict(self):
-        """A dependency of both versions fails a third of calls and slows the rest.
+class FalseAlarmTest(EvidenceCase):
+    def test_fault_common_to_both_versions_gives_no_verdict(self):
+        """Guards against a good version found bad because of a shared dependency.
 
-        The new version's answers may tell of it first. It is compared with the old
-        version's answers of the same time, and stays.
+        The dependency fails about a third of the calls of both versions and slows down
+        the rest. The new version's answers may be the first to show it.
         """
         self.old(500)
         self.assertFalse(self.both(100, factor=3.0, fail=0.3))
         self.assertFalse(self.both(300))
 
-    def test_the_slowness_of_load_is_not_the_versions(self):
-        """Near the end of a move the new version has the load, and the old is idle.
+    def test_latency_caused_by_load_gives_no_verdict(self):
+        """Guards against a good version found bad because it has most of the load.
 
-        Loaded upstreams answer three times slower than idle ones, of either version.
-        The new version is held against the old one's answers at the same load.
+        Near the end of a move the old version's upstreams are idle. Loaded upstreams of
+        either version are three times slower, so latencies must be compared at the same
+        load.
         """
         self.old(400, factor=3.0, load=20)
         self.old(400, factor=1.0, load=1)
@@ -105,7 +106,7 @@
             self.old(1, load=1)
             self.assertIsNot(self.evidence.verdict()[0], Verdict.BAD)
 
-    def test_good_answers_prove_a_step_and_no_longer(self):
+    def test_good_answers_prove_one_step_only(self):
         self.old(500)
         self.assertIsNone(self.new(300))
         self.assertTrue(self.evidence.proven(0))
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
@@ -23,7 +23,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Operators, homes, peers and the store, in any order."""
+    """Actions of operators, homes, peers and the store in any order."""
 
     def __init__(self):
         super().__init__()
@@ -65,7 +65,7 @@
         self.fleet.deliver(index, times)
 
     @rule(up=st.booleans())
-    def switch_the_store(self, up):
+    def set_store_available(self, up):
         self.fleet.store_up = up
 
     @rule()
@@ -73,8 +73,8 @@
         self.fleet.take_over()
 
     @rule(ms=st.integers(500, 30_000))
-    def freeze(self, ms):
-        self.fleet.freeze(ms)
+    def suspend(self, ms):
+        self.fleet.suspend(ms)
 
     @rule(hangs=st.booleans())
     def degrade(self, hangs):
@@ -82,17 +82,18 @@
 
 
 class FleetTest(FleetMachine.TestCase):
-    """Whatever happens in whatever order, a bad version keeps a small share.
+    """Checks that a bad version gets few grants in any sequence of events.
 
-    Two operators move the pool to and fro, homes die, freeze and wake with an old
-    lease, the store goes away, and peers' news arrive late, crossed and twice.
+    Operators move the pool back and forth, homes fail, are suspended and resume with an
+    expired lease, the store becomes unavailable, and announcements of peers arrive late,
+    out of order and repeatedly.
     """
 
     settings = settings(max_examples=40, stateful_step_count=40, deadline=None)
 
 
 def steps_until_failure(seed=1, kind=Fleet):
-    """Drive a fleet by seeded chance; return the step that broke a rule, or None."""
+    """Run random steps from a seed and return the first that fails a check, or None."""
     draw = random.Random(seed)
     fleet = kind()
     fleet.order_move("v2")
@@ -120,7 +121,7 @@
         lambda: setattr(fleet, "store_up", draw.random() < 0.6),
         lambda: fleet.take_over() if draw.random() < 0.2 else None,
         lambda: (
-            fleet.freeze(draw.randint(500, 30_000)) if draw.random() < 0.3 else None
+            fleet.suspend(draw.randint(500, 30_000)) if draw.random() < 0.3 else None
         ),
         lambda: fleet.degrade(draw.random() < 0.5) if draw.random() < 0.2 else None,
     )
@@ -135,13 +136,13 @@
     return 1000
 
 
-# Each guard, broken on purpose: the run has to notice.
+# Each entry disables one safeguard; the randomised run has to detect it.
 MUTATIONS = {
     "shares are not counted": (Lane, "is_due", property(_always(True))),
     "halts are ignored": (MoveController, "_is_halted", _always(False)),
-    "halts are forgotten": (halts.HaltSet, "of_move", _always({})),
-    "a frozen home goes on": (controller, "PAUSE_LIMIT_MS", 10**9),
-    "an older row is taken": (controller, "is_newer", _always(True)),
+    "halts are not announced": (halts.HaltSet, "of_move", _always({})),
+    "a suspended home is not detected": (controller, "PAUSE_LIMIT_MS", 10**9),
+    "an older row is applied": (controller, "is_newer", _always(True)),
     "a new home starts at a full share": (
         lanes.LaneTable,
         "_share_in_row",
@@ -152,22 +153,23 @@
 
 
 class MutationTest(unittest.TestCase):
-    def test_the_unbroken_code_passes(self):
+    def test_unmodified_code_passes(self):
         for seed in range(1, 4):
             self.assertIsNone(steps_until_failure(seed))
 
-    def test_each_broken_guard_is_caught(self):
+    def test_each_disabled_safeguard_is_detected(self):
         for name, (owner, attribute, broken) in MUTATIONS.items():
             with self.subTest(name), mock.patch.object(owner, attribute, broken):
                 found = [steps_until_failure(seed) for seed in range(1, 4)]
                 steps = [step for step in found if step is not None]
                 self.assertTrue(steps, name)
-                print(f"mutation: {name}: caught after {min(steps)} steps")
+                print(f"mutation: {name}: detected after {min(steps)} steps")
 
-    def test_a_version_that_hangs_is_found_by_overdue_answers_alone(self):
-        """The randomised run bounds what such a version holds, also without a verdict.
+    def test_hanging_version_is_detected_only_by_overdue_answers(self):
+        """Checks that there is no verdict if overdue answers are not detected.
 
-        So this guard is broken in a run of its own: no verdict falls without it.
+        The randomised run does not show this, as the requests that a hanging version
+        holds are bounded even without a verdict.
         """
         hang = lambda version, _: answer() if version == "v1" else None  # noqa: E731
         traffic = Traffic()
@@ -182,12 +184,12 @@
 
 
 class StrictBoundTest(unittest.TestCase):
-    def test_version_that_turns_bad_at_a_full_share_goes_on_under_new_homes(self):
-        """
-        A version has all of the traffic and turns bad, and the pool's home changes. A
-        home that took over at a full share has no answers of the old version to
-        compare with, and one that took over after the end judges nothing: callers get
-        bad answers from each new home anew.
+    def test_bad_version_at_full_share_is_bounded_over_all_homes(self):
+        """Guards against bad answers that start again with each new home.
+
+        A version with all traffic becomes bad and the pool's home changes. A home that
+        takes over at full share has no answers of the old version to compare with; one
+        that takes over after the end did not evaluate answers at all.
         """
         for seed in range(1, 7):
             with self.subTest(seed=seed):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_move.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_move.py
@@ -29,23 +29,22 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_two_operators_in_opposite_directions(self):
-        """One operator moves a pool to v2 while another moves it back to v1.
+    def test_concurrent_move_in_opposite_direction_is_refused(self):
+        """Guards against two operators moving a pool back and forth at the same time.
 
-        Both read the row before either wrote. The second write is refused by the
-        table service; its host reads again and finds the first move under way. The
-        second operator is told of it, instead of traffic swinging to and fro.
+        Both read the row before either writes. The second compare-and-set fails, and
+        the retry on the new row must raise a conflict.
         """
         row = start_move(None, request(), 1_000)
         with self.assertRaises(MoveError) as caught:
             start_move(row, request("m2", "v2", "v1"), 1_001)
         self.assertEqual(caught.exception.code, ResultCode.MOVE_CONFLICT)
 
-    def test_repeated_order_after_a_lost_answer_changes_nothing(self):
+    def test_retry_after_a_lost_response_returns_the_same_row(self):
         row = start_move(None, request(), 1_000)
         self.assertIs(start_move(row, request(), 5_000), row)
 
-    def test_after_the_end_a_move_starts_from_the_version_that_serves(self):
+    def test_next_move_must_start_from_the_serving_version(self):
         row = start_move(None, request(), 1_000)
         done = finish_move(row, "m1", "done", "hemlockhoist", 3, 9_000)
         with self.assertRaises(MoveError):
@@ -53,7 +52,7 @@
         back = start_move(done, request("m2", "v2", "v1"), 2_000)
         self.assertEqual((back.state, back.fencing), (MoveState.RUNNING, 3))
 
-    def test_senseless_orders_are_refused(self):
+    def test_invalid_requests_are_refused(self):
         for bad in (
             request(to_version="v1"),
             request(moved_by=1_000),
@@ -64,16 +63,16 @@
             self.assertEqual(caught.exception.code, ResultCode.DECLARATION_INVALID)
 
 
-class ChangeTest(unittest.TestCase):
+class TransitionTest(unittest.TestCase):
     def setUp(self):
         self.row = start_move(None, request(), 1_000)
         self.lanes = (LaneShare(route="GET /x", idempotent=True, share_permille=50),)
 
-    def test_a_paused_holder_may_not_widen(self):
-        """A home is frozen past its lease; its successor takes the move over.
+    def test_expired_lease_holder_cannot_widen(self):
+        """Guards against a write by a home that was suspended past its lease.
 
-        When the first home wakes it still believes in its lease and widens. The row
-        carries the successor's fencing number, so the late write is refused.
+        On resuming, it still assumes that it holds the lease. The row has the fencing
+        token of its successor, so the late write is rejected.
         """
         row = widen_move(self.row, "m1", self.lanes, 8)
         self.assertEqual((row.share_permille, row.fencing), (50, 8))
@@ -82,7 +81,7 @@
         with self.assertRaises(LeaseLost):
             finish_move(row, "m1", "done", "hemlockhoist", 7, 9_000)
 
-    def test_taking_back_asks_for_no_lease_and_is_final(self):
+    def test_rolling_back_needs_no_lease_and_is_final(self):
         row = finish_move(self.row, "m1", "done", "hemlockhoist", 8, 9_000)
         row = roll_back_move(row, "m1", "fails", "hemlockhoist")
         self.assertEqual(row.state, MoveState.ROLLED_BACK)
@@ -93,7 +92,7 @@
         with self.assertRaises(MoveError):
             cancel_move(row, "m1", "no", "operator")
 
-    def test_cancelling(self):
+    def test_cancelling_is_idempotent_and_checks_the_move_id(self):
         row = cancel_move(self.row, "m1", "wrong pool", "operator")
         self.assertEqual((row.state, row.author), (MoveState.CANCELLED, "operator"))
         self.assertIs(cancel_move(row, "m1", "again", "operator"), row)
@@ -101,7 +100,7 @@
             cancel_move(row, "m0", "no", "operator")
         self.assertEqual(caught.exception.code, ResultCode.MOVE_UNKNOWN)
 
-    def test_the_row_survives_encoding(self):
+    def test_row_round_trips_through_encoding(self):
         row = widen_move(self.row, "m1", self.lanes, 8)
         data = msgspec.msgpack.encode(row)
         self.assertEqual(msgspec.msgpack.decode(data, type=Move), row)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
@@ -21,11 +21,11 @@
 
 
 class OrderBookTest(unittest.TestCase):
-    def test_an_order_is_repeated_until_it_is_read_back(self):
-        """An order's answer is lost; nobody knows whether the engine has it.
+    def test_order_is_resent_until_it_is_read_back(self):
+        """Guards against an order that is lost because its response was lost.
 
-        It is sent again under the same id until the engine is seen to run the
-        version, and then no more.
+        It is sent again under the same id until the engine is observed to run the
+        version.
         """
         orders = new_tracker()
         orders.set_target("e1", "v2")
@@ -37,19 +37,19 @@
         self.assertEqual(orders.due(2 * RESEND_MS - 1), [])
         self.assertIs(orders.state("e1"), OrderState.IN_FORCE)
 
-    def test_a_holder_past_its_lease_sends_nothing(self):
+    def test_holder_of_an_expired_lease_sends_nothing(self):
         orders = new_tracker()
         orders.set_target("e1", "v2")
         self.assertEqual(orders.due(LEASE_MS), [])
         orders.renew(2 * LEASE_MS)
         self.assertEqual(len(orders.due(LEASE_MS)), 1)
 
-    def test_where_the_number_is_ignored_the_first_order_waits(self):
-        """A host is frozen between its last check and its order, and loses its lease.
+    def test_first_order_is_delayed_if_the_engine_ignores_fencing(self):
+        """Guards against an order of a former lease holder that stays in force.
 
-        The engine ignores fencing numbers. Were the successor's order sent at once,
-        the frozen host's would come after it and stay. The successor waits out the
-        longest pause; what slips in later is read back and ordered anew.
+        A host is suspended between checking its lease and sending its order, and the
+        engine ignores fencing tokens. The successor waits for the longest pause first;
+        a later change is read back and corrected.
         """
         successor = new_tracker(checks_fencing=False, fencing=2)
         successor.set_target("e1", "v1")
@@ -59,7 +59,7 @@
         successor.observe("e1", "v2")
         self.assertEqual(len(successor.due(PAUSE_MS + 1)), 1)
 
-    def test_a_refusal_with_a_higher_number_ends_the_book(self):
+    def test_rejection_with_a_higher_token_stops_all_orders(self):
         orders = new_tracker(fencing=1)
         orders.set_target("e1", "v2")
         orders.record_refusal("e1", 1)
@@ -69,7 +69,7 @@
 
 
 class OrderMachine(RuleBasedStateMachine):
-    """Two holders in turn; the first may be frozen with an order about to be sent."""
+    """Successive lease holders; each may be suspended just before it sends an order."""
 
     checks_fencing = True
     pause_ms = PAUSE_MS
@@ -80,19 +80,19 @@
         self.engine = "v1"
         self.engine_fencing = 0
         self.trackers = [self.new_holder(1)]
-        self.frozen = []
-        self.taken_ms = 0
+        self.suspended = []
+        self.acquired_ms = 0
 
     def new_holder(self, fencing):
-        made = OrderTracker.from_config(
+        tracker = OrderTracker.from_config(
             self.checks_fencing,
             fencing,
             self.now_ms + LEASE_MS,
             self.now_ms,
             max_pause_ms=self.pause_ms,
         )
-        made.set_target("e1", f"v{fencing + 1}")
-        return made
+        tracker.set_target("e1", f"v{fencing + 1}")
+        return tracker
 
     def apply(self, order):
         if self.checks_fencing and order.fencing < self.engine_fencing:
@@ -103,8 +103,8 @@
     @rule(ms=st.integers(100, 4_000))
     def advance(self, ms):
         self.now_ms += ms
-        late = [item for item in self.frozen if self.now_ms >= item[0]]
-        self.frozen = [item for item in self.frozen if self.now_ms < item[0]]
+        late = [item for item in self.suspended if self.now_ms >= item[0]]
+        self.suspended = [item for item in self.suspended if self.now_ms < item[0]]
         for _, order in late:
             self.apply(order)
 
@@ -120,27 +120,27 @@
 
     @rule(pause_ms=st.integers(1, PAUSE_MS))
     @precondition(lambda self: len(self.trackers) < 4)
-    def freeze_the_holder_as_it_sends(self, pause_ms):
+    def suspend_holder_before_sending(self, pause_ms):
         for order in self.trackers[-1].due(self.now_ms):
-            self.frozen.append((self.now_ms + pause_ms, order))
+            self.suspended.append((self.now_ms + pause_ms, order))
         self.trackers.append(self.new_holder(len(self.trackers) + 1))
-        self.taken_ms = self.now_ms
+        self.acquired_ms = self.now_ms
 
     @invariant()
-    def an_order_in_force_stays_so(self):
+    def order_in_force_stays_in_force(self):
         current = self.trackers[-1]
         if (
             current.state("e1") is OrderState.IN_FORCE
-            and not self.engine_runs_the_order()
+            and not self.engine_runs_ordered_version()
         ):
             raise AssertionError(f"engine runs {self.engine}")
 
-    def engine_runs_the_order(self):
+    def engine_runs_ordered_version(self):
         return self.engine == f"v{len(self.trackers) + 1}"
 
 
 class IgnoringOrderMachine(OrderMachine):
-    """The same with engines that ignore fencing numbers."""
+    """The same with engines that ignore fencing tokens."""
 
     checks_fencing = False
 
@@ -151,25 +151,25 @@
 
 
 class CheckingEnginesTest(OrderMachine.TestCase):
-    """No order in force is undone by a former holder, where numbers are checked."""
+    """No former holder undoes an order in force at engines that check tokens."""
 
 
 class IgnoringEnginesTest(IgnoringOrderMachine.TestCase):
-    """Nor where they are ignored, as the first order waits."""
+    """No former holder undoes an order in force at engines that ignore tokens."""
 
 
-class _HastyOrderMachine(IgnoringOrderMachine):
+class _UndelayedOrderMachine(IgnoringOrderMachine):
     pause_ms = 0
 
 
-# A search draws its examples with the constants of the sources that are loaded, so that
-# sixty of them find the break in one state of the tree and not in the next.
+# Hypothesis also draws constants from the loaded sources, so whether sixty examples find
+# the failure depends on the state of the source tree.
 _SEARCH_SETTINGS = settings(_SETTINGS, max_examples=3_000)
 
 
 class MutationTest(unittest.TestCase):
-    def test_without_the_wait_the_run_fails(self):
-        case = _HastyOrderMachine.TestCase
+    def test_run_fails_without_the_delay_of_the_first_order(self):
+        case = _UndelayedOrderMachine.TestCase
         case.settings = _SEARCH_SETTINGS
         result = unittest.TestResult()
         case("runTest").run(result)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
@@ -22,11 +22,11 @@
 
 
 class StoreDownTest(unittest.TestCase):
-    def test_a_bad_version_is_halted_and_written_down_later(self):
-        """The store goes down and the new version begins to fail.
+    def test_bad_version_is_halted_before_the_row_is_written(self):
+        """Guards against grants of a bad version while the store is unavailable.
 
-        The home can not write that it takes the version back. It grants nothing more
-        all the same, and writes the row when the store is up again.
+        The home cannot write the roll-back. It has to stop granting the version at once,
+        and to write the row when the store is available again.
         """
         traffic = Traffic()
         traffic.serve(good, 5_000)
@@ -41,7 +41,7 @@
         traffic.advance(100)
         self.assertEqual(traffic.row.state, MoveState.ROLLED_BACK)
 
-    def test_no_share_widens(self):
+    def test_no_share_grows_without_the_store(self):
         traffic = Traffic()
         traffic.serve(good, 3_000)
         row = traffic.row
@@ -53,7 +53,7 @@
         share = traffic.controller.announcement().row.share_permille
         self.assertEqual(share, row.share_permille)
 
-    def test_without_a_live_lease_no_share_widens(self):
+    def test_no_share_grows_without_a_live_lease(self):
         traffic = Traffic()
         traffic.fencing = None
         traffic.serve(good, 10_000)
@@ -61,31 +61,32 @@
 
 
 class FailoverTest(unittest.TestCase):
-    def test_a_new_home_keeps_the_share_and_asks_for_new_evidence(self):
-        """The home dies at half of the traffic, with the store down.
+    def test_new_home_keeps_the_share_and_collects_new_evidence(self):
+        """Guards against a larger share, or a missed bad version, after a failover.
 
-        Its successor has only a peer's announcement. It goes on at the share that was
-        written, not above it, and a version that is bad by now is taken back on the
-        successor's own evidence.
+        The home fails at half of the traffic while the store is unavailable, and its
+        successor has only a peer's announcement. It keeps the written share, and rolls
+        back a version that has become bad on its own evidence.
         """
         traffic = Traffic()
         while traffic.row.share_permille < 500:
             traffic.serve(good, 500)
-        heard = traffic.controller.announcement()
-        traffic.store_up, traffic.row = False, heard.row
+        announced = traffic.controller.announcement()
+        traffic.store_up, traffic.row = False, announced.row
         traffic.controller = traffic.new_home()
         before = dict(traffic.counts)
         traffic.serve(good, 1_000)
         share = (traffic.counts["v2"] - before["v2"]) / 1_000
-        self.assertAlmostEqual(share, heard.row.share_permille / 1000, delta=0.01)
+        self.assertAlmostEqual(share, announced.row.share_permille / 1000, delta=0.01)
         traffic.serve(bad, 1_000)
         self.assertEqual(len(traffic.events_of_type(TakenBack)), 1)
 
-    def test_a_frozen_home_grants_nothing_before_it_hears_from_a_peer(self):
-        """A home is frozen; meanwhile the version turns bad and peers halt it.
+    def test_resumed_home_grants_the_new_version_only_after_an_update(self):
+        """Guards against grants of a version that was halted during a suspension.
 
-        When the home wakes, it knows nothing of that. It grants the old version until
-        it hears from a peer or the store, and then follows the halt.
+        The version becomes bad and peers halt it while the home is suspended. When it
+        resumes, it grants the old version until a peer or the store reports the state,
+        and then applies the halt.
         """
         traffic = Traffic()
         traffic.serve(good, 10_000)
@@ -100,7 +101,7 @@
         traffic.serve(good, 500)
         self.assertEqual(traffic.counts["v2"], before)
 
-    def test_grants_of_a_former_home_count_as_outstanding(self):
+    def test_grants_issued_by_a_former_home_count_as_outstanding(self):
         traffic = Traffic()
         for _ in range(5):
             request = traffic.request()
@@ -109,12 +110,12 @@
             traffic.grant(traffic.request())
         self.assertEqual(traffic.counts["v2"], 0)
 
-    def test_a_dead_entry_host_does_not_speak_against_the_version(self):
-        """An entry host dies with a dozen answers of the new version on their way.
+    def test_failed_entry_host_does_not_count_against_the_version(self):
+        """Guards against rolling back a good version because an entry host failed.
 
-        Nobody reports them. They look overdue before the host is known to be dead,
-        and would have a good version taken back. What a silent host holds is not
-        judged, and forgotten when the host is given up.
+        The host fails with a dozen answers of the new version pending, which are never
+        reported and appear overdue before the failure is detected. Requests of an
+        unresponsive host are not evaluated, and removed when it is declared failed.
         """
         traffic = Traffic()
         while traffic.row.share_permille < 500:
@@ -129,9 +130,9 @@
         self.assertEqual(traffic.events_of_type(TakenBack), [])
         self.assertTrue(all(not lane.in_flight for lane in traffic.controller._lanes))
 
-    def test_a_halted_version_is_granted_only_by_a_fault(self):
+    def test_granting_a_halted_version_violates_an_invariant(self):
         traffic = Traffic()
-        traffic.controller.halt("v2", "told so", 0)
+        traffic.controller.halt("v2", "halted by an operator", 0)
         with self.assertRaises(PropertyViolation):
             traffic.controller.on_grant(traffic.request(), "v2", 0)
 
@@ -145,7 +146,7 @@
         events = traffic.events_of_type(Widened)
         return [e for e in events if e.idempotent is idempotent]
 
-    def test_bookings_follow_lookups_that_have_shown_the_version(self):
+    def test_non_idempotent_calls_begin_after_idempotent_ones_reach_the_gate(self):
         traffic = Traffic()
         self.serve_mixed(traffic, 36_000)
         first = self.shares(traffic, idempotent=False)[0]
@@ -153,17 +154,17 @@
         self.assertGreaterEqual(first.at_ms, shown[0].at_ms)
         self.assertEqual([e.late_ms for e in traffic.events_of_type(Finished)], [0])
 
-    def test_a_version_that_fails_at_once_gets_no_booking(self):
+    def test_version_that_always_fails_gets_no_non_idempotent_call(self):
         traffic = Traffic()
         self.serve_mixed(traffic, 6_000, bad)
         self.assertEqual(traffic.events_of_type(TakenBack)[0].non_idempotent_count, 0)
 
-    def test_a_pool_without_lookups_begins_one_at_a_time(self):
-        """A label registry has only calls that issue labels.
+    def test_pool_with_only_non_idempotent_calls_begins_one_at_a_time(self):
+        """Guards against harm in a pool that has only non-idempotent calls.
 
-        No call can be tried without harm. After it is clear that there is no other
-        traffic, the new version gets calls one at a time, and never more than a
-        stated number before it has proven itself.
+        An example is a registry that issues labels. Once it is clear that there are no
+        idempotent calls, the new version gets calls one at a time, and at most a fixed
+        number before it is proven.
         """
         traffic = Traffic()
         never = lambda version, _: answer() if version == "v1" else None  # noqa: E731
@@ -177,15 +178,16 @@
             traffic.grant(traffic.request(idempotent=False))
         self.assertEqual(traffic.counts["v2"], 1)
 
-    def test_a_pool_without_lookups_is_moved(self):
+    def test_pool_with_only_non_idempotent_calls_is_moved_in_time(self):
         traffic = Traffic()
         traffic.serve(good, 36_000, idempotent=False)
         self.assertEqual([e.late_ms for e in traffic.events_of_type(Finished)], [0])
 
-    def test_an_undecided_trial_ends_at_its_bound(self):
-        """Calls are slower than before, but too few to call the version slow.
+    def test_inconclusive_trial_stops_at_its_bound(self):
+        """Guards against an endless trial of non-idempotent calls.
 
-        The trial stops at its bound; the operators are told why the move is late.
+        Calls are slower than before, but too few for a verdict. The trial stops at its
+        bound, and the reason for the delay is reported to the operators.
         """
         traffic = Traffic(moved_by_ms=HOUR_MS // 2)
         count = 0
