--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -3,7 +3,7 @@
 from hemlockhoist.base import InvariantLog
 from hemlockhoist.decisions.policy import VersionPolicy
 from hemlockhoist.decisions.versions.checks import check_not_halted, check_share
-from hemlockhoist.decisions.versions.delays import DelayWatch
+from hemlockhoist.decisions.versions.delays import DelayMonitor
 from hemlockhoist.decisions.versions.evaluator import VersionEvaluator
 from hemlockhoist.decisions.versions.events import (
     Finished,
@@ -26,42 +26,44 @@
 from hemlockhoist.decisions.versions.schedule import Schedule
 from hemlockhoist.decisions.versions.trial import UNBOUNDED
 
-# Evidence is gathered this long after the end, while the old version can return.
+# How long the new version is observed after the end of the move, while traffic can
+# still go back to the old one.
 WATCH_MS = 600_000
-# A home whose clock jumps by this much was frozen: peers may have halted the version
-# meanwhile. It grants the new version nothing until it has heard from one of them.
+# A home whose clock jumps by this much was suspended, and peers may have halted the
+# version meanwhile. It grants the new version nothing until a peer or the store has
+# reported the state of the move.
 PAUSE_LIMIT_MS = 3_000
-# Steps are worked out this often: they depend on answers, of which few
-# come in the meantime, and cost more than one answer does.
-PLAN_EVERY_MS = 1_000
+# Interval between planning rounds. Planning costs more than recording one answer, and
+# only few answers arrive in between.
+PLAN_INTERVAL_MS = 1_000
 AUTHOR = "hemlockhoist"
-_GOES_BACK = (MoveState.ROLLED_BACK, MoveState.CANCELLED)
+_ROLLED_BACK_STATES = (MoveState.ROLLED_BACK, MoveState.CANCELLED)
 
 
 class MoveController(VersionPolicy):
-    """Spreads a pool's traffic over two versions while one replaces the other.
+    """Splits a pool's traffic between two versions while one replaces the other.
 
-    The host reads and writes the row: it asks ``wanted_row``, writes the answer by
-    compare-and-set, and hands what the table service then holds to ``observe_row``.
-    No share grows before the wider row is written, so a new home that knows only the
-    row never grants more than its predecessor did.
+    The host reads and writes the row: it calls ``wanted_row``, writes the result by
+    compare-and-set, and passes the stored row to ``observe_row``. A share takes effect
+    only after its row is written, so a new home that knows only the row never grants
+    more than its predecessor did.
     """
 
     __slots__ = (
         "_delays",
+        "_evaluator",
         "_events",
         "_finished_ms",
         "_halts",
         "_invariants",
         "_is_over",
         "_is_stale",
-        "_judge",
         "_lanes",
+        "_last_time_ms",
         "_planned_ms",
         "_planner",
         "_pool",
         "_row",
-        "_seen_ms",
         "_trial",
         "_unix_offset_ms",
         "_watch_ms",
@@ -76,7 +78,7 @@
         self._halts = HaltSet()
         self._events = []
         self._row = None
-        self._seen_ms = now_ms
+        self._last_time_ms = now_ms
         self._is_stale = False
 
     @classmethod
@@ -90,21 +92,21 @@
         trial=UNBOUNDED,
         watch_ms=WATCH_MS,
     ):
-        """Return a controller that goes on where the row stands.
+        """Return a controller that continues from the state in the row.
 
         Parameters
         ==========
         pool : hemlockhoist.declarations.Pool
         move : Move or None
-            The row, from the table service or from a peer's announcement.
+            Row from the table service or from a peer's announcement.
         now_ms, unix_ms : int
-            The home's clock, and the date at the same moment.
+            Time on the home's clock, and the Unix time at the same moment.
         invariants : hemlockhoist.base.InvariantLog, optional
         trial : TrialBound, optional
-            On what the pool's unproven version may get over all routes.
+            Limit on the requests of an unproven version over all routes.
         watch_ms : int, optional
-            How long the version is watched after the end, while the old one can
-            return; 0 where the old one stops with the end.
+            How long the version is observed after the end of the move; 0 if the old
+            version's upstreams stop at the end.
         """
         log = invariants if invariants is not None else InvariantLog(fatal=False)
         controller = cls(pool, now_ms, unix_ms - now_ms, log, trial, watch_ms)
@@ -113,111 +115,111 @@
         return controller
 
     def record_unix_ms(self, now_ms, unix_ms):
-        """Take the date; the times of rows that come from here on are read by it.
+        """Set the Unix time by which the times in later rows are converted.
 
-        Made for a home that begins before it has heard the date from the store.
+        Needed by a home that starts before it has learned the time from the store.
         """
         self._unix_offset_ms = unix_ms - now_ms
 
     def redeclare(self, pool):
-        """Take a changed record of the pool; a move under way keeps its rules."""
+        """Set a changed declaration of the pool; a running move keeps its rules."""
         self._pool = pool
 
     @property
     def row(self):
-        """The move's row as last known, or None."""
+        """Latest known row of the move, or None."""
         return self._row
 
     @property
     def excluded_upstreams(self):
-        """Upstreams that are bad where others of their version are not."""
-        return frozenset(self._judge.set_apart) if self._row else frozenset()
+        """Upstreams whose answers are bad while others of their version are good."""
+        return frozenset(self._evaluator.excluded) if self._row else frozenset()
 
     @property
     def verdict(self):
-        """The ``TakenBack`` event, where the evidence here was against the version."""
-        return self._judge.verdict if self._row else None
+        """``TakenBack`` event if this home found the version bad, otherwise None."""
+        return self._evaluator.verdict if self._row else None
 
     def candidates(self, request, versions, now_ms):
-        """Return the versions that may serve ``request``, preferred first."""
+        """Return the versions that may serve ``request``, in order of preference."""
         if self._row is None:
-            return self._without_move(versions)
-        self._note_time(now_ms)
+            return self._stable_version_only(versions)
+        self._record_time(now_ms)
         return tuple(
             version
-            for version in self._preferred(request, now_ms)
+            for version in self._preferred_versions(request, now_ms)
             if version in versions and not self._is_halted(version)
         )
 
     def on_grant(self, request, version, now_ms, upstream_id=""):
-        """Count a grant, and check that it was within the share."""
+        """Count a grant and check that it was within the share."""
         if self._row is None:
             return
         halted = self._halts.reason(self._row.move_id, version)
         check_not_halted(self._invariants, self._row, halted, version)
         if not self._is_counted(version):
             return
-        self._judge.loads.count_grant(version, upstream_id, now_ms)
+        self._evaluator.loads.count_grant(version, upstream_id, now_ms)
         lane = self._lanes.get(request, now_ms)
         if version == self._row.to_version:
-            lane.count_new(request, upstream_id, now_ms)
+            lane.record_new_grant(request, upstream_id, now_ms)
             check_share(self._invariants, self._row, lane)
         else:
-            lane.count_old()
+            lane.record_old_grant()
 
     def on_adopt(self, request, version, now_ms, upstream_id=""):
-        """Count a grant of a former home, which is in flight."""
+        """Count an in-flight grant that a former home issued."""
         if not self._is_counted(version):
             return
-        self._judge.loads.count_grant(version, upstream_id, now_ms)
+        self._evaluator.loads.count_grant(version, upstream_id, now_ms)
         lane = self._lanes.get(request, now_ms)
         if version == self._row.to_version:
-            lane.hold(request, upstream_id, now_ms)
+            lane.add_in_flight(request, upstream_id, now_ms)
         else:
             lane.old_outstanding += 1
 
     def on_forget(self, request, version, now_ms):
-        """Stop counting a grant whose outcome nobody will report."""
+        """Stop counting a grant whose outcome will never be reported."""
         if self._is_counted(version):
-            self._judge.forget(request, version, now_ms)
+            self._evaluator.forget(request, version, now_ms)
 
     def on_outcome(self, request, version, outcome, now_ms, upstream_id=""):
-        """Take the outcome of a granted request as evidence."""
+        """Record the outcome of a granted request as evidence."""
         if not self._is_counted(version):
             return
         lane = self._lanes.get(request, now_ms)
         if version == self._row.from_version:
-            events = self._judge.observe_old(lane, outcome, version, now_ms)
+            events = self._evaluator.observe_old(lane, outcome, version, now_ms)
         else:
-            events = self._judge.observe_new(
+            events = self._evaluator.observe_new(
                 lane, request.request_id, outcome, upstream_id, now_ms
             )
-        self._judge.hear(request.entry_host, now_ms)
-        self._follow_verdict(events, now_ms)
+        self._evaluator.record_report(request.entry_host, now_ms)
+        self._apply_verdict(events, now_ms)
 
     def halt(self, version, reason, now_ms):
-        """Grant the version nothing more in this move, here and now.
+        """Stop granting the version for the rest of this move, with immediate effect.
 
-        Needs no store and no lease. A version that is halted stays so until a new
-        move, whatever is heard or read afterwards.
+        Needs no store and no lease. A halted version stays halted until a new move,
+        whatever is received or read afterwards.
         """
         if self._row is None:
             return
         if self._halts.add(self._row.move_id, version, reason):
-            self._tell(Halted, version, now_ms, reason=reason)
+            self._emit(Halted, version, now_ms, reason=reason)
 
     def tick(self, now_ms):
-        """Judge what is overdue; return the events since the last call.
+        """Evaluate overdue requests and return the events since the last call.
 
         Returns
         =======
         list of MoveEvent
         """
         if self._row is not None:
-            self._note_time(now_ms)
-            self._follow_verdict(self._judge.judge_overdue(now_ms), now_ms)
+            self._record_time(now_ms)
+            self._apply_verdict(self._evaluator.evaluate_overdue(now_ms), now_ms)
             self._end_watch(now_ms)
-            self._look_for_delay(now_ms)
+            self._check_for_delay(now_ms)
         events, self._events = self._events, []
         return events
 
@@ -228,64 +230,65 @@
         ==========
         now_ms : int
         fencing : int, optional
-            Of the lease that the host holds and that is live; without one only a
-            taking back is asked for, as widening needs a live lease.
+            Fencing token of a live lease that the host holds. Without one, only a
+            roll-back is returned, as larger shares need a live lease.
         """
         row = self._row
-        if row is None or row.state in _GOES_BACK:
+        if row is None or row.state in _ROLLED_BACK_STATES:
             return None
         reason = self._halts.reason(row.move_id, row.to_version)
         if reason is not None:
             return roll_back_move(row, row.move_id, reason, AUTHOR)
         if row.state is not MoveState.RUNNING or not self._may_widen(fencing):
             return None
-        if now_ms - self._planned_ms < PLAN_EVERY_MS:
+        if now_ms - self._planned_ms < PLAN_INTERVAL_MS:
             return None
         self._planned_ms = now_ms
-        self._judge.loads.forget_idle(now_ms)
+        self._evaluator.loads.forget_idle(now_ms)
         return self._wider_row(now_ms, fencing)
 
     def observe_row(self, row, now_ms):
-        """Take the row that the table service holds, or that a peer told of.
+        """Apply a row from the table service or from a peer.
 
-        An older move, a state that has ended reverting to running, and a smaller
-        share under an older lease are ignored: peers' news come late and crossed.
+        Ignores rows of an older move, rows that would return a final state to running,
+        and smaller shares under an older lease, as announcements of peers arrive late
+        and out of order.
         """
         if row is None:
             return
         self._is_stale = False
-        self._seen_ms = now_ms
+        self._last_time_ms = now_ms
         former = self._row
         if former is None or row.move_id != former.move_id:
             if former is None or row.started_unix_ms > former.started_unix_ms:
-                self._begin(row, now_ms)
+                self._begin_move(row, now_ms)
         elif is_newer(row, former):
-            self._go_on(row, now_ms)
+            self._apply_row(row, now_ms)
 
     def announcement(self):
-        """Return what to tell peers, or None without a move."""
+        """Return the announcement for peers, or None if there is no move."""
         if self._row is None:
             return None
         halted = self._halts.of_move(self._row.move_id)
         return MoveAnnouncement(row=self._row, halted=halted)
 
     def observe_announcement(self, announcement, now_ms):
-        """Take a peer's announcement: its row, and what it has halted."""
+        """Apply the row and the halted versions of a peer's announcement."""
         self.observe_row(announcement.row, now_ms)
         if self._row.move_id != announcement.row.move_id:
             return
         for version, reason in announcement.halted.items():
             self.halt(version, reason, now_ms)
 
-    # Which version may serve.
+    # Selection of versions.
 
-    def _without_move(self, versions):
+    def _stable_version_only(self, versions):
         stable = self._pool.stable_version
         if not stable:
             return tuple(versions)
         return (stable,) if stable in versions else ()
 
-    def _preferred(self, request, now_ms):
+    def _preferred_versions(self, request, now_ms):
         row = self._row
         old, new = row.from_version, row.to_version
         if self._is_halted(new):
@@ -296,7 +299,7 @@
             return (old,)
         lane = self._lanes.get(request, now_ms)
         is_full = lane.effective_permille >= FULL_PERMILLE
-        if not lane.is_due or not self._may_hold_another(lane, now_ms):
+        if not lane.is_due or not self._may_add_in_flight(lane, now_ms):
             return (old, new) if is_full else (old,)
         return (new, old)
 
@@ -309,55 +312,55 @@
             return False
         return version in (row.from_version, row.to_version)
 
-    def _may_hold_another(self, lane, now_ms):
-        """Return whether one more request may wait for the new version's answer."""
+    def _may_add_in_flight(self, lane, now_ms):
+        """Return whether the new version may hold one more unanswered request."""
         if not self._is_trial_open(lane, now_ms):
             return False
         if lane.effective_permille >= FULL_PERMILLE:
-            return lane.outstanding < lane.max_watched
+            return lane.outstanding < lane.max_outstanding_at_full_share
         if not self._planner.is_trial(lane):
             return lane.outstanding < lane.max_outstanding
-        # One at a time: the next booking or label goes to an unproven version only
-        # when the one before has been answered, or has been judged as overdue.
+        # One at a time: an unproven version gets the next non-idempotent request only
+        # when the previous one has been answered or counted as overdue.
         return lane.outstanding == 0 and lane.new_count < MAX_TRIAL_CALLS
 
     def _is_trial_open(self, lane, now_ms):
-        """Return whether the trial's bound allows one more request."""
+        """Return whether the trial bound allows one more request."""
         schedule = self._planner.schedule
         trial = list(self._lanes)
-        if schedule.passed_part(now_ms) >= self._trial.until_fraction:
+        if schedule.elapsed_fraction(now_ms) >= self._trial.until_fraction:
             if not schedule.is_unproven(lane.share_permille):
                 return True
             trial = [x for x in trial if schedule.is_unproven(x.share_permille)]
         new = sum(item.new_count for item in trial)
         return self._trial.allows(new, sum(item.granted_count for item in trial))
 
-    # The course of a move.
+    # Progress of a move.
 
-    def _begin(self, row, now_ms):
+    def _begin_move(self, row, now_ms):
         rules = self._pool.version_rules
         start_ms = row.started_unix_ms - self._unix_offset_ms
         end_ms = row.moved_by_unix_ms - self._unix_offset_ms
         self._row = row
         self._lanes = LaneTable(row, rules, now_ms)
-        self._judge = VersionEvaluator(row, self._lanes)
+        self._evaluator = VersionEvaluator(row, self._lanes)
         self._planner = Planner(rules, Schedule(rules, start_ms, end_ms))
-        self._delays = DelayWatch(row, self._planner)
-        self._planned_ms = now_ms - PLAN_EVERY_MS
+        self._delays = DelayMonitor(row, self._planner)
+        self._planned_ms = now_ms - PLAN_INTERVAL_MS
         self._finished_ms = None
         self._is_over = row.state is not MoveState.RUNNING
         if row.state is MoveState.FINISHED:
             # A home that takes over after the end has no answers of the old version
-            # to compare with, and goes on to watch by the new one's own past.
+            # to compare with; it compares with the new version's own past answers.
             self._finished_ms = row.ended_unix_ms - self._unix_offset_ms
             self._is_over = now_ms - self._finished_ms >= self._watch_ms
         self._halts.forget_others(row.move_id)
-        self._follow_halt(now_ms)
+        self._halt_if_rolled_back(now_ms)
 
-    def _go_on(self, row, now_ms):
+    def _apply_row(self, row, now_ms):
         former, self._row = self._row, row
-        for lane in self._lanes.follow(row, now_ms):
-            self._tell(
+        for lane in self._lanes.apply_row(row, now_ms):
+            self._emit(
                 Widened,
                 row.to_version,
                 now_ms,
@@ -366,33 +369,33 @@
                 share_permille=lane.share_permille,
             )
         if row.state is not former.state:
-            self._end(row, now_ms)
+            self._end_move(row, now_ms)
 
-    def _end(self, row, now_ms):
+    def _end_move(self, row, now_ms):
         if row.state is MoveState.FINISHED:
             self._finished_ms = now_ms
             late_ms = max(0, now_ms - self._planner.schedule.end_ms)
-            self._tell(Finished, row.to_version, now_ms, late_ms=late_ms)
+            self._emit(Finished, row.to_version, now_ms, late_ms=late_ms)
             self._end_watch(now_ms)
             return
         self._is_over = True
-        self._follow_halt(now_ms)
+        self._halt_if_rolled_back(now_ms)
 
-    def _follow_halt(self, now_ms):
-        if self._row.state in _GOES_BACK:
+    def _halt_if_rolled_back(self, now_ms):
+        if self._row.state in _ROLLED_BACK_STATES:
             self.halt(self._row.to_version, self._row.reason, now_ms)
 
-    def _follow_verdict(self, events, now_ms):
+    def _apply_verdict(self, events, now_ms):
         self._events += events
         for event in events:
             if isinstance(event, TakenBack):
                 self.halt(event.version, event.reason, now_ms)
 
     def _may_widen(self, fencing):
-        """Return whether the host's lease allows a wider share.
+        """Return whether the host's lease permits larger shares.
 
-        A holder that was paused past its lease has an older number than the row, or
-        does not know yet what happened meanwhile.
+        A holder that was paused past its lease has an older fencing token than the
+        row, or has not yet learned what happened during the pause.
         """
         if fencing is None or self._is_stale:
             return False
@@ -401,7 +404,8 @@
     def _wider_row(self, now_ms, fencing):
         lanes = tuple(self._lanes)
         is_tried = (
-            self._planner.schedule.passed_part(now_ms) >= self._trial.min_end_fraction
+            self._planner.schedule.elapsed_fraction(now_ms)
+            >= self._trial.min_end_fraction
         )
         if is_tried and lanes and all(x.share_permille >= FULL_PERMILLE for x in lanes):
             reason = "all routes are on the new version"
@@ -416,16 +420,16 @@
         known |= {(item.route, item.idempotent): item for item in wider}
         return widen_move(self._row, self._row.move_id, tuple(known.values()), fencing)
 
-    def _note_time(self, now_ms):
-        if now_ms - self._seen_ms > PAUSE_LIMIT_MS:
+    def _record_time(self, now_ms):
+        if now_ms - self._last_time_ms > PAUSE_LIMIT_MS:
             self._is_stale = True
-        self._seen_ms = max(self._seen_ms, now_ms)
+        self._last_time_ms = max(self._last_time_ms, now_ms)
 
-    def _look_for_delay(self, now_ms):
+    def _check_for_delay(self, now_ms):
         row = self._row
         if row.state is not MoveState.RUNNING or self._is_halted(row.to_version):
             return
-        self._events += self._delays.look(self._lanes, now_ms)
+        self._events += self._delays.check(self._lanes, now_ms)
 
     def _end_watch(self, now_ms):
         if self._finished_ms is None:
@@ -435,9 +439,9 @@
         self._is_over = True
         self._lanes.clear()
 
-    # What operators are told.
+    # Events for operators.
 
-    def _tell(self, kind, version, now_ms, **fields):
+    def _emit(self, kind, version, now_ms, **fields):
         event = kind(
             move_id=self._row.move_id,
             pool=self._row.pool,
--- a/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
@@ -1,4 +1,4 @@
-"""The evidence for or against a new version on one route."""
+"""Evidence for or against a new version on one lane."""
 
 import collections
 import enum
@@ -19,45 +19,53 @@
 
 
 class Measure(enum.Enum):
-    """What is compared between the versions; the value completes a sentence."""
+    """Quantity compared between the versions; the value completes a sentence."""
 
-    # Members are single objects; their names need not be hashed for each answer.
+    # Members are singletons, so identity hashing avoids hashing their names for each
+    # answer.
     __hash__ = object.__hash__
 
     FAILURES = "failed or were overdue"
     FIRST_TOKEN = "had a slow first token"
-    PACE = "were slow between tokens"
+    TIME_PER_TOKEN = "were slow between tokens"
     DURATION = "were slow in all"
 
 
-# Smallest first, one column for fine, middle and coarse steps. Fine: a version that
-# fails one time in twenty is found. Coarse: little traffic proves it in some 13 answers.
+# Effect sizes of fine, middle and coarse steps, smallest first. The fine one detects a
+# version that fails one time in twenty; the coarse one proves a good version within
+# some 13 answers, for routes with little traffic.
 _FAILURE_EFFECTS = (0.04, 0.12, 0.3)
 _SLOW_EFFECTS = (0.12, 0.25, 0.45)
 EFFECT_COUNT = len(_FAILURE_EFFECTS)
 # How many latencies of the new version are compared for each one of the old version.
-# When the new version has nearly all traffic and load rises, its many slow answers
-# would otherwise be held against a reference that has not heard of the load yet.
+# Without this limit, when the new version has nearly all traffic and load rises, its
+# many slow answers would be compared with a reference measured before the rise.
 _COMPARED_PER_REFERENCE = 4
-_MAX_COMPARE_CREDIT = 16
-# With all traffic on the new version nothing is left to compare with at the same
-# time: its latencies are held against the last known ones, times this.
-ALONE_FACTOR = 1.5
-# With fewer answers of the old version there is nothing to compare with.
-_FEW_OLD_ANSWERS = 8
-# Attribution to an upstream looks at this many latest answers.
-_RECENT = 48
+_MAX_COMPARISON_CREDIT = 16
+# When the new version has all traffic, there are no simultaneous answers of the old one.
+# Its latencies are compared with the last known thresholds times this factor.
+FULL_SHARE_SLOW_FACTOR = 1.5
+# With fewer answers of the old version, there is no reference to compare with.
+_MIN_OLD_ANSWERS = 8
+# Number of latest answers kept for attributing a fault to an upstream.
+_MAX_RECENT = 48
 
 
 class LaneEvidence:
-    """Both versions' answers on one lane, and the verdicts on the new one.
+    """Answers of both versions on one lane and the tests of the new version.
 
     Parameters
     ==========
     rules : hemlockhoist.declarations.VersionRules
     """
 
-    __slots__ = ("_compare_credit", "alone", "recent", "reference", "tests")
+    __slots__ = (
+        "_comparison_credit",
+        "has_all_traffic",
+        "recent",
+        "reference",
+        "tests",
+    )
 
     def __init__(self, rules):
         self.reference = Reference()
@@ -69,31 +77,31 @@
             )
             for measure in Measure
         }
-        self.recent = collections.deque(maxlen=_RECENT)
-        self._compare_credit = _MAX_COMPARE_CREDIT
-        self.alone = False
+        self.recent = collections.deque(maxlen=_MAX_RECENT)
+        self._comparison_credit = _MAX_COMPARISON_CREDIT
+        self.has_all_traffic = False
 
     @property
     def answer_count(self):
-        """Answers of the new version that were taken as evidence."""
+        """Number of answers of the new version that count as evidence."""
         return self.tests[Measure.FAILURES].count
 
     def observe_old(self, outcome, load):
-        """Take an answer of the old version, at a load per upstream, as reference."""
-        if _is_silent(outcome, self.reference, load):
+        """Add an answer of the old version, at a load per upstream, to the reference."""
+        if _is_uninformative(outcome, self.reference, load):
             return
         reference = self.reference
         is_overdue = outcome.total_ms > reference.overdue_ms(load)
         reference.failures.observe(outcome.kind in FAILED_KINDS or is_overdue)
-        credit = self._compare_credit + _COMPARED_PER_REFERENCE
-        self._compare_credit = min(_MAX_COMPARE_CREDIT, credit)
+        credit = self._comparison_credit + _COMPARED_PER_REFERENCE
+        self._comparison_credit = min(_MAX_COMPARISON_CREDIT, credit)
         if outcome.kind is OutcomeKind.SUCCESS:
             reference.observe_longest(outcome.total_ms, load)
         for measure, value in _latencies(outcome):
             _profile(reference, measure).observe(value, load)
 
     def observe_new(self, outcome, upstream_id, load, was_overdue=False):
-        """Take an answer of the new version as evidence.
+        """Record an answer of the new version as evidence.
 
         Parameters
         ==========
@@ -102,9 +110,9 @@
         load : float
             Recent grants per upstream of the new version.
         was_overdue : bool
-            Whether it was counted as a failure already, while it was waited for.
+            Whether the request was already counted as a failure while in flight.
         """
-        if _is_silent(outcome, self.reference, load):
+        if _is_uninformative(outcome, self.reference, load):
             return
         is_failed = outcome.kind in FAILED_KINDS
         if not was_overdue:
@@ -112,19 +120,19 @@
             self._observe_failure(is_failed or is_overdue, upstream_id)
         if not is_failed:
             self._observe_latencies(outcome, upstream_id, load)
-            self._observe_own_past(outcome, load)
+            self._observe_own_duration(outcome, load)
 
     def observe_overdue(self, upstream_id):
-        """Count a request that is still waited for as a failure."""
+        """Count a request that is still in flight as a failure."""
         self._observe_failure(True, upstream_id)
 
     def verdict(self):
-        """Return the verdict on the new version, and the measure that gives it.
+        """Return the verdict on the new version and the measure it is based on.
 
         Returns
         =======
         tuple of Verdict and Measure
-            The measure is None where nothing speaks against the version.
+            The measure is None if there is no evidence against the version.
         """
         suspect = None
         for measure, test in self.tests.items():
@@ -134,43 +142,43 @@
             if verdict is Verdict.SUSPECT:
                 suspect = measure
         if suspect is None:
-            return Verdict.NOTHING, None
+            return Verdict.CLEAR, None
         return Verdict.SUSPECT, suspect
 
     def proven(self, effect_index):
-        """Return whether the answers since the step began suffice for the next one."""
+        """Return whether the answers since the step began permit the next step."""
         for test in self.tests.values():
             if test.count and not test.proven(effect_index):
                 return False
         return True
 
     def answers_needed(self, effect_index):
-        """Return about how many good answers one step takes."""
+        """Return the approximate number of good answers that one step needs."""
         needs = [
             self.tests[Measure.FAILURES].answers_needed(
                 effect_index, self.reference.failures.rate
             )
         ]
-        for measure in (Measure.FIRST_TOKEN, Measure.PACE, Measure.DURATION):
+        for measure in (Measure.FIRST_TOKEN, Measure.TIME_PER_TOKEN, Measure.DURATION):
             profile = _profile(self.reference, measure)
-            if profile.ready:
+            if profile.is_ready:
                 needs.append(
                     self.tests[measure].answers_needed(effect_index, profile.rates.rate)
                 )
         return max(needs)
 
     def restart_step(self):
-        """Begin a step with no evidence for the version."""
+        """Start a step, discarding the evidence in favour of the version."""
         for test in self.tests.values():
             test.restart_proof()
 
-    def forgive(self, upstream_id):
-        """Drop the evidence against the version: it was one upstream's."""
+    def discard_upstream(self, upstream_id):
+        """Discard the evidence caused by one bad upstream."""
         for test in self.tests.values():
             test.restart_alarm()
             test.restart_proof()
         kept = [item for item in self.recent if item[0] != upstream_id]
-        self.recent = collections.deque(kept, maxlen=_RECENT)
+        self.recent = collections.deque(kept, maxlen=_MAX_RECENT)
 
     def _rates(self, measure):
         if measure is Measure.FAILURES:
@@ -182,9 +190,9 @@
         self.recent.append((upstream_id, Measure.FAILURES, is_failed))
 
     def _observe_latencies(self, outcome, upstream_id, load):
-        if not self._take_compare_credit():
+        if not self._use_comparison_credit():
             return
-        factor = ALONE_FACTOR if self.alone else 1.0
+        factor = FULL_SHARE_SLOW_FACTOR if self.has_all_traffic else 1.0
         for measure, value in _latencies(outcome):
             profile = _profile(self.reference, measure)
             slow_ms = profile.slow_ms(load) * factor
@@ -194,32 +202,32 @@
             self.tests[measure].observe(is_slow, profile.rates)
             self.recent.append((upstream_id, measure, is_slow))
 
-    def _observe_own_past(self, outcome, load):
-        """Remember how long the new version itself takes, where nothing else is known.
+    def _observe_own_duration(self, outcome, load):
+        """Use the new version's own durations if the old version has too few.
 
-        Failure: a home takes over when the old version gets nothing any more, and the
-        new one hangs from then on. Without any answer to compare with, none of the
-        new one's is ever overdue.
+        Failure case: a home takes over when the old version gets no more traffic, and
+        the new version hangs from then on. Without any reference duration, no request
+        would ever become overdue.
         """
         reference = self.reference
-        if self.alone and reference.failures.count < _FEW_OLD_ANSWERS:
+        if self.has_all_traffic and reference.failures.count < _MIN_OLD_ANSWERS:
             reference.observe_longest(outcome.total_ms, load)
 
-    def _take_compare_credit(self):
-        if self.alone:
+    def _use_comparison_credit(self):
+        if self.has_all_traffic:
             return True
-        if self._compare_credit < 1:
+        if self._comparison_credit < 1:
             return False
-        self._compare_credit -= 1
+        self._comparison_credit -= 1
         return True
 
 
-def _is_silent(outcome, reference, load):
-    """Return whether an outcome says nothing of the upstream.
+def _is_uninformative(outcome, reference, load):
+    """Return whether an outcome carries no information about the upstream.
 
-    It never reached the upstream, or the caller ended it. A caller that gave up
-    after a time that is slow for the old version does say something: of a version
-    that is so slow that callers leave, no whole answer would ever be seen.
+    This holds if the request never reached the upstream or the caller cancelled it. A
+    cancellation after a time that is slow for the old version is informative: a
+    version so slow that callers disconnect would never complete an answer.
     """
     if outcome.kind is OutcomeKind.CANCELLED:
         return outcome.total_ms <= reference.duration.slow_ms(load)
@@ -229,13 +237,13 @@
 def _profile(reference, measure):
     if measure is Measure.FIRST_TOKEN:
         return reference.first_token
-    if measure is Measure.PACE:
-        return reference.pace
+    if measure is Measure.TIME_PER_TOKEN:
+        return reference.time_per_token
     return reference.duration
 
 
 def _latencies(outcome):
-    """Return the latencies of an answer, each with its measure."""
+    """Return pairs of measure and latency of an answer."""
     if outcome.kind is OutcomeKind.CANCELLED:
         return ((Measure.DURATION, float(outcome.total_ms)),)
     if outcome.kind is not OutcomeKind.SUCCESS or outcome.total_ms < 0:
@@ -245,5 +253,7 @@
         latencies.append((Measure.FIRST_TOKEN, float(outcome.first_token_ms)))
         if outcome.output_tokens > 1:
             spent = outcome.total_ms - outcome.first_token_ms
-            latencies.append((Measure.PACE, spent / (outcome.output_tokens - 1)))
+            latencies.append(
+                (Measure.TIME_PER_TOKEN, spent / (outcome.output_tokens - 1))
+            )
     return tuple(latencies)
