--- a/libs/decisions/src/hemlockhoist/decisions/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Admission, queues, placement, version moves, membership: no input or output."""
+"""Admission, queueing, placement, version moves and membership, free of I/O."""
 
 from hemlockhoist.decisions.policy import VersionPolicy
 from hemlockhoist.decisions.work import (
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
@@ -47,7 +47,7 @@
         Of this host.
     """
 
-    __slots__ = ("_address", "_acks", "_summaries")
+    __slots__ = ("_acks", "_address", "_summaries")
 
     def __init__(self, address):
         self._address = address
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
@@ -23,7 +23,7 @@
         Time that earns one retry, so that a host without first attempts recovers.
     """
 
-    __slots__ = ("_last_ms", "_max", "_share_permille", "_tokens", "_refill_ms")
+    __slots__ = ("_last_ms", "_max", "_refill_ms", "_share_permille", "_tokens")
 
     def __init__(self, share_permille=100, max_retries=5, refill_ms=10_000):
         self._share_permille = share_permille
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The ledger of idempotency keys: a non-idempotent call runs at most once."""
+"""Ledger of idempotency keys, by which a non-idempotent call runs at most once."""
 
 from hemlockhoist.decisions.ledger.keys import (
     IdempotencyKey,
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/answers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/answers.py
@@ -1,14 +1,14 @@
-"""Keeps answers for replay within a byte budget."""
+"""Cache of answers for replay, bounded in bytes."""
 
 import collections
 
 
 class AnswerCache:
-    """Drops the oldest answers when the budget is used up.
+    """Keeps answers up to a byte budget and evicts the oldest first.
 
-    Made for a service whose answers are far larger than its keys: records must
-    outlive answers, because a record is what stops a second run, and an answer only
-    spares the caller a look-up.
+    Answers can be far larger than keys, so records outlive answers: a record is what
+    prevents a second run, while an answer only saves the caller from having to look up
+    the result.
 
     Parameters
     ==========
@@ -23,7 +23,7 @@
         self._kept = collections.OrderedDict()
 
     def keep(self, record, answer):
-        """Attach ``answer`` to ``record`` if it fits at all."""
+        """Attach ``answer`` to ``record`` unless it alone exceeds the budget."""
         self.drop(record)
         if answer is None or answer.size_bytes() > self.max_bytes:
             return
@@ -34,7 +34,7 @@
             self.drop(next(iter(self._kept.values())))
 
     def drop(self, record):
-        """Detach the record's answer, if it has one."""
+        """Remove the record's answer, if it has one."""
         if self._kept.pop(record.id, None) is None:
             return
         self.used_bytes -= record.answer.size_bytes()
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
@@ -1,10 +1,11 @@
-"""Handing a leaving host's ledger to one named successor.
-
-Without it each rolling replacement would turn every later repeat of a recent call into
-"outcome unknown". The right to dispatch moves inside the message: the leaver gives it up
-before the first part is sent, the successor has it once it has taken every part, and
-nobody has it in between. The leaver names another successor only if the first has said
-that it never will take the ledger; a lost acknowledgement is not such a word.
+"""Handover of a leaving host's ledger to one named successor.
+
+Without it every rolling replacement would make each later repeat of a recent call end
+as "outcome unknown". The messages transfer the dispatch rights: the leaving host
+releases them before it sends the first part, the successor holds them once it has
+received every part, and no host holds them in between. The leaving host names another
+successor only if the first one has explicitly refused the ledger; a lost
+acknowledgement is no refusal.
 """
 
 from hemlockhoist.decisions.ledger.keys import parse_key
@@ -23,82 +24,82 @@
     HandoverAck,
 )
 
-# A part stays well below a peer message's size limit, and its decoding under a few
-# milliseconds, so that a handover does not hold up streams.
+# A part stays well below the size limit of peer messages and is decoded within a few
+# milliseconds, so that a handover does not delay streams.
 MAX_RECORDS_PER_PART = 256
 MAX_BYTES_PER_PART = 262_144
 
 
 class HandoverState:
-    """What a host remembers of its own handover and of those it takes.
+    """State of a host's own handover and of the handovers that it receives.
 
     Attributes
     ==========
     successor : str
-        Empty as long as this host has not handed its ledger on.
+        Empty as long as this host has not begun to hand its ledger over.
     """
 
     __slots__ = (
-        "_adopted",
-        "_adopting",
+        "_applied_updates",
         "_changed",
-        "_given_up",
-        "_ranges",
+        "_handed_ranges",
+        "_incoming_parts",
+        "_last_update",
         "_refused",
+        "_released",
         "_unacknowledged",
-        "_update",
         "successor",
     )
 
     def __init__(self):
         self.successor = ""
-        self._ranges = {}
+        self._handed_ranges = {}
         self._unacknowledged = {}
         self._changed = {}
-        self._given_up = []
-        self._update = 0
-        self._adopting = {}
-        self._adopted = {}
+        self._released = []
+        self._last_update = 0
+        self._incoming_parts = {}
+        self._applied_updates = {}
         self._refused = set()
 
     def record_change(self, record):
-        """Remember that a record changed after the ledger was handed on."""
+        """Record that a record changed after the handover began."""
         if self.successor:
             self._changed[record.id] = record
 
     def messages(self, ledger, successor):
-        """Return the messages that the successor has not acknowledged."""
+        """Return the messages that the successor has not yet acknowledged."""
         if not self.successor:
             self._begin(ledger, successor)
         self._collect_updates(ledger)
         return list(self._unacknowledged.values())
 
     def on_ack(self, ledger, ack):
-        """Forget what the successor has; take the ledger back if it refused."""
+        """Drop the acknowledged message, or reclaim the ledger if it was refused."""
         if ack.leaver != ledger.incarnation or ack.successor != self.successor:
             return
         if not ack.accepted:
-            self._take_back(ledger)
+            self._reclaim(ledger)
             return
         self._unacknowledged.pop((ack.update, ack.part), None)
         if not any(update == 0 for update, _ in self._unacknowledged):
             ledger.successors.register(ledger.incarnation, self.successor)
 
     def adopt(self, ledger, message, now_ms):
-        """Take one message; return its acknowledgement, or None to have it again."""
+        """Apply a message and return its acknowledgement, or None to get it again."""
         if message.successor != ledger.incarnation:
             return None
         leaver = message.leaver
-        if leaver in self._adopted:
-            self._take_update(ledger, message)
+        if leaver in self._applied_updates:
+            self._apply_update(ledger, message)
             return _ack(message, True)
         if leaver in self._refused or self.successor:
             self._refused.add(leaver)
-            self._adopting.pop(leaver, None)
+            self._incoming_parts.pop(leaver, None)
             return _ack(message, False)
         if message.update:
             return None
-        parts = self._adopting.setdefault(leaver, {})
+        parts = self._incoming_parts.setdefault(leaver, {})
         parts[message.part] = message
         if len(parts) == message.parts:
             return self._complete(ledger, message, now_ms)
@@ -106,12 +107,12 @@
 
     def _begin(self, ledger, successor):
         self.successor = successor
-        self._ranges = dict(ledger.ranges)
+        self._handed_ranges = dict(ledger.ranges)
         ledger.ranges.clear()
-        ranges = tuple(_hand_range(item) for item in self._ranges.values())
-        records = [_hand_record(ledger, record) for record in ledger.table]
+        ranges = tuple(_export_range(item) for item in self._handed_ranges.values())
+        records = [_export_record(ledger, record) for record in ledger.table]
         for record in ledger.table:
-            self._give_up_right(record)
+            self._release_right(record)
         groups = _split(records)
         for part, group in enumerate(groups):
             self._unacknowledged[(0, part)] = Handover(
@@ -123,79 +124,79 @@
                 records=tuple(group),
             )
 
-    def _give_up_right(self, record):
+    def _release_right(self, record):
         if record.state is RecordState.IDLE:
             record.state = RecordState.ELSEWHERE
             record.holder = self.successor
             record.query_number = 0
-            self._given_up.append(record)
+            self._released.append(record)
 
     def _collect_updates(self, ledger):
         for record in list(self._changed.values()):
             if record.state in IN_PROGRESS_STATES:
                 continue
             del self._changed[record.id]
-            handed = _hand_record(ledger, record)
-            self._give_up_right(record)
-            self._update += 1
-            self._unacknowledged[(self._update, 0)] = Handover(
+            handed = _export_record(ledger, record)
+            self._release_right(record)
+            self._last_update += 1
+            self._unacknowledged[(self._last_update, 0)] = Handover(
                 leaver=ledger.incarnation,
                 successor=self.successor,
                 part=0,
                 parts=1,
-                update=self._update,
+                update=self._last_update,
                 records=(handed,),
             )
 
-    def _take_back(self, ledger):
-        """Hold the ledger again: the successor never had it and never will."""
-        for record in self._given_up:
+    def _reclaim(self, ledger):
+        """Reclaim the ledger, which the successor has refused and never held."""
+        for record in self._released:
             if record.state is RecordState.ELSEWHERE:
                 record.state = RecordState.IDLE
                 record.holder = ""
                 record.query_number = 0
-        own = self._ranges[ledger.incarnation]
+        own = self._handed_ranges[ledger.incarnation]
         own.last_epoch = None
-        ledger.ranges.update(self._ranges)
+        ledger.ranges.update(self._handed_ranges)
         self.successor = ""
-        self._given_up.clear()
+        self._released.clear()
         self._unacknowledged.clear()
         self._changed.clear()
 
     def _complete(self, ledger, message, now_ms):
-        parts = self._adopting.pop(message.leaver)
+        parts = self._incoming_parts.pop(message.leaver)
         records = [item for part in parts.values() for item in part.records]
         if len(ledger.table) + len(records) > ledger.table.max_records:
             self._refused.add(message.leaver)
             return _ack(message, False)
-        self._adopted[message.leaver] = set()
+        self._applied_updates[message.leaver] = set()
         ledger.successors.register(message.leaver, ledger.incarnation)
         for item in parts[0].ranges:
-            _take_range(ledger, item, now_ms)
+            _adopt_range(ledger, item, now_ms)
             ledger.update_range_retention(item.incarnation)
         handed = set()
         for item in records:
-            _take_record(ledger, message.leaver, item)
+            _merge_record(ledger, message.leaver, item)
             handed.add((item.customer, item.key))
         minted_by = {item.incarnation for item in parts[0].ranges}
         _claim_unseen_keys(ledger, message.leaver, minted_by, handed)
         return _ack(message, True)
 
-    def _take_update(self, ledger, message):
-        seen = self._adopted[message.leaver]
+    def _apply_update(self, ledger, message):
+        seen = self._applied_updates[message.leaver]
         if not message.update or message.update in seen:
             return
         seen.add(message.update)
         for item in message.records:
-            record = _take_record(ledger, message.leaver, item)
+            record = _merge_record(ledger, message.leaver, item)
             self.record_change(record)
 
 
-def _hand_range(key_range):
+def _export_range(key_range):
     last_epoch = key_range.last_epoch
     if last_epoch is None:
-        # The leaver goes on minting while it drains. Were it to stay at its present
-        # epoch, a caller's new key would be old at once, and expire before its time.
+        # The leaving host keeps minting keys while it drains. If the range ended at the
+        # present epoch, new keys would count as old and expire before their retention.
         last_epoch = key_range.epoch + EPOCHS_KEPT
         key_range.last_epoch = last_epoch
     return HandedRange(
@@ -206,12 +207,12 @@
     )
 
 
-def _hand_record(ledger, record):
+def _export_record(ledger, record):
     state = record.state
     holder = record.holder
     direct = record.direct
     if state in IN_PROGRESS_STATES:
-        # Its outcome follows in an update; until then only the leaver can be asked.
+        # The outcome follows in an update; until then only this host can be queried.
         state = RecordState.ELSEWHERE
         holder = ledger.incarnation
         direct = True
@@ -229,7 +230,7 @@
 
 
 def _split(records):
-    """Return groups of records, bounded by number and bytes; at least one group."""
+    """Split records into groups bounded in number and bytes; at least one group."""
     groups = [[]]
     size_bytes = 0
     for record in records:
@@ -253,16 +254,16 @@
     )
 
 
-def _take_range(ledger, item, now_ms):
-    # The age inside the epoch is left out: the key is then kept a little longer.
+def _adopt_range(ledger, item, now_ms):
+    # The time elapsed within the epoch is ignored, so keys are kept slightly longer.
     base_ms = now_ms - item.epoch * item.epoch_ms
     key_range = KeyRange(item.incarnation, item.epoch_ms, base_ms, item.last_epoch)
     key_range.advance(now_ms)
     ledger.ranges[item.incarnation] = key_range
 
 
-def _take_record(ledger, leaver, item):
-    """Merge a handed record into this ledger's own and return the result."""
+def _merge_record(ledger, leaver, item):
+    """Merge a record of a handover into this ledger and return the merged record."""
     record = ledger.table.get(item.customer, item.key)
     state = RecordState(item.state)
     if record is None:
@@ -273,11 +274,11 @@
     if record.state is RecordState.UNKNOWN and state is RecordState.DONE:
         record.state = RecordState.ELSEWHERE
     if record.state is not RecordState.ELSEWHERE:
-        # This host has the right or the outcome itself: what the leaver knows is old.
+        # This host has the right or the outcome, so the leaving host's state is older.
         return record
     record.fingerprint = item.fingerprint
     if state is RecordState.ELSEWHERE:
-        _point_elsewhere(ledger, record, item)
+        _update_holder(ledger, record, item)
         return record
     record.state = state
     record.holder = ""
@@ -288,11 +289,11 @@
     return record
 
 
-def _point_elsewhere(ledger, record, item):
+def _update_holder(ledger, record, item):
     ours = item.given_to == ledger.incarnation
     if ours and record.query_number and item.given_ask_number == record.query_number:
-        # The grant whose reply was lost or is still on its way: it comes only once,
-        # because taking it closes the wish that it names.
+        # This is the grant whose reply was lost or is in transit. It is applied only
+        # once, because applying it closes the query that it names.
         record.state = RecordState.IDLE
         record.holder = ""
         record.query_number = 0
@@ -304,12 +305,12 @@
 
 
 def _claim_unseen_keys(ledger, leaver, minted_by, handed):
-    """Take the right to keys that this host asked for and the leaver never saw.
+    """Claim keys that this host queried and of which the leaving host has no record.
 
-    Only keys of the ranges that came with the message count. Failure: this host gave a
-    key that it minted itself to the leaver, after the leaver had drawn up its list. The
-    list does not have the key, which runs at the leaver; taking the right back here
-    would run it twice.
+    Only keys of the ranges in the handover are claimed. This host may have granted a
+    key that it minted itself to the leaving host after that host compiled its records.
+    Such a key is missing from the records although it runs at the leaving host;
+    claiming it here would run it twice.
     """
     for record in ledger.table:
         if record.id in handed or record.key.incarnation not in minted_by:
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/keys.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: who minted them, when, and for which request they stand."""
+"""Idempotency keys and the fingerprints of the requests that they identify."""
 
 import hashlib
 import re
@@ -23,11 +23,11 @@
     Parameters
     ==========
     incarnation : str
-        Of the host process that minted the prefix.
+        Incarnation of the host process that minted the prefix.
     epoch : int
-        Of that process, at minting.
+        Epoch of that process when it minted the prefix.
     caller_part : str
-        The caller's.
+        The part that the caller chose.
     """
 
     incarnation: str
@@ -36,17 +36,17 @@
 
     @property
     def text(self):
-        """The key as it is written in the header."""
+        """The key as written in the header."""
         return f"{self.incarnation}.{self.epoch}.{self.caller_part}"
 
 
 def format_prefix(incarnation, epoch):
-    """Return the prefix that callers put before their own part and a dot."""
+    """Return the prefix that callers put before a dot and their own part."""
     return f"{incarnation}.{epoch}"
 
 
 def parse_key(text):
-    """Return the key that a header holds.
+    """Parse the value of an ``Idempotency-Key`` header.
 
     Parameters
     ==========
@@ -60,7 +60,7 @@
     Raises
     ======
     BadRequest
-        With ``KEY_MALFORMED``; nothing ran.
+        With code ``KEY_MALFORMED``; the request was not run.
 
     Examples
     ========
@@ -76,7 +76,7 @@
 
 
 def fingerprint_request(method, path, body):
-    """Return a digest that tells two requests under one key apart.
+    """Return a digest that distinguishes different requests under one key.
 
     Parameters
     ==========
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
@@ -1,10 +1,10 @@
-"""The key ledger: which host may dispatch a key, and what became of it.
+"""The key ledger: which host may dispatch a key, and the outcome of its request.
 
 A key names the incarnation (one run of one host process) that minted it. Only the
-holder of the key's right may dispatch it: the minting incarnation, until it passes
-the right on by answering a lookup, or to its successor when it leaves. A right that
-passed on leaves a record behind that names the new holder. A holder that died takes
-the right with it: the outcome is unknown from then on, never "not run".
+holder of the key's dispatch right may dispatch it. The minting incarnation holds the
+right until it transfers it in the reply to a lookup, or to its successor when it
+leaves. After a transfer a record that names the new holder stays behind. If a holder
+dies, the right is lost with it: from then on the outcome is unknown, never "not run".
 """
 
 from hemlockhoist.base import DispatchError, Property, Refused, ResultCode
@@ -37,27 +37,30 @@
 from hemlockhoist.decisions.ledger.table import RecordTable
 from hemlockhoist.messages.ledger import KeyLookup
 
-_VERDICTS = {KeyValidity.EXPIRED: Expired(), KeyValidity.NEVER_MINTED: NeverMinted()}
+_RESULTS_BY_VALIDITY = {
+    KeyValidity.EXPIRED: Expired(),
+    KeyValidity.NEVER_MINTED: NeverMinted(),
+}
 
 
 class KeyLedger:
-    """Records of the idempotency keys that this incarnation answers for.
+    """Ledger of the idempotency keys that this incarnation is responsible for.
 
     Parameters
     ==========
     incarnation : str
-        Unique over all runs of all hosts; no dots.
+        Unique over all runs of all hosts; contains no dots.
     retention_ms : int
-        For how long after minting a key may at least be used.
+        Minimum time after minting for which a key can be used.
     table : RecordTable
     invariants : hemlockhoist.base.InvariantLog
     """
 
     __slots__ = (
-        "_query_number",
         "_attempt_number",
         "_handover",
         "_own_range",
+        "_query_number",
         "_retention_ms",
         "_sent_number",
         "incarnation",
@@ -91,22 +94,23 @@
         incarnation : str
         retention_ms : int
         max_records : int
-            New keys beyond are refused as not run.
+            Limit beyond which new keys are refused as not run.
         max_answer_bytes : int
-            Older answers beyond are dropped; their records stay.
+            Limit beyond which the oldest answers are dropped; their records stay.
         invariants : hemlockhoist.base.InvariantLog
         """
         table = RecordTable(max_records, max_answer_bytes)
         return cls(incarnation, retention_ms, table, invariants)
 
     def mint_prefix(self, now_ms):
-        """Return ``<incarnation>.<epoch>``, which callers' keys begin with.
+        """Return the prefix ``<incarnation>.<epoch>`` for keys of callers.
 
         Raises
         ======
         Refused
-            ``LEAVING``, when this host has drained for a whole retention: its new keys
-            would be taken for invented ones at the successor, or expire at once.
+            With code ``LEAVING`` if this host has been draining for a whole retention
+            period: the successor would treat its new keys as never minted, or they
+            would expire at once.
         """
         self.advance(now_ms)
         own = self._own_range
@@ -115,22 +119,22 @@
         return format_prefix(self.incarnation, own.epoch)
 
     def begin(self, customer, key, fingerprint, now_ms):
-        """Tell what to do with a call under ``key``.
+        """Return how to proceed with a call that carries ``key``.
 
         Parameters
         ==========
         customer : str
         key : IdempotencyKey
         fingerprint : bytes
-            From ``fingerprint_request``.
+            Result of ``fingerprint_request``.
         now_ms : int
 
         Returns
         =======
         Proceed, Replay, InProgress, OutcomeUnknown, AnswerNotKept, OwnedBy, \
         WithdrawnTo, Expired, NeverMinted, Reused or Full
-            After ``Proceed`` the attempt must end with ``mark_not_run``, ``mark_finished`` or
-            ``mark_unknown``, also when the caller has gone.
+            After ``Proceed`` the attempt must be ended by ``mark_not_run``,
+            ``mark_finished`` or ``mark_unknown``, even if the caller has disconnected.
         """
         self.advance(now_ms)
         record = self.table.get(customer, key.text)
@@ -141,9 +145,9 @@
             KeyValidity.VALID if key_range is None else key_range.validity(key.epoch)
         )
         if validity is not KeyValidity.VALID:
-            return _VERDICTS[validity]
+            return _RESULTS_BY_VALIDITY[validity]
         if self.table.is_full:
-            # Only of its own keys does this host know that they did not run.
+            # This host can state "not run" only for keys of its own ranges.
             return InProgress() if key_range is None else Full()
         record = Record(customer, key, fingerprint, RecordState.IDLE)
         self.add_record(record)
@@ -154,16 +158,16 @@
         return self.query_holder(record)
 
     def mark_dispatched(self, attempt, now_ms):
-        """Mark the point of no return: call it just before the first byte is sent.
+        """Mark an attempt as dispatched, immediately before its first byte is sent.
 
-        Nothing may be awaited between this call and the sending.
+        Nothing may be awaited between this call and the sending of the request.
 
         Raises
         ======
         DispatchError
-            The attempt is not the permitted one: nothing may be sent.
+            If the attempt is not the permitted one; nothing may be sent.
         """
-        record = self._current(attempt)
+        record = self._current_record(attempt)
         permitted = record is not None and record.state is RecordState.ADMITTED
         fresh = permitted and not record.dispatched
         detail = f"key {attempt.key}, attempt {attempt.number} at {self.incarnation}"
@@ -176,8 +180,8 @@
         record.state = RecordState.DISPATCHED
 
     def mark_not_run(self, attempt, now_ms):
-        """End an attempt of which no byte was sent; the key may be begun again."""
-        record = self._current(attempt)
+        """End an attempt of which no byte was sent; the key can be used again."""
+        record = self._current_record(attempt)
         if record is None:
             return
         self.invariants.check(
@@ -192,16 +196,16 @@
         self.record_change(record)
 
     def mark_finished(self, attempt, answer, now_ms):
-        """End an attempt with the upstream's whole answer.
+        """End an attempt with the complete answer of the upstream.
 
         Parameters
         ==========
         attempt : Attempt
         answer : StoredAnswer or None
-            None when it is too large to be kept.
+            None if the answer is too large to keep.
         now_ms : int
         """
-        record = self._current(attempt)
+        record = self._current_record(attempt)
         if record is None:
             return
         record.state = RecordState.DONE
@@ -209,15 +213,15 @@
         self.record_change(record)
 
     def mark_unknown(self, attempt, now_ms):
-        """End an attempt whose request may or may not have run."""
-        record = self._current(attempt)
+        """End an attempt for which it is unknown whether the request ran."""
+        record = self._current_record(attempt)
         if record is None or record.state is RecordState.DONE:
             return
         record.state = RecordState.UNKNOWN
         self.record_change(record)
 
     def abandon_lookup(self, customer, key, now_ms):
-        """Stop waiting for the reply to a lookup; the outcome is unknown."""
+        """Stop waiting for the reply to a lookup and return ``OutcomeUnknown``."""
         record = self.table.get(customer, key.text)
         if record is not None:
             record.sent_number = 0
@@ -229,52 +233,54 @@
         return lookups.answer_lookup(self, lookup)
 
     def on_lookup_reply(self, reply, now_ms):
-        """Take a reply; return the waiting caller's result, or None.
+        """Apply a reply and return the result for the waiting caller, or None.
 
-        None stands for a reply that no caller waits for: late, repeated or crossed.
-        A result ``OwnedBy`` means that another incarnation has to be asked next.
+        None means that no caller waits for the reply because it is late, repeated or
+        for another lookup. ``OwnedBy`` means that another incarnation has to be queried
+        next.
         """
         self.advance(now_ms)
         return lookups.apply_reply(self, reply)
 
     def record_successor(self, incarnation, successor):
-        """Remember to which incarnation a host that left handed its ledger."""
+        """Record the incarnation to which a host that left handed its ledger over."""
         self.successors.register(incarnation, successor)
 
     def handover(self, successor, now_ms):
-        """Hand the ledger to ``successor``; return the ``Handover`` messages due.
+        """Hand the ledger over to ``successor``; return the ``Handover`` messages due.
 
-        From the first call on this host dispatches no key that it has not admitted
-        already. Later calls return what is not yet acknowledged, with the outcomes of
-        requests that were in progress; an empty list means that all is handed over.
+        From the first call on, this host dispatches only keys that it has already
+        admitted. Later calls return the messages not yet acknowledged and the outcomes
+        of requests that were in progress. An empty list means that the handover is
+        complete.
         """
         self.advance(now_ms)
         return self._handover.messages(self, successor)
 
     def adopt_handover(self, message, now_ms):
-        """Take a leaving host's ``Handover``; return the ``HandoverAck`` to send.
+        """Apply a leaving host's ``Handover`` and return the ``HandoverAck`` to send.
 
-        None is returned for a message that can not be taken yet or is for another run
-        at this address: the leaver sends it again.
+        Returns None for a message that can not be applied yet or is addressed to
+        another incarnation at this address; the leaving host sends it again.
         """
         self.advance(now_ms)
         return self._handover.adopt(self, message, now_ms)
 
     def on_handover_ack(self, ack, now_ms):
-        """Take the successor's ``HandoverAck``."""
+        """Process a ``HandoverAck`` of the successor."""
         self._handover.on_ack(self, ack)
 
     def record_change(self, record):
-        """Have a record's change follow a ledger that was handed on."""
+        """Record that a record changed, so that the successor is sent the change."""
         self._handover.record_change(record)
 
     @property
     def in_progress_count(self):
-        """How many attempts have not ended."""
+        """Number of attempts that have not ended."""
         return sum(record.state in IN_PROGRESS_STATES for record in self.table)
 
     def advance(self, now_ms):
-        """Move the epochs on and forget what is past its retention."""
+        """Advance the epochs and drop the records that are past their retention."""
         if self._own_range is None:
             epoch_ms = max(1, self._retention_ms // EPOCHS_KEPT)
             self._own_range = KeyRange(self.incarnation, epoch_ms, now_ms)
@@ -289,15 +295,16 @@
             self.table.forget_until(self._own_range.epoch)
 
     def add_record(self, record):
-        """Add a record, to be forgotten when its key has expired."""
+        """Add a record that is dropped once its key has expired."""
         self.table.add(record, self._drop_epoch(record))
 
     def update_range_retention(self, incarnation):
         """Keep the records of a range that was taken over for as long as its keys.
 
-        Failure: this host ran a key of another before it took that one's range over,
-        and forgets the record by the time of its running, while the range, whose clock
-        was delayed with the handover, still calls the key valid: it runs twice.
+        This host may have run a key of another host before it took over that host's
+        range. If it dropped the record according to the time of the run, while the
+        range, whose clock lags by the delay of the handover, still considered the key
+        valid, the key would run twice.
         """
         for record in self.table:
             if record.key.incarnation == incarnation:
@@ -318,7 +325,7 @@
         return max(drop_epoch, own.epoch + 1)
 
     def admit(self, record):
-        """Give the one permitted attempt at an idle record."""
+        """Return ``Proceed`` with the only permitted attempt of an idle record."""
         self.invariants.check(
             Property.NON_IDEMPOTENT_RUNS_AT_MOST_ONCE,
             record.state is RecordState.IDLE and not record.dispatched,
@@ -331,7 +338,7 @@
         return Proceed(Attempt(record.customer, record.key.text, self._attempt_number))
 
     def query_holder(self, record):
-        """Return the lookup to send to the incarnation that holds the right."""
+        """Return the lookup to send to the holder of the dispatch right."""
         if not record.query_number:
             self._query_number += 1
             record.query_number = self._query_number
@@ -341,7 +348,7 @@
         if not record.direct:
             holder = self.successors.resolve(holder)
         if holder == self.incarnation:
-            # The right is lost on the way: each names the other as its holder.
+            # The right was lost in transit: each host names the other as the holder.
             record.sent_number = 0
             return OutcomeUnknown()
         lookup = KeyLookup(
@@ -373,7 +380,7 @@
         record.fingerprint = fingerprint
         return self.query_holder(record)
 
-    def _current(self, attempt):
+    def _current_record(self, attempt):
         record = self.table.get(attempt.customer, attempt.key)
         if record is None or record.attempt_number != attempt.number:
             return None
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
@@ -1,10 +1,11 @@
-"""Answering another host's question about a key, and taking such an answer.
-
-The right to dispatch is in one place, or on its way in one ``LookupGranted``. It
-leaves the holder when the holder writes the grant down, before the reply is sent. The
-grant names the asker's wish (``ask_number``); the asker takes it only while that wish
-is open, and a wish is closed by taking a grant. So a reply that is late or comes twice
-gives nothing, and a lost one is sent again when the asker asks again.
+"""Replies to lookups of other hosts, and the application of such replies.
+
+The dispatch right of a key is held by one host or is in transit in one
+``LookupGranted``. The holder releases it when it records the grant, before it sends the
+reply. The grant names the requester's query (``ask_number``). The requester applies a
+grant only while that query is open, and applying it closes the query. A late or
+duplicate reply therefore grants nothing, and a lost reply is sent again when the
+requester repeats its query.
 """
 
 import functools
@@ -27,13 +28,13 @@
 )
 from hemlockhoist.messages import ledger as messages
 
-# A key's right moves once when a caller changes hosts and once for each host that
-# left; a longer chain is a loop, and the caller is told "unknown" instead.
+# A key's right is transferred once when a caller changes hosts and once for each host
+# that left. A longer chain is treated as a loop, and the caller gets "unknown".
 MAX_REDIRECTS = 4
 
 
 def answer_lookup(ledger, lookup):
-    """Return the reply to a lookup, after passing the right on where it can be.
+    """Return the reply to a lookup; transfer the dispatch right if it is available.
 
     Parameters
     ==========
@@ -41,9 +42,9 @@
     lookup : hemlockhoist.messages.ledger.KeyLookup
     """
     if lookup.holder != ledger.incarnation:
-        # Failure: a host restarted at the same address gets a question meant for the
-        # run before it. It shows as a doubled run if the new process, which has no
-        # records, took "no record" for "never run". It knows nothing of those keys.
+        # A host that restarted at the same address can receive a lookup for its
+        # previous incarnation. The new process has no records of those keys; if it
+        # treated "no record" as "never run", the request would run twice.
         return _reply(ledger, lookup, messages.LookupUnknown)
     record = ledger.table.get(lookup.customer, lookup.key)
     if record is None:
@@ -86,26 +87,26 @@
         record.granted_to == lookup.asker
         and lookup.ask_number <= record.granted_query_number
     ):
-        # Failure: a lookup delayed in the network arrives after the right went to the
-        # asker and came back. Giving it again would strand the right, for the asker's
-        # wish is closed: every later call would end as "unknown".
+        # This lookup was delayed in the network until after the right had gone to the
+        # requester and come back. The requester's query is closed, so a second grant
+        # would be ignored and the right lost: every later call would end as "unknown".
         return _reply(ledger, lookup, messages.LookupInProgress)
     return _grant_right(ledger, lookup, record)
 
 
 def _answer_elsewhere(ledger, lookup, record):
     holder = ledger.successors.resolve(record.holder)
-    wish = (lookup.asker, lookup.ask_number)
-    if wish == (record.granted_to, record.granted_query_number):
+    query = (lookup.asker, lookup.ask_number)
+    if query == (record.granted_to, record.granted_query_number):
         return _reply(ledger, lookup, messages.LookupGranted)
     if holder in (lookup.asker, ledger.incarnation):
-        # The asker had the right and has forgotten what it did with it.
+        # The requester had the right and has already dropped the outcome.
         return _reply(ledger, lookup, messages.LookupUnknown)
     return _reply(ledger, lookup, messages.LookupMoved, holder=holder)
 
 
 def _grant_right(ledger, lookup, record):
-    detail = f"key {lookup.key} given to {lookup.asker} by {ledger.incarnation}"
+    detail = f"key {lookup.key} granted to {lookup.asker} by {ledger.incarnation}"
     ledger.invariants.check(
         Property.NOT_RUN_IS_TRUE,
         record.state is RecordState.IDLE and not record.dispatched,
@@ -135,7 +136,7 @@
 
 
 def apply_reply(ledger, reply):
-    """Take a reply; return the waiting caller's result or None.
+    """Apply a reply and return the result for the waiting caller, or None.
 
     Parameters
     ==========
@@ -151,15 +152,16 @@
         return None
     waited_for = record.sent_number == reply.sent_number
     if not waited_for and not isinstance(reply, messages.LookupGranted):
-        # Failure: "never ran" from a former question arrives after the key has run
-        # elsewhere, and the caller books anew. Only a grant holds for all time.
+        # A "never ran" reply to an earlier transmission can arrive after the key has
+        # run elsewhere, and would make the caller repeat its request under a new key.
+        # Only a grant stays true regardless of when it arrives.
         return None
     was_waiting = record.sent_number != 0
     record.sent_number = 0
     result = _apply(reply, ledger, record)
     ledger.record_change(record)
     if not was_waiting:
-        # The right came too late for its caller; the next call may use it.
+        # The reply arrived too late for its caller; the next call may use the right.
         return None
     if isinstance(reply, messages.LookupGranted):
         return ledger.admit(record)
@@ -168,11 +170,11 @@
 
 @functools.singledispatch
 def _apply(reply, ledger, record):
-    """Change the record as the reply says and return the result for a caller.
+    """Update the record according to the reply and return the result for a caller.
 
-    No reply removes the record. Failure: the minting host passes a key on, asks its new
-    holder for a caller with a wrong body, and drops its record at "other request". The
-    key then looks unseen there, and the next call runs a second time.
+    No reply removes the record. If the minting host transferred a key, queried its new
+    holder for a caller with a wrong body and dropped its record on ``LookupReused``,
+    the key would look unseen there and the next call would run it a second time.
     """
     raise NotImplementedError(type(reply))
 
@@ -206,9 +208,9 @@
 
 @_apply.register
 def _(reply: messages.LookupFull, ledger, record):
-    # Failure: "not run" was true when the holder wrote it, but another copy of the
-    # call reaches the holder and runs before the reply arrives here. Only the holder
-    # itself may say "not run"; here the caller is told to come again.
+    # "Not run" was true when the holder sent it, but another copy of the call may reach
+    # the holder and run before the reply arrives here. Only the holder itself may
+    # report "not run"; this host tells the caller to retry.
     return InProgress()
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/record.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/record.py
@@ -1,15 +1,15 @@
-"""One key's record, and the ranges of keys that an incarnation may dispatch."""
+"""Records of single keys, and the ranges of keys that a host may dispatch."""
 
 import enum
 
 EPOCHS_KEPT = 4
-# A record of a key that this host did not mint is kept longer than the minting host
-# judges the key valid, so that the record goes only after the key has expired.
+# Records of keys that another host minted are kept for longer than that host considers
+# the key valid, so that the record is dropped only after the key has expired.
 FOREIGN_EPOCHS_KEPT = EPOCHS_KEPT + 2
 
 
 class RecordState(enum.Enum):
-    """Where a key's request stands."""
+    """State of the request that a key identifies."""
 
     IDLE = "idle"
     ADMITTED = "admitted"
@@ -23,7 +23,7 @@
 
 
 class KeyValidity(enum.Enum):
-    """What a range says of a key without a record."""
+    """Validity of a key that has no record, according to its range."""
 
     VALID = "valid"
     EXPIRED = "expired"
@@ -31,7 +31,7 @@
 
 
 class Record:
-    """What the ledger knows of one customer's key.
+    """The ledger's entry for one customer's key.
 
     Parameters
     ==========
@@ -40,29 +40,29 @@
     fingerprint : bytes
     state : RecordState
     holder : str
-        In state ``ELSEWHERE``: the incarnation to query_holder.
+        In state ``ELSEWHERE``, the incarnation to query.
     direct : bool
-        Whether ``holder`` itself is asked although it has named a successor: the
-        request is in progress there.
+        Whether ``holder`` itself is queried even if it has named a successor, because
+        the request is in progress there.
     granted_to, granted_query_number : str, int
-        The lookup by which this host last passed the right on; empty for none.
+        Requester and number of the lookup by which this host last transferred the
+        dispatch right; empty if there was none.
     query_number : int
-        This host's own wish for the key; 0 for none.
+        Number of this host's own open query for the dispatch right; 0 for none.
     sent_number : int
-        Of the lookup that a caller waits on; 0 when none waits.
+        Number of the transmission whose reply a caller waits for; 0 if none waits.
     redirects : int
-        How often the present lookup was sent on to another holder.
+        How often the current lookup was redirected to another holder.
     attempt_number : int
     drop_epoch : int
-        Of this host's own epochs: when the record may be forgotten.
+        Epoch of this host's own range in which the record may be dropped.
     dispatched : bool
-        Whether a byte may have left. It never becomes false again.
+        Whether any byte of the request may have been sent. It is never reset.
     answer : StoredAnswer or None
     """
 
     __slots__ = (
         "answer",
-        "query_number",
         "attempt_number",
         "customer",
         "direct",
@@ -73,6 +73,7 @@
         "granted_to",
         "holder",
         "key",
+        "query_number",
         "redirects",
         "sent_number",
         "state",
@@ -97,32 +98,32 @@
 
     @property
     def is_bound(self):
-        """Whether the key stands for this fingerprint's request for good.
+        """Whether the key is permanently bound to the request of this fingerprint.
 
-        Failure: a call with a wrong body reaches a host that only asks for the key. Its
-        record then refuses the right body as "another request, not run", while that one
-        ran at the key's holder. Only a dispatched request binds the key.
+        Only a dispatched request binds the key. Otherwise a call with a wrong body at a
+        host that merely queries the holder would make that host refuse the correct body
+        as "another request, not run", although it ran at the holder.
         """
         bound = (RecordState.DISPATCHED, RecordState.DONE, RecordState.UNKNOWN)
         return self.state in bound
 
     @property
     def id(self):
-        """What the ledger files the record under."""
+        """The key under which the ledger indexes the record."""
         return (self.customer, self.key.text)
 
 
 class KeyRange:
-    """The keys of one minting incarnation, with that incarnation's epochs.
+    """The keys that one incarnation minted, with the epochs of that incarnation.
 
     Parameters
     ==========
     incarnation : str
     epoch_ms : int
     base_ms : int
-        When epoch 0 began, on the clock of the host that has the range.
+        Start of epoch 0 on the clock of the host that holds the range.
     last_epoch : int or None
-        Of a range taken over: no later key was minted.
+        Last epoch in which keys were minted, for a range that was taken over.
     """
 
     __slots__ = ("base_ms", "epoch", "epoch_ms", "incarnation", "last_epoch")
@@ -136,20 +137,20 @@
 
     @property
     def is_expired(self):
-        """Whether every key of a range taken over has expired."""
+        """Whether every key of a range that was taken over has expired."""
         if self.last_epoch is None:
             return False
         return self.epoch - self.last_epoch > EPOCHS_KEPT
 
     def advance(self, now_ms):
-        """Move the epoch on; a clock that steps back does not move it back."""
+        """Advance the epoch; it does not decrease if the clock steps back."""
         self.epoch = max(self.epoch, (now_ms - self.base_ms) // self.epoch_ms)
 
     def validity(self, epoch):
-        """Return the ``KeyValidity`` on a key of ``epoch`` that has no record.
+        """Return the ``KeyValidity`` of a key of ``epoch`` that has no record.
 
-        Records of an epoch are dropped when, and not before, this says ``EXPIRED``:
-        a key without a record is then either unseen or refused for good.
+        Records of an epoch are dropped only once this returns ``EXPIRED``, so a key
+        without a record is either unseen or refused from then on.
         """
         newest = self.epoch if self.last_epoch is None else self.last_epoch
         if epoch > newest:
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/results.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/results.py
@@ -1,4 +1,4 @@
-"""What the ledger answers to a call that carries an idempotency key."""
+"""Results that the ledger returns for a call with an idempotency key."""
 
 from typing import ClassVar
 
@@ -9,13 +9,13 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """The one permitted attempt at a key's request.
+    """The only permitted attempt to run the request of a key.
 
     Parameters
     ==========
     customer, key : str
     number : int
-        Counts the ledger's attempts; an older attempt's number is of no use.
+        Serial number among the ledger's attempts; an older attempt is not permitted.
     """
 
     customer: str
@@ -24,41 +24,41 @@
 
 
 class Proceed(msgspec.Struct, frozen=True):
-    """The request may be dispatched, once, by the holder of ``attempt``."""
+    """The request may be dispatched once, by the holder of ``attempt``."""
 
     attempt: Attempt
 
 
 class Replay(msgspec.Struct, frozen=True):
-    """The request ran before; the caller gets the answer that it gave."""
+    """The request has already run; its stored answer is returned to the caller."""
 
     code: ClassVar[ResultCode] = ResultCode.OK
     answer: StoredAnswer
 
 
 class InProgress(msgspec.Struct, frozen=True):
-    """A request with this key is queued, running or being looked up."""
+    """A request with this key is queued, running or being looked up elsewhere."""
 
     code: ClassVar[ResultCode] = ResultCode.IN_PROGRESS
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True):
-    """The request may or may not have run."""
+    """It is unknown whether the request ran."""
 
     code: ClassVar[ResultCode] = ResultCode.OUTCOME_UNKNOWN
 
 
 class AnswerNotKept(msgspec.Struct, frozen=True):
-    """The request ran; its answer went over the byte budget."""
+    """The request ran, but its answer exceeded the byte budget and was not kept."""
 
     code: ClassVar[ResultCode] = ResultCode.ANSWER_NOT_KEPT
 
 
 class OwnedBy(msgspec.Struct, frozen=True):
-    """Another incarnation has to be asked: send it ``lookup``.
+    """Another incarnation has to be queried by sending it ``lookup``.
 
-    The caller waits for ``KeyLedger.on_lookup_reply``, or for a time limit and then
-    ``KeyLedger.abandon_lookup``.
+    The caller waits for the result of ``KeyLedger.on_lookup_reply``, or calls
+    ``KeyLedger.abandon_lookup`` after a time limit.
     """
 
     code: ClassVar[ResultCode] = ResultCode.OUTCOME_UNKNOWN
@@ -67,7 +67,7 @@
 
 
 class WithdrawnTo(msgspec.Struct, frozen=True):
-    """This host passed the key on; its new holder has to be asked (as ``OwnedBy``)."""
+    """This host transferred the key; its new holder is queried as for ``OwnedBy``."""
 
     code: ClassVar[ResultCode] = ResultCode.OUTCOME_UNKNOWN
     incarnation: str
@@ -75,24 +75,24 @@
 
 
 class Expired(msgspec.Struct, frozen=True):
-    """The key is past its retention; whether it ran is no longer known."""
+    """The key is past its retention; whether its request ran is no longer known."""
 
     code: ClassVar[ResultCode] = ResultCode.KEY_EXPIRED
 
 
 class NeverMinted(msgspec.Struct, frozen=True):
-    """No host gave out this prefix; nothing ran under it."""
+    """No host issued this prefix, so nothing ran under the key."""
 
     code: ClassVar[ResultCode] = ResultCode.KEY_MALFORMED
 
 
 class Reused(msgspec.Struct, frozen=True):
-    """The key stands for another request of the same customer."""
+    """The key identifies a different request of the same customer."""
 
     code: ClassVar[ResultCode] = ResultCode.KEY_REUSED
 
 
 class Full(msgspec.Struct, frozen=True):
-    """The key can not be recorded, so its request was not run."""
+    """The ledger is full and can not record the key, so the request was not run."""
 
     code: ClassVar[ResultCode] = ResultCode.LEDGER_FULL
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/successors.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/successors.py
@@ -1,19 +1,19 @@
-"""Which incarnation has taken over the ledger of one that left."""
+"""Successors: the incarnations that took over the ledgers of hosts that left."""
 
 import collections
 
-# Far more hosts than leave within a key's retention; about 150 bytes each.
+# Far more than the hosts that leave within a key's retention; about 150 bytes each.
 MAX_SUCCESSORS = 4_096
 _MAX_HOPS = 16
 
 
 class SuccessorMap:
-    """Follows a chain of successors, bounded in size and length.
+    """Maps incarnations to their successors, bounded in size and chain length.
 
     Parameters
     ==========
     incarnation : str
-        Of this host.
+        Incarnation of this host.
     """
 
     __slots__ = ("_incarnation", "_successors")
@@ -28,7 +28,7 @@
         return cls(incarnation)
 
     def register(self, incarnation, successor):
-        """Remember a successor; the first one named is the only one."""
+        """Register the successor of an incarnation; later ones are ignored."""
         if incarnation == successor or incarnation in self._successors:
             return
         self._successors[incarnation] = successor
@@ -36,7 +36,7 @@
             self._successors.popitem(last=False)
 
     def resolve(self, incarnation):
-        """Return the last known successor, or the incarnation itself."""
+        """Return the last known successor in the chain, or ``incarnation`` itself."""
         for _ in range(_MAX_HOPS):
             if incarnation not in self._successors:
                 return incarnation
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/table.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/table.py
@@ -1,4 +1,4 @@
-"""The records in memory: bounded in number, forgotten by epoch."""
+"""In-memory table of records, bounded in number and dropped by epoch."""
 
 import collections
 
@@ -7,7 +7,7 @@
 
 
 class RecordTable:
-    """Records filed by customer and key, and by the epoch that forgets them.
+    """Records indexed by customer and key, and by the epoch in which they are dropped.
 
     Parameters
     ==========
@@ -31,7 +31,7 @@
 
     @property
     def is_full(self):
-        """Whether no further key can be recorded."""
+        """Whether the table can not hold a further record."""
         return len(self._records) >= self.max_records
 
     def get(self, customer, key_text):
@@ -39,27 +39,27 @@
         return self._records.get((customer, key_text))
 
     def add(self, record, drop_epoch):
-        """File a record that is forgotten when ``drop_epoch`` begins."""
+        """Add a record that is dropped when ``drop_epoch`` begins."""
         record.drop_epoch = drop_epoch
         self._records[record.id] = record
         self._buckets[drop_epoch][record.id] = record
 
     def set_drop_epoch(self, record, drop_epoch):
-        """Have a record forgotten at another epoch; its answer stays."""
+        """Change the epoch in which a record is dropped; its answer is kept."""
         self._buckets[record.drop_epoch].pop(record.id, None)
         self.add(record, drop_epoch)
 
     def remove(self, record):
-        """Forget a record and its answer."""
+        """Remove a record and its answer."""
         self.answers.drop(record)
         self._records.pop(record.id, None)
         self._buckets[record.drop_epoch].pop(record.id, None)
 
     def forget_until(self, epoch):
-        """Forget the records due by ``epoch``, but for those in progress.
+        """Drop the records due by ``epoch``, except those in progress.
 
-        A record in progress that went with its epoch would leave a key that looks
-        unseen while its request runs; it stays until the request has ended.
+        If a record in progress were dropped with its epoch, its key would look unseen
+        while the request runs. Such a record stays until the request has ended.
         """
         for due in [item for item in self._buckets if item <= epoch]:
             for record in self._buckets.pop(due).values():
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/ledgers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/ledgers.py
@@ -6,8 +6,8 @@
 
 RETENTION_MS = 400_000
 EPOCH_MS = RETENTION_MS // 4
-PRINT = fingerprint_request("POST", "/bookings", b"hall 3")
-OTHER_PRINT = fingerprint_request("POST", "/bookings", b"hall 4")
+FINGERPRINT = fingerprint_request("POST", "/bookings", b"hall 3")
+OTHER_FINGERPRINT = fingerprint_request("POST", "/bookings", b"hall 4")
 ANSWER = StoredAnswer(status=201, body=b"booked")
 CUSTOMER = "faculty"
 
@@ -18,27 +18,27 @@
     )
 
 
-def make_key(ledger, own="1", now_ms=0):
-    return parse_key(f"{ledger.mint_prefix(now_ms)}.{own}")
+def make_key(ledger, caller_part="1", now_ms=0):
+    return parse_key(f"{ledger.mint_prefix(now_ms)}.{caller_part}")
 
 
-def begin(ledger, key, now_ms=0, fingerprint=PRINT):
+def begin(ledger, key, now_ms=0, fingerprint=FINGERPRINT):
     return ledger.begin(CUSTOMER, key, fingerprint, now_ms)
 
 
 def run(ledger, key, now_ms=0):
-    """Run a key to its end at one ledger."""
+    """Run the request of a key to completion at one ledger."""
     attempt = begin(ledger, key, now_ms).attempt
     ledger.mark_dispatched(attempt, now_ms)
     ledger.mark_finished(attempt, ANSWER, now_ms)
 
 
-def look_up(asker, holder, lookup, now_ms=0):
-    """Carry one question and its reply; return the waiting caller's result."""
-    return asker.on_lookup_reply(holder.on_lookup(lookup, now_ms), now_ms)
+def look_up(requester, holder, lookup, now_ms=0):
+    """Deliver a lookup and its reply; return the result for the waiting caller."""
+    return requester.on_lookup_reply(holder.on_lookup(lookup, now_ms), now_ms)
 
 
 def hand_over(leaver, successor, now_ms=0):
-    """Carry a whole handover and its acknowledgements."""
+    """Deliver a complete handover and its acknowledgements."""
     for message in leaver.handover(successor.incarnation, now_ms):
         leaver.on_handover_ack(successor.adopt_handover(message, now_ms), now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
@@ -14,7 +14,7 @@
     ANSWER,
     CUSTOMER,
     EPOCH_MS,
-    OTHER_PRINT,
+    OTHER_FINGERPRINT,
     RETENTION_MS,
     begin,
     hand_over,
@@ -32,8 +32,8 @@
 
     def test_repeat_after_a_planned_stop_gets_its_answer(self):
         """
-        Host a answered a booking, is replaced by plan, and the caller repeats the call.
-        Without the handover the repeat, at any host, could only be told "unknown".
+        Host a answers a booking, leaves in a planned stop, and the caller repeats the
+        call. Without the handover the repeat would get "unknown" at any host.
         """
         run(self.a, self.key)
         unused = make_key(self.a, "2")
@@ -41,8 +41,8 @@
         self.assertEqual(begin(self.s, self.key), Replay(ANSWER))
         self.assertIsInstance(begin(self.s, unused), Proceed)
 
-    def test_other_hosts_follow_to_the_successor(self):
-        """A third host that knows the successor asks it in the leaver's place."""
+    def test_other_hosts_query_the_successor(self):
+        """A third host that knows the successor queries it instead of the leaver."""
         run(self.a, self.key)
         hand_over(self.a, self.s)
         self.b.record_successor("a", "s")
@@ -52,8 +52,8 @@
 
     def test_leaver_dispatches_no_new_key(self):
         """
-        The leaver has sent its ledger off and the acknowledgement is still on its way.
-        A call that reaches the leaver now must not run beside one at the successor.
+        The leaver has sent its ledger and waits for the acknowledgement. A call that
+        reaches the leaver now must not run concurrently with one at the successor.
         """
         messages = self.a.handover("s", 0)
         self.assertEqual(begin(self.a, self.key), OutcomeUnknown())
@@ -62,8 +62,8 @@
         self.assertIsInstance(begin(self.s, self.key), Proceed)
         self.assertNotIsInstance(begin(self.a, self.key), Proceed)
 
-    def test_leaver_points_to_the_successor(self):
-        """After the acknowledgement the leaver asks its successor for a caller."""
+    def test_leaver_refers_calls_to_the_successor(self):
+        """After the acknowledgement the leaver refers calls to its successor."""
         hand_over(self.a, self.s)
         asked = begin(self.a, self.key)
         self.assertEqual((type(asked), asked.incarnation), (OwnedBy, "s"))
@@ -73,8 +73,9 @@
 
     def test_successor_waits_for_all_parts(self):
         """
-        The leaver dies when half its ledger has arrived. The other half held a booking
-        that ran; a successor that took "no record" for "never ran" would book again.
+        The leaver dies when only the first part of its ledger has arrived. The second
+        part holds a booking that ran, and a successor that treated "no record" as
+        "never ran" would book again.
         """
         self.a = make_ledger("a", max_records=1_000)
         self.s = make_ledger("s", max_records=1_000)
@@ -88,7 +89,7 @@
         self.assertEqual(begin(self.s, keys[-1]), Replay(ANSWER))
 
     def test_lost_acknowledgement_changes_nothing(self):
-        """Parts are sent again until acknowledged, and taken once."""
+        """Parts are sent again until acknowledged, and applied once."""
         run(self.a, self.key)
         for message in self.a.handover("s", 0):
             self.s.adopt_handover(message, 0)
@@ -98,11 +99,11 @@
         self.assertEqual(begin(self.s, unused), InProgress())
         self.assertEqual(self.a.handover("s", 0), [])
 
-    def test_request_in_progress_ends_at_the_leaver(self):
+    def test_outcome_of_a_request_in_progress_follows(self):
         """
-        A booking runs while its host leaves. A repeat at the successor is told "in
-        progress", and gets the answer once the leaver has it, also when the leaver has
-        gone by then.
+        A booking runs while its host leaves. A repeat at the successor gets "in
+        progress", and the answer once the leaver has reported it, even if the leaver
+        has gone by then.
         """
         attempt = begin(self.a, self.key).attempt
         self.a.mark_dispatched(attempt, 0)
@@ -115,7 +116,7 @@
         self.assertEqual(begin(self.s, self.key), Replay(ANSWER))
 
     def test_refused_request_moves_to_the_successor(self):
-        """A queued request that the leaver refuses may run at the successor, once."""
+        """A queued request that the leaver refuses may run once at the successor."""
         attempt = begin(self.a, self.key).attempt
         hand_over(self.a, self.s)
         self.a.mark_not_run(attempt, 1)
@@ -126,17 +127,17 @@
         self.s.adopt_handover(update[0], 2)
         self.assertEqual(begin(self.s, self.key), InProgress())
 
-    def test_leaver_lost_with_a_request_in_progress_is_unknown(self):
-        """The leaver dies before it reports: its last request stays unknown."""
+    def test_request_in_progress_at_a_dead_leaver_is_unknown(self):
+        """A request whose outcome a dead leaver did not report stays unknown."""
         self.a.mark_dispatched(begin(self.a, self.key).attempt, 0)
         hand_over(self.a, self.s)
         self.assertIsInstance(begin(self.s, self.key), OwnedBy)
         self.assertEqual(self.s.abandon_lookup(CUSTOMER, self.key, 0), OutcomeUnknown())
 
-    def test_grant_on_its_way_is_not_doubled_by_a_handover(self):
+    def test_grant_in_transit_is_not_duplicated_by_a_handover(self):
         """
-        Host a withdrew a key for s, and the reply is delayed. a then leaves and hands
-        its ledger to s, which carries the same right. s may use it once.
+        Host a granted a key to s, and the reply is delayed. Then a leaves and hands its
+        ledger, which carries the same right, over to s. s may use the right once.
         """
         late = self.a.on_lookup(begin(self.s, self.key).lookup, 0)
         hand_over(self.a, self.s)
@@ -144,17 +145,17 @@
         self.assertIsNone(self.s.on_lookup_reply(late, 0))
         self.assertEqual(begin(self.s, self.key), InProgress())
 
-    def test_key_that_the_successor_asked_for_comes_with_the_ledger(self):
-        """A lookup that the leaver never saw is settled by its ledger."""
+    def test_key_that_the_successor_queried_comes_with_the_ledger(self):
+        """The handover settles a lookup that never reached the leaver."""
         begin(self.s, self.key)
         hand_over(self.a, self.s)
         self.assertIsInstance(begin(self.s, self.key), Proceed)
 
-    def test_key_given_to_the_leaver_after_its_list_was_made(self):
+    def test_key_granted_to_the_leaver_after_its_ledger_was_compiled(self):
         """
-        Host a draws up its ledger for s, and the message is delayed. Meanwhile a caller
-        brings a key of s to a, which gets the right from s and books the hall. The list
-        that then reaches s does not have the key: it must not look unseen there.
+        Host a compiles its ledger for s, and the message is delayed. Meanwhile a caller
+        uses a key of s at a, which gets the right from s and books the hall. The ledger
+        that then reaches s does not contain the key, which must not look unseen there.
         """
         messages = self.a.handover("s", 0)
         key = make_key(self.s)
@@ -165,11 +166,11 @@
             self.s.adopt_handover(message, 0)
         self.assertNotIsInstance(begin(self.s, key), Proceed)
 
-    def test_key_run_before_the_range_came_is_kept_as_long_as_the_range(self):
+    def test_key_run_before_the_handover_is_kept_as_long_as_its_range(self):
         """
-        Host s books under a key of a, which was given to it; much later a leaves, and s
-        takes a's keys over with a clock that the slow message has set back. s must not
-        forget its own booking before that clock calls the key expired.
+        Host s books under a key of a that was granted to it. Much later a leaves, and s
+        takes over a's keys with a range clock that lags by the delay of the message. s
+        must not drop its own record before the key expires on that clock.
         """
         proceed = look_up(self.s, self.a, begin(self.s, self.key).lookup)
         self.s.mark_dispatched(proceed.attempt, 0)
@@ -181,11 +182,11 @@
         for now_ms in range(arrival_ms, 3 * RETENTION_MS, EPOCH_MS // 2):
             self.assertNotIsInstance(begin(self.s, self.key, now_ms), Proceed)
 
-    def test_key_minted_while_the_leaver_drains_lasts_its_time(self):
+    def test_key_minted_while_the_leaver_drains_is_retained(self):
         """
-        A host drains for an hour, and a caller that kept its address asks it for a
-        prefix. A key of the epoch in which the drain began would expire within minutes,
-        and its repeat be told "unknown".
+        A host drains for an hour, and a caller that kept its address requests a prefix
+        from it. A key of the epoch in which the drain began would expire within
+        minutes, and its repeat would get "unknown".
         """
         hand_over(self.a, self.s)
         drained_ms = RETENTION_MS
@@ -198,18 +199,19 @@
 
     def test_wrong_body_at_the_successor_does_not_bind_the_key(self):
         """
-        A call with a wrong body waited at s for the leaver's word when the ledger came,
-        with the right call's answer. The right call gets it, and is not refused.
+        A call with a wrong body waits at s for the leaver's reply when the ledger
+        arrives with the answer to the correct call. The correct call gets that answer
+        and is not refused.
         """
         run(self.a, self.key)
-        begin(self.s, self.key, 0, OTHER_PRINT)
+        begin(self.s, self.key, 0, OTHER_FINGERPRINT)
         hand_over(self.a, self.s)
         self.assertEqual(begin(self.s, self.key), Replay(ANSWER))
 
     def test_second_successor_only_after_a_refusal(self):
         """
-        The first successor restarts under the leaver's hands, or is full. Only its own
-        word that it never will take the ledger lets the leaver name another.
+        The first successor is full or restarts during the handover. The leaver may name
+        another one only after the first has explicitly refused the ledger.
         """
         full = make_ledger("s", max_records=0)
         run(self.a, self.key)
@@ -223,8 +225,8 @@
         self.assertIsNone(self.b.adopt_handover(silent.handover("b", 0)[0], 0))
         self.assertNotIsInstance(begin(silent, other), Proceed)
 
-    def test_leaving_host_takes_no_ledger(self):
-        """Of two hosts that leave for each other, one at least refuses."""
+    def test_leaving_host_accepts_no_ledger(self):
+        """Of two leaving hosts that name each other, at least one refuses."""
         messages = self.a.handover("s", 0)
         hand_over(self.s, self.b)
         ack = self.s.adopt_handover(messages[0], 0)
@@ -233,7 +235,7 @@
         self.assertIsInstance(begin(self.a, self.key), Proceed)
 
     def test_chain_of_planned_stops_keeps_the_records(self):
-        """Over a whole rolling replacement a repeat still gets its answer."""
+        """A repeat still gets its answer after a complete rolling replacement."""
         run(self.a, self.key)
         unused = make_key(self.a, "2")
         hand_over(self.a, self.s)
@@ -241,8 +243,8 @@
         self.assertEqual(begin(self.b, self.key), Replay(ANSWER))
         self.assertIsInstance(begin(self.b, unused), Proceed)
 
-    def test_inherited_keys_expire_and_no_later_one_was_minted(self):
-        """The successor judges the leaver's keys by the leaver's epochs."""
+    def test_inherited_keys_expire(self):
+        """The successor expires the leaver's keys by the leaver's epochs."""
         unused = make_key(self.a)
         late = make_key(self.a, "2", EPOCH_MS)
         hand_over(self.a, self.s, EPOCH_MS)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_keys.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_keys.py
@@ -14,21 +14,21 @@
         st.integers(0, 10**12 - 1),
         st.from_regex(r"[!-~]{1,128}", fullmatch=True),
     )
-    def test_written_keys_are_read_back(self, incarnation, epoch, own):
-        """A key reads back as what it was made of."""
-        key = IdempotencyKey(incarnation, epoch, own)
+    def test_formatted_keys_parse_to_equal_keys(self, incarnation, epoch, caller_part):
+        """The text of a key parses to an equal key."""
+        key = IdempotencyKey(incarnation, epoch, caller_part)
         self.assertEqual(parse_key(key.text), key)
 
     @given(st.text(max_size=40))
-    def test_any_text_is_a_key_or_malformed(self, text):
-        """Any header value gives a key or the one error code."""
+    def test_any_text_parses_or_is_malformed(self, text):
+        """Any header value parses to a key or raises ``KEY_MALFORMED``."""
         try:
             self.assertEqual(parse_key(text).text, text)
         except BadRequest as error:
             self.assertIs(error.code, ResultCode.KEY_MALFORMED)
 
     def test_malformed_keys_are_refused(self):
-        """Keys without a prefix, an epoch or an own part are refused."""
+        """Keys without a valid prefix, epoch or caller's part are refused."""
         for text in (
             "",
             "a",
@@ -44,5 +44,5 @@
                 parse_key(text)
 
     def test_docstring_examples_run(self):
-        """The examples in the docstrings give what they show."""
+        """The examples in the docstrings give the results shown."""
         self.assertEqual(doctest.testmod(keys).failed, 0)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_ledger.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_ledger.py
@@ -23,8 +23,8 @@
     ANSWER,
     CUSTOMER,
     EPOCH_MS,
-    OTHER_PRINT,
-    PRINT,
+    FINGERPRINT,
+    OTHER_FINGERPRINT,
     RETENTION_MS,
     begin,
     make_key,
@@ -39,11 +39,10 @@
         self.ledger = make_ledger("a")
         self.key = make_key(self.ledger)
 
-    def test_repeat_at_once_waits_and_later_replays(self):
+    def test_repeat_is_in_progress_and_later_replays(self):
         """
-        A secretary's client sends a booking, loses patience and sends it again while
-        the first is queued, while it runs, and after it was answered. Without the
-        record each repeat would book the hall again.
+        A client repeats a booking while the first call is queued, while it runs and
+        after it was answered. Without the record each repeat would book the hall again.
         """
         attempt = begin(self.ledger, self.key).attempt
         self.assertEqual(begin(self.ledger, self.key), InProgress())
@@ -52,8 +51,8 @@
         self.ledger.mark_finished(attempt, ANSWER, 2)
         self.assertEqual(begin(self.ledger, self.key), Replay(ANSWER))
 
-    def test_refused_request_may_be_begun_again(self):
-        """After ``mark_not_run`` the same key proceeds, with a new attempt."""
+    def test_refused_request_can_be_retried(self):
+        """After ``mark_not_run`` the same key proceeds with a new attempt."""
         first = begin(self.ledger, self.key).attempt
         self.ledger.mark_not_run(first, 1)
         second = begin(self.ledger, self.key)
@@ -63,8 +62,8 @@
 
     def test_broken_connection_stays_unknown(self):
         """
-        The connection to the reservation service breaks with half a booking sent. Each
-        repeat is told "outcome unknown", until a late answer settles it.
+        The connection to the reservation service breaks after half of a booking was
+        sent. Every repeat gets "outcome unknown" until a late answer arrives.
         """
         attempt = begin(self.ledger, self.key).attempt
         self.ledger.mark_dispatched(attempt, 1)
@@ -74,14 +73,14 @@
         self.assertEqual(begin(self.ledger, self.key), Replay(ANSWER))
 
     def test_one_attempt_is_dispatched_once(self):
-        """A second dispatch of an attempt is a violation, and sends nothing."""
+        """A second dispatch of an attempt is a violation and sends nothing."""
         attempt = begin(self.ledger, self.key).attempt
         self.ledger.mark_dispatched(attempt, 1)
         with self.assertRaises(PropertyViolation):
             self.ledger.mark_dispatched(attempt, 1)
 
-    def test_second_dispatch_is_stopped_in_production_too(self):
-        """Where violations are only logged, the second dispatch still raises."""
+    def test_second_dispatch_raises_in_production_too(self):
+        """If violations are only logged, a second dispatch still raises."""
         log = InvariantLog(False)
         ledger = KeyLedger.from_config("a", RETENTION_MS, 10, 10, log)
         attempt = begin(ledger, make_key(ledger)).attempt
@@ -91,29 +90,29 @@
         self.assertEqual(log.violations[Property.DISPATCHED_AT_MOST_ONCE], 1)
 
     def test_not_run_after_dispatch_is_a_violation(self):
-        """Saying "not run" of a dispatched attempt is caught."""
+        """Reporting a dispatched attempt as "not run" is a violation."""
         attempt = begin(self.ledger, self.key).attempt
         self.ledger.mark_dispatched(attempt, 1)
         with self.assertRaises(PropertyViolation):
             self.ledger.mark_not_run(attempt, 2)
 
-    def test_other_body_under_the_same_key_is_refused(self):
-        """A key with another request is refused, and runs nothing."""
+    def test_different_body_under_the_same_key_is_refused(self):
+        """A key repeated with a different request is refused and runs nothing."""
         run(self.ledger, self.key)
-        self.assertEqual(begin(self.ledger, self.key, 0, OTHER_PRINT), Reused())
+        self.assertEqual(begin(self.ledger, self.key, 0, OTHER_FINGERPRINT), Reused())
 
     def test_customers_do_not_share_keys(self):
-        """Another customer's use of the same key is its own request."""
+        """The same key used by another customer identifies a separate request."""
         run(self.ledger, self.key)
-        other = self.ledger.begin("port office", self.key, PRINT, 0)
+        other = self.ledger.begin("port office", self.key, FINGERPRINT, 0)
         self.assertIsInstance(other, Proceed)
 
 
 class BoundTests(unittest.TestCase):
     def test_old_keys_expire_and_are_never_dispatched(self):
         """
-        A client sleeps over a weekend with an unsent booking and repeats it on Monday,
-        when its record is gone. "No record" must not be read as "never ran".
+        A client repeats a booking after a weekend, when its record has been dropped.
+        "No record" must not be treated as "never ran".
         """
         ledger = make_ledger("a")
         used, unused = make_key(ledger, "1"), make_key(ledger, "2")
@@ -124,10 +123,10 @@
         self.assertEqual(begin(ledger, unused, late_ms), Expired())
         self.assertEqual(len(ledger.table), 0)
 
-    def test_rotation_keeps_what_is_in_progress(self):
+    def test_epoch_rotation_keeps_records_in_progress(self):
         """
-        A booking waits behind a stuck service for longer than its key is kept. Were its
-        record dropped with the epoch, the repeat would run beside it.
+        A booking waits for a stuck service for longer than the retention of its key. If
+        its record were dropped with the epoch, a repeat would run concurrently.
         """
         ledger = make_ledger("a")
         key = make_key(ledger)
@@ -139,21 +138,21 @@
         self.assertEqual(begin(ledger, key, late_ms), Replay(ANSWER))
         self.assertEqual(begin(ledger, key, late_ms + EPOCH_MS), Expired())
 
-    def test_clock_stepping_back_revives_no_key(self):
-        """A key that expired stays expired when the clock steps back."""
+    def test_clock_stepping_back_does_not_unexpire_keys(self):
+        """An expired key stays expired when the clock steps back."""
         ledger = make_ledger("a")
         key = make_key(ledger)
         self.assertEqual(begin(ledger, key, 10 * RETENTION_MS), Expired())
         self.assertEqual(begin(ledger, key, 0), Expired())
 
-    def test_invented_epoch_is_never_minted(self):
-        """A key of an epoch that has not begun was given out by nobody."""
+    def test_key_of_a_future_epoch_is_never_minted(self):
+        """A key of an epoch that has not begun was never minted."""
         ledger = make_ledger("a")
         self.assertEqual(begin(ledger, parse_key("a.1.own")), NeverMinted())
         self.assertIsInstance(begin(ledger, parse_key("a.0.own")), Proceed)
 
     def test_full_ledger_refuses_new_keys_only(self):
-        """At the bound new keys are refused, and known ones are still answered."""
+        """A full ledger refuses new keys and still answers known ones."""
         ledger = make_ledger("a", max_records=2)
         keys = [make_key(ledger, str(n)) for n in range(3)]
         for key in keys[:2]:
@@ -162,7 +161,7 @@
         self.assertEqual(begin(ledger, keys[0]), Replay(ANSWER))
 
     def test_answers_beyond_the_budget_are_not_kept(self):
-        """Older answers go first; their records still stop a second run."""
+        """The oldest answers are evicted; their records still prevent a second run."""
         ledger = make_ledger("a", max_answer_bytes=12)
         keys = [make_key(ledger, str(n)) for n in range(3)]
         for key in keys:
@@ -171,11 +170,11 @@
         self.assertEqual(results, [AnswerNotKept(), Replay(ANSWER), Replay(ANSWER)])
 
     def test_answer_larger_than_the_budget_evicts_nothing(self):
-        """One huge answer does not push the others out."""
+        """An answer that exceeds the budget does not evict the others."""
         ledger = make_ledger("a", max_answer_bytes=12)
         small, large = make_key(ledger, "1"), make_key(ledger, "2")
         run(ledger, small)
-        attempt = ledger.begin(CUSTOMER, large, PRINT, 0).attempt
+        attempt = ledger.begin(CUSTOMER, large, FINGERPRINT, 0).attempt
         ledger.mark_dispatched(attempt, 0)
         ledger.mark_finished(attempt, StoredAnswer(status=200, body=b"x" * 13), 0)
         self.assertEqual(begin(ledger, large), AnswerNotKept())
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
@@ -13,7 +13,7 @@
 from hemlockhoist.decisions.ledger.tests.ledgers import (
     ANSWER,
     CUSTOMER,
-    OTHER_PRINT,
+    OTHER_FINGERPRINT,
     begin,
     look_up,
     make_key,
@@ -29,9 +29,9 @@
 
     def test_repeat_at_another_host_gets_the_first_answer(self):
         """
-        A booking was answered by host a, but the connection broke before the caller had
-        the answer; its client goes to host b. b asks a and replays the answer, and can
-        do so again without a.
+        Host a answered a booking, but the connection broke before the caller received
+        the answer, and its client repeats the call at host b. b queries a and replays
+        the answer; the next time it replays it without a.
         """
         run(self.a, self.key)
         asked = begin(self.b, self.key)
@@ -39,10 +39,10 @@
         self.assertEqual(look_up(self.b, self.a, asked.lookup), Replay(ANSWER))
         self.assertEqual(begin(self.b, self.key), Replay(ANSWER))
 
-    def test_unseen_key_is_withdrawn_for_the_asker(self):
+    def test_unseen_key_is_granted_to_the_requester(self):
         """
-        The caller could not reach host a at all and goes to host b with a's key. a has
-        never seen it: b may run it, and a's callers are pointed to b for good.
+        The caller can not reach host a and uses a's key at host b. a has never seen the
+        key, so b may run it, and from then on callers at a are directed to b.
         """
         proceed = look_up(self.b, self.a, begin(self.b, self.key).lookup)
         self.b.mark_dispatched(proceed.attempt, 0)
@@ -55,8 +55,8 @@
 
     def test_both_hosts_at_once_run_it_once(self):
         """
-        The client sends one booking to hosts a and b at the same time. Whichever way
-        the messages cross, one host proceeds and the other waits.
+        A client sends one booking to hosts a and b at the same time. In whatever order
+        the messages arrive, one host proceeds and the other waits.
         """
         asked = begin(self.b, self.key)
         self.assertIsInstance(begin(self.a, self.key), Proceed)
@@ -67,19 +67,19 @@
         self.assertIsInstance(begin(self.a, other), WithdrawnTo)
         self.assertIsInstance(self.b.on_lookup_reply(reply, 0), Proceed)
 
-    def test_two_askers_get_one_right(self):
-        """Of two hosts that ask for an unseen key only the first may dispatch it."""
+    def test_one_of_two_requesters_gets_the_right(self):
+        """Of two hosts that query an unseen key, only the first may dispatch it."""
         asked_b, asked_c = begin(self.b, self.key), begin(self.c, self.key)
         self.assertIsInstance(look_up(self.b, self.a, asked_b.lookup), Proceed)
         moved = look_up(self.c, self.a, asked_c.lookup)
         self.assertEqual(moved.incarnation, "b")
         self.assertEqual(look_up(self.c, self.b, moved.lookup), InProgress())
 
-    def test_lost_grant_is_given_again_to_the_same_wish(self):
+    def test_lost_grant_is_repeated_to_the_same_query(self):
         """
-        Host a withdraws a key for host b and the reply is lost; b tells its caller
-        "outcome unknown". On the next try a gives the same grant again, and the delayed
-        first reply then changes nothing.
+        Host a grants a key to host b and the reply is lost, so b returns "outcome
+        unknown" to its caller. On the next call a sends the same grant again. The
+        delayed first reply then changes nothing.
         """
         lost = self.a.on_lookup(begin(self.b, self.key).lookup, 0)
         self.assertEqual(self.b.abandon_lookup(CUSTOMER, self.key, 0), OutcomeUnknown())
@@ -89,17 +89,17 @@
         self.assertEqual(begin(self.b, self.key), InProgress())
 
     def test_late_grant_serves_the_next_call(self):
-        """A grant that comes after its caller has gone is used by the next call."""
+        """A grant that arrives after its caller has gone serves the next call."""
         late = self.a.on_lookup(begin(self.b, self.key).lookup, 0)
         self.b.abandon_lookup(CUSTOMER, self.key, 0)
         self.assertIsNone(self.b.on_lookup_reply(late, 0))
         self.assertIsInstance(begin(self.b, self.key), Proceed)
 
-    def test_asker_that_forgot_is_not_granted_again(self):
+    def test_requester_without_its_record_gets_no_second_grant(self):
         """
-        Host b ran a withdrawn key and its record has gone with the epochs, while host
-        a's clock stood still. a still says "withdrawn for b"; if b took that for a
-        permission, the booking would run twice.
+        Host b ran a key that was granted to it and has dropped the record with its
+        epoch, while host a's clock stood still and a still has b as the holder. If b
+        treated that as permission to dispatch, the booking would run twice.
         """
         proceed = look_up(self.b, self.a, begin(self.b, self.key).lookup)
         self.b.mark_dispatched(proceed.attempt, 0)
@@ -108,11 +108,11 @@
         asked = begin(self.b, self.key)
         self.assertEqual(look_up(self.b, self.a, asked.lookup), OutcomeUnknown())
 
-    def test_right_returns_to_its_owner_and_old_questions_do_not_move_it(self):
+    def test_delayed_lookup_does_not_move_a_returned_right(self):
         """
-        The right goes from a to b and, when b's request was refused, back to a. A
-        delayed copy of b's first question then reaches a, which must not give the right
-        to a wish that is closed.
+        The right goes from a to b and, after b's request was refused, back to a. Then a
+        delayed copy of b's first lookup reaches a, which must not grant the right to a
+        closed query.
         """
         first = begin(self.b, self.key).lookup
         attempt = look_up(self.b, self.a, first).attempt
@@ -122,11 +122,11 @@
         self.assertIsNone(look_up(self.b, self.a, first))
         self.assertIsInstance(begin(self.a, self.key), Proceed)
 
-    def test_stale_never_ran_is_not_believed(self):
+    def test_stale_never_ran_reply_is_ignored(self):
         """
-        Host a was full when b asked, so nothing ran. That reply is delayed; the key runs
-        at a meanwhile. When the old reply arrives for b's next caller, "not run" would
-        be untrue.
+        Host a was full when b queried it, so nothing ran. While that reply is delayed,
+        the key runs at a. When the stale reply arrives during b's next lookup, "not
+        run" is no longer true.
         """
         self.a = make_ledger("a", max_records=1)
         filler = begin(self.a, make_key(self.a, "9")).attempt
@@ -139,11 +139,11 @@
         self.assertIsNone(self.b.on_lookup_reply(stale, 0))
         self.assertEqual(look_up(self.b, self.a, asked.lookup), Replay(ANSWER))
 
-    def test_full_holder_withdraws_nothing(self):
+    def test_full_holder_grants_nothing(self):
         """
-        Host a has no room to record that it passes a key on, and tells b so; before b
-        hears it, a has room again and runs another copy of the call. Were b to say "not
-        run", the caller would book anew under another key.
+        Host a has no room to record the transfer of a key and replies so to b. Before
+        the reply arrives, a has room again and runs another copy of the call. If b
+        reported "not run", the caller would book again under another key.
         """
         self.a = make_ledger("a", max_records=1)
         filler = begin(self.a, make_key(self.a, "9")).attempt
@@ -153,57 +153,58 @@
         run(self.a, key)
         self.assertEqual(self.b.on_lookup_reply(reply, 0), InProgress())
 
-    def test_full_host_says_not_run_of_its_own_keys_only(self):
+    def test_full_host_reports_not_run_for_its_own_keys_only(self):
         """
-        A booking ran at host a; its repeat comes to b, which has no room to ask for it.
-        "Not run" would send the caller to book anew.
+        A booking ran at host a. Its repeat reaches b, which has no room for the record
+        of a lookup. "Not run" would make the caller book again under another key.
         """
         run(self.a, self.key)
         full = make_ledger("b", max_records=0)
         self.assertEqual(begin(full, self.key), InProgress())
         self.assertEqual(begin(full, make_key(full)), Full())
 
-    def test_other_body_is_refused_across_hosts(self):
-        """A key that stands for another request at its owner is refused."""
+    def test_different_body_is_refused_across_hosts(self):
+        """A key that identifies a different request at its holder is refused."""
         run(self.a, self.key)
-        asked = begin(self.b, self.key, 0, OTHER_PRINT)
+        asked = begin(self.b, self.key, 0, OTHER_FINGERPRINT)
         self.assertEqual(look_up(self.b, self.a, asked.lookup), Reused())
 
-    def test_wrong_body_at_an_asking_host_does_not_bind_the_key(self):
+    def test_wrong_body_at_a_requesting_host_does_not_bind_the_key(self):
         """
         A booking ran at host a, which died. A call with a wrong body under the same key
-        came to host c and was told "unknown". The right call then comes to c: "another
-        request, not run" would be untrue, for it ran at a.
+        reached host c and got "unknown". When the correct call then reaches c, "another
+        request, not run" would be wrong, because it ran at a.
         """
-        begin(self.c, self.key, 0, OTHER_PRINT)
+        begin(self.c, self.key, 0, OTHER_FINGERPRINT)
         self.c.abandon_lookup(CUSTOMER, self.key, 0)
         self.assertIsInstance(begin(self.c, self.key), OwnedBy)
 
-    def test_refused_repeat_leaves_the_withdrawn_key_withdrawn(self):
+    def test_refused_repeat_keeps_the_record_of_a_transferred_key(self):
         """
-        Host a passed a key on to b, where the booking ran. A repeat with a wrong body
-        comes to a, which asks b and refuses it; then the right call comes to a. Had a
-        dropped its record with the refusal, the hall would be booked twice.
+        Host a transferred a key to b, where the booking ran. A repeat with a wrong body
+        reaches a, which queries b and refuses it, and then the correct call reaches a.
+        If a had dropped its record with the refusal, the hall would be booked twice.
         """
         attempt = look_up(self.b, self.a, begin(self.b, self.key).lookup).attempt
         self.b.mark_dispatched(attempt, 0)
-        asked = begin(self.a, self.key, 0, OTHER_PRINT)
+        asked = begin(self.a, self.key, 0, OTHER_FINGERPRINT)
         self.assertEqual(look_up(self.a, self.b, asked.lookup), Reused())
         self.assertIsInstance(begin(self.a, self.key), WithdrawnTo)
 
     def test_body_of_a_waiting_call_does_not_bind_the_key(self):
         """
-        A call waits at host a while one with another body asks from b. The first may
-        yet be refused and the second run, so that b must not say "not run" now.
+        A call waits at host a while b queries a for a call with a different body. The
+        first call may still be refused and the second run, so b must not report "not
+        run" yet.
         """
         begin(self.a, self.key)
-        asked = begin(self.b, self.key, 0, OTHER_PRINT)
+        asked = begin(self.b, self.key, 0, OTHER_FINGERPRINT)
         self.assertEqual(look_up(self.b, self.a, asked.lookup), InProgress())
 
-    def test_restart_at_the_same_address_knows_nothing(self):
+    def test_restarted_host_answers_unknown_for_earlier_keys(self):
         """
-        Host a dies after sending a booking and starts again at the same address. The
-        new process has no record; "no record" must not become a second booking.
+        Host a dies after it dispatched a booking and restarts at the same address. The
+        new process has no record, which must not lead to a second booking.
         """
         restarted = make_ledger("a2")
         asked = begin(self.b, self.key)
@@ -213,10 +214,10 @@
         unknown = restarted.abandon_lookup(CUSTOMER, self.key, 0)
         self.assertEqual(unknown, OutcomeUnknown())
 
-    def test_dead_owner_is_unknown_and_second_caller_waits(self):
+    def test_dead_holder_gives_unknown_and_second_caller_waits(self):
         """
-        The owner is dead: the first caller at b waits for the reply, a second one is
-        told "in progress", and both end as "outcome unknown", never as "not run".
+        The holder is dead. The first caller at b waits for the reply, a second one gets
+        "in progress", and both end as "outcome unknown", never as "not run".
         """
         begin(self.b, self.key)
         self.assertEqual(begin(self.b, self.key), InProgress())
--- a/libs/decisions/src/hemlockhoist/decisions/policy.py
+++ b/libs/decisions/src/hemlockhoist/decisions/policy.py
@@ -1,34 +1,35 @@
-"""The interface between placing a request and moving versions."""
+"""The interface between the scheduler and the controllers of version moves."""
 
 
 class VersionPolicy:
-    """Tells the scheduler which versions may serve a request; this one: any.
+    """Selects the versions that may serve a request; this base class allows all.
 
-    A pool's scheduler asks before each grant and reports each grant and outcome.
-    Shares are counted from these reports, never drawn.
+    The scheduler of a pool queries the policy before each grant and reports every grant
+    and outcome to it. Shares of versions are counted from these reports; they are never
+    drawn at random.
     """
 
     __slots__ = ()
 
     def candidates(self, request, versions, now_ms):
-        """Return the versions that may serve ``request``, preferred first.
+        """Return the versions that may serve ``request``, in order of preference.
 
         Parameters
         ==========
         request : WorkRequest
         versions : sequence of str
-            Versions that have an upstream with a free place now, sorted.
+            Versions with an upstream that has a free slot now, sorted.
         now_ms : int
 
         Returns
         =======
         tuple of str
-            Empty when the request has to wait.
+            Empty if the request has to wait.
         """
         return tuple(versions)
 
     def on_grant(self, request, version, now_ms, upstream_id=""):
-        """Count a grant of ``version``.
+        """Count a grant on an upstream of ``version``.
 
         Parameters
         ==========
@@ -36,17 +37,17 @@
         version : str
         now_ms : int
         upstream_id : str, optional
-            Lets one bad upstream be told from a bad version.
+            Distinguishes a single faulty upstream from a faulty version.
         """
 
     def on_adopt(self, request, version, now_ms, upstream_id=""):
-        """Count a grant of a former home that is still in flight."""
+        """Count a grant that a previous home issued and that is still in flight."""
 
     def on_outcome(self, request, version, outcome, now_ms, upstream_id=""):
-        """Take the outcome of a granted request as evidence."""
+        """Record the outcome of a granted request as evidence."""
 
     def on_forget(self, request, version, now_ms):
-        """Stop counting a grant whose outcome nobody will report.
+        """Stop counting a grant whose outcome will not be reported.
 
-        Its entry host has died, or has kept it past all deadlines.
+        Its entry host has died or has held the grant past every deadline.
         """
--- a/libs/decisions/src/hemlockhoist/decisions/work.py
+++ b/libs/decisions/src/hemlockhoist/decisions/work.py
@@ -1,4 +1,4 @@
-"""The records that decisions are made on: requests, upstreams, grants, outcomes."""
+"""The records that decisions work on: requests, upstreams, grants and outcomes."""
 
 import enum
 
@@ -8,53 +8,55 @@
 
 
 class WorkRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a home needs to know about a request to admit, queue and place it.
+    """A request as its home sees it: what is needed to admit, queue and place it.
 
     Parameters
     ==========
     request_id : str
         Unique over all entry hosts.
     route : str
-        What version evidence is kept apart by: the customer-visible path and method.
+        The path and method that the customer sees. Evidence on versions is kept
+        separately for each route.
     customer : str
     tier_rank : int
-        0 is the highest.
+        0 is the highest tier.
     weight : int
-        The customer's weight inside its tier.
+        The customer's weight within its tier.
     max_in_flight : int
-        The customer's limit in this pool.
+        The customer's limit of requests in flight in this pool.
     idempotent : bool
     prompt_tokens : int
-        Counted or estimated by the entry host; 0 for plain services.
+        Length of the prompt, counted or estimated by the entry host; 0 for plain
+        services.
     output_tokens : int
-        Expected.
+        Expected length of the answer.
     prefix_hashes : tuple of int
         Chained hashes of the prompt's leading blocks, shortest prefix first.
     prefix_tokens : tuple of int
-        Of each of these blocks; empty where all are of one size.
+        Tokens in each of these blocks; empty if all blocks have the same size.
     deadline_ms, first_token_by_ms : int
-        On the home's clock.
+        Deadlines of the whole answer and of its first token, on the home's clock.
     waits_until_ms : int or None
-        On the home's clock: when its caller leaves if nothing of the answer has come;
-        None where it waits to the deadline.
+        Time on the home's clock at which the caller abandons the request if no part of
+        the answer has arrived; None if it waits until the deadline.
     max_gap_ms : int
-        The longest pause between events of an answer that is in time; 0 where none is
-        declared.
+        Longest gap between events of an answer that still counts as in time; 0 if no
+        limit is declared.
     entry_host : str
-        Host id of the owner of the request.
+        Id of the host that owns the request.
     failure_domain : str
-        Of the entry host.
+        Failure domain of the entry host.
     attempt : int
-        1 for the first send of the request.
+        Number of the attempt; 1 for the first dispatch of the request.
     units : int
-        What the request counts as against its customer's allowance; 0 where that was
-        taken with an earlier grant.
+        Units that the request consumes of its customer's quota; 0 if an earlier grant
+        has already consumed them.
     is_new : bool
-        Whether this is the first that any home hears of the request.
+        Whether no home has received this request before.
     avoid : tuple of str
-        Upstreams that failed the request before.
+        Upstreams on which an earlier attempt failed.
     regions : tuple of str
-        Where its upstream has to be; empty for anywhere.
+        Regions in which the upstream must be; empty for any region.
     """
 
     request_id: str
@@ -82,9 +84,10 @@
 
 
 class UpstreamState(enum.Enum):
-    """What the platform's list, the upstream itself, or an operator says of it.
+    """State of an upstream according to the platform's list, itself or an operator.
 
-    ``EVACUATED``: it is well, and its failure domain is to get no work.
+    ``EVACUATED`` means that the upstream is healthy but its failure domain must not
+    receive work.
     """
 
     LIVE = "live"
@@ -93,7 +96,7 @@
 
 
 class Upstream(msgspec.Struct, frozen=True, kw_only=True):
-    """A model engine or plain service process.
+    """A process that serves requests: a model engine or a plain service.
 
     Parameters
     ==========
@@ -105,13 +108,13 @@
         Hardware generation.
     state : UpstreamState
     slots : int
-        Requests that it says it works on at once; 0 where it does not say.
+        Number of requests that it declares to process concurrently; 0 if undeclared.
     started_unix_ms : int
-        Tells its runs under one id apart; 0 where it does not say.
+        Start time, which distinguishes its runs under one id; 0 if unknown.
     listed_version : int
-        Of its entry in the platform's list; a newer one says more.
+        Version of its row in the platform's list; a higher version supersedes a lower.
     cold_until_ms : int
-        On this host's clock: until when it warms up; 0 where it is warm.
+        Time on this host's clock at which its warm-up ends; 0 if it is warm.
     """
 
     upstream_id: str
@@ -129,16 +132,16 @@
 
 
 def evacuated_upstream(upstream):
-    """Return a live upstream as one that gets no work; a leaving one as it is."""
+    """Return ``upstream`` marked as evacuated if it is live, otherwise unchanged."""
     if upstream.state is not UpstreamState.LIVE:
         return upstream
     return msgspec.structs.replace(upstream, state=UpstreamState.EVACUATED)
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """An upstream's own, late account of its load.
+    """Load that an upstream reports about itself, with a delay.
 
-    ``age_ms`` says how old it was when it was read.
+    ``age_ms`` is the age of the report when it was read.
     """
 
     upstream_id: str
@@ -156,9 +159,9 @@
     grant_id : str
         Unique over all homes and their incarnations.
     expires_ms : int
-        On the clock of the home that gave it; messages carry the remainder.
+        Expiry on the clock of the issuing home; messages carry the remaining time.
     is_cold : bool
-        Whether it was given as one of the few that a cold upstream may get.
+        Whether the grant counts towards the limit of a cold upstream.
     """
 
     grant_id: str
@@ -171,17 +174,17 @@
 
 
 def new_grant_id(incarnation, pool, number):
-    """Return a grant's id, unique over all homes and their runs."""
+    """Return the id of a grant, unique over all homes and their incarnations."""
     return f"{incarnation}:{pool}:{number}"
 
 
 def granting_incarnation(grant_id):
-    """Return the incarnation of the home that gave a grant."""
+    """Return the incarnation of the home that issued a grant."""
     return grant_id.partition(":")[0]
 
 
 class OutcomeKind(enum.Enum):
-    """How a dispatched (or granted and never dispatched) request ended."""
+    """How a granted request ended, whether or not it was dispatched."""
 
     SUCCESS = "success"
     FAILED = "failed"
@@ -193,17 +196,18 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """What an entry host reports when it gives a grant back.
+    """Result that an entry host reports when it releases a grant.
 
     Parameters
     ==========
     kind : OutcomeKind
     first_token_ms, total_ms : int
-        From dispatch; -1 where it never came.
+        Time from dispatch to the first token and to the end of the answer; -1 if it
+        was never reached.
     output_tokens, cached_tokens : int
-        As the engine reported.
+        Counts that the engine reported.
     token_us : int
-        The usual time of one output token, in microseconds; -1 where it is not known.
+        Typical time per output token in microseconds; -1 if unknown.
     """
 
     kind: OutcomeKind
@@ -215,16 +219,17 @@
 
 
 class Granted(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: the request may be dispatched under the grant."""
+    """Decision that the request may be dispatched under the grant."""
 
     request: WorkRequest
     grant: Grant
 
 
 class Rejected(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: the request is refused; not a byte of it was sent.
+    """Decision that the request is refused; no byte of it was sent to an upstream.
 
-    ``retry_after_ms`` is worked out from the queue, never a held-back answer.
+    ``retry_after_ms`` is computed from the state of the queue. The refusal is sent at
+    once; it is never delayed instead.
     """
 
     request: WorkRequest
