--- a/libs/decisions/src/hemlockhoist/decisions/configuration/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Which declarations are in force here, and how a new version reaches every host."""
+"""The declarations in force at a host, and their propagation to every host."""
 
 from hemlockhoist.decisions.configuration.acknowledgements import (
     AcknowledgementLog,
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
@@ -1,7 +1,7 @@
-"""Which hosts have a version in force.
+"""Acknowledgements of the hosts that have a version in force.
 
-Each host reports to one of a few collectors, so that no collector hears all hosts; a
-collector's summary names the first few that lag.
+Each host reports to one of a few collectors, so that no collector receives the reports
+of all hosts. The summary of a collector lists the first few hosts that lag.
 """
 
 import msgspec
@@ -12,18 +12,18 @@
 
 
 class InForceReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether a version is in force everywhere.
+    """Report on the hosts at which a version is in force.
 
     Parameters
     ==========
     version : int
     confirmed : int
-        Hosts that have it or a later one in force.
+        Number of hosts that have this or a later version in force.
     lagging : tuple of str
-        Addresses of the first few live hosts that have not said so.
+        Addresses of the first few live hosts that have not confirmed it.
     lagging_count : int
     unreported_collectors : tuple of str
-        Collectors without a summary of this version.
+        Collectors that have sent no summary of this version.
     """
 
     version: int
@@ -39,12 +39,12 @@
 
 
 class AcknowledgementLog:
-    """What a collector knows, and the summaries of the others.
+    """Acknowledgements received by this host, and summaries of all collectors.
 
     Parameters
     ==========
     address : str
-        Of this host.
+        Address of this host.
     """
 
     __slots__ = ("_acks", "_address", "_summaries")
@@ -55,7 +55,7 @@
         self._summaries = {}
 
     def on_ack(self, ack):
-        """Take a host's acknowledgement; a late one changes nothing."""
+        """Record a host's acknowledgement; an outdated one changes nothing."""
         known = self._acks.get(ack.address)
         same_run = known is not None and known.incarnation == ack.incarnation
         if same_run and known.version >= ack.version:
@@ -63,13 +63,13 @@
         self._acks[ack.address] = ack
 
     def on_summary(self, summary):
-        """Take another collector's summary."""
+        """Record the summary of a collector."""
         known = self._summaries.get(summary.address)
         if known is None or summary.version >= known.version:
             self._summaries[summary.address] = summary
 
     def keep_only(self, addresses):
-        """Forget the hosts that are gone."""
+        """Drop the acknowledgements of all hosts not in ``addresses``."""
         wanted = set(addresses)
         self._acks = {key: v for key, v in self._acks.items() if key in wanted}
 
@@ -80,8 +80,8 @@
         ==========
         version : int
         members : iterable of Member
-            The live hosts that report to this one. A host whose present run has not
-            acknowledged lags, whatever the run before it said.
+            Live hosts that report to this one. A host whose current incarnation has not
+            acknowledged lags, regardless of what its previous incarnation acknowledged.
         """
         lagging = []
         confirmed = 0
@@ -101,20 +101,20 @@
         )
 
     def report(self, version, collectors):
-        """Return the ``InForceReport`` from the collectors' summaries."""
-        heard = []
+        """Return the ``InForceReport`` computed from the collectors' summaries."""
+        reported = []
         unreported_collectors = []
         for address in collectors:
             summary = self._summaries.get(address)
             if summary is None or summary.version < version:
                 unreported_collectors.append(address)
             else:
-                heard.append(summary)
-        lagging = [address for item in heard for address in item.lagging]
+                reported.append(summary)
+        lagging = [address for item in reported for address in item.lagging]
         return InForceReport(
             version=version,
-            confirmed=sum(item.confirmed for item in heard),
+            confirmed=sum(item.confirmed for item in reported),
             lagging=tuple(lagging[:MAX_LAGGING_LISTED]),
-            lagging_count=sum(item.lagging_count for item in heard),
+            lagging_count=sum(item.lagging_count for item in reported),
             unreported_collectors=tuple(unreported_collectors),
         )
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
@@ -1,7 +1,8 @@
-"""Retries towards the store: jittered, bounded, and within a budget.
+"""Backoff of reads of the store, with jitter, a bounded delay and a retry budget.
 
-Made for a store outage that ends while every host waits for it: without a random delay
-all hosts ask in the same moment, and without a budget their retries keep the store down.
+When a store outage ends while every host waits for the store, hosts without a random
+delay would all read at the same moment, and retries without a budget would keep the
+store down.
 """
 
 BASE_MS = 500
@@ -11,58 +12,59 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of first attempts, and a trickle beside.
+    """Token bucket that allows retries as a share of first attempts and over time.
 
     Parameters
     ==========
     share_permille : int
-        Retries earned by a thousand first attempts.
+        Retries allowed per thousand first attempts.
     max_retries : int
-        Retries that can be saved up.
+        Maximum number of retries that can accumulate.
     refill_ms : int
-        Time that earns one retry, so that a host without first attempts recovers.
+        Time in which one retry accumulates, so that a host without first attempts
+        recovers.
     """
 
-    __slots__ = ("_last_ms", "_max", "_refill_ms", "_share_permille", "_tokens")
+    __slots__ = ("_last_ms", "_max_tokens", "_refill_ms", "_share_permille", "_tokens")
 
     def __init__(self, share_permille=100, max_retries=5, refill_ms=10_000):
         self._share_permille = share_permille
-        self._max = max_retries * _TOKENS_PER_RETRY
+        self._max_tokens = max_retries * _TOKENS_PER_RETRY
         self._refill_ms = refill_ms
-        self._tokens = self._max
+        self._tokens = self._max_tokens
         self._last_ms = None
 
     def on_attempt(self, now_ms):
         """Count a first attempt."""
-        self._earn(self._share_permille, now_ms)
+        self._refill(self._share_permille, now_ms)
 
     def try_retry(self, now_ms):
-        """Return whether a retry is allowed, and spend it."""
-        self._earn(0, now_ms)
+        """Return whether a retry is allowed; if so, consume it."""
+        self._refill(0, now_ms)
         if self._tokens < _TOKENS_PER_RETRY:
             return False
         self._tokens -= _TOKENS_PER_RETRY
         return True
 
-    def _earn(self, tokens, now_ms):
+    def _refill(self, tokens, now_ms):
         last_ms = now_ms if self._last_ms is None else self._last_ms
         self._last_ms = max(now_ms, last_ms)
         elapsed_ms = self._last_ms - last_ms
         tokens += elapsed_ms * _TOKENS_PER_RETRY // self._refill_ms
-        self._tokens = min(self._max, self._tokens + tokens)
+        self._tokens = min(self._max_tokens, self._tokens + tokens)
 
 
 class StoreBackoff:
-    """When the store may be asked next.
+    """Schedules the reads of the store.
 
-    The delay is drawn from the whole range up to a doubling bound ("full jitter"), so
-    that hosts that failed together do not come back together. Without budget for a
-    retry the bound is the longest at once.
+    The delay is drawn from the whole range up to a bound that doubles with each failure
+    ("full jitter"), so that hosts that failed at the same time do not retry at the same
+    time. If the budget does not allow a retry, the bound is the longest one at once.
 
     Parameters
     ==========
     interval_ms : int
-        Between reads while the store answers.
+        Interval between reads while the store answers.
     rng : random.Random
     """
 
@@ -76,13 +78,13 @@
         self._due_ms = None
 
     def is_due(self, now_ms, first_delay_ms=0):
-        """Return whether to ask now; the next time is then drawn at once.
+        """Return whether to read now; if so, draw the time of the next read.
 
         Parameters
         ==========
         now_ms : int
         first_delay_ms : int
-            Bound of the random delay of the very first read.
+            Bound of the random delay before the first read.
         """
         if self._due_ms is None:
             self._due_ms = now_ms + self._rng.randrange(first_delay_ms + 1)
@@ -94,11 +96,11 @@
         return True
 
     def on_success(self):
-        """Go back to the plain interval."""
+        """Return to the regular interval."""
         self._failures = 0
 
     def on_failure(self, now_ms):
-        """Wait longer, by a random delay."""
+        """Schedule the next read after a longer random delay."""
         self._failures = min(_MAX_DOUBLINGS, self._failures + 1)
         if not self._budget.try_retry(now_ms):
             self._failures = _MAX_DOUBLINGS
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/content.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/content.py
@@ -1,13 +1,13 @@
-"""How declarations travel from host to host: whole, or as changed sections."""
+"""Encoding of declarations for other hosts: in full or as changed sections."""
 
 from hemlockhoist.messages.configuration import ConfigurationContent
 
 
 class FullContent:
-    """Ships whole declarations.
+    """Sends declarations in full.
 
-    A subclass may ship changes instead, where it knows the receiver's version; it falls
-    back to the whole where it does not.
+    A subclass may send only the changes if it has the receiver's version, and falls
+    back to the full declarations otherwise.
     """
 
     __slots__ = ()
@@ -25,11 +25,12 @@
         ==========
         content : ConfigurationContent
         current : Declarations
-            What this host has.
+            Declarations of this host.
 
         Returns
         =======
         Declarations or None
-            None when the changes do not apply: the whole has to be asked for.
+            None if the changes do not apply and the full declarations have to be
+            requested.
         """
         return content.declarations
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/exchange.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/exchange.py
@@ -1,4 +1,4 @@
-"""Taking peers' messages about the configuration."""
+"""Handlers of peers' messages about the configuration."""
 
 import functools
 
@@ -15,12 +15,13 @@
     HaltedVersions,
 )
 
-# A request that was not answered in this time is made again, of whoever tells next.
+# A request not answered within this time is sent again, to the next peer whose digest
+# shows a newer version.
 REQUEST_TIMEOUT_MS = 1_000
 
 
 def collector_of(address, collectors):
-    """Return the collector that ``address`` reports to, or None when there is none."""
+    """Return the collector that ``address`` reports to, or None if there is none."""
     if not collectors:
         return None
     return max(
@@ -31,7 +32,7 @@
 
 @functools.singledispatch
 def respond(message, state, now_ms):
-    """Return the ``Outgoing`` messages that a peer's message asks for."""
+    """Process a peer's message and return the resulting ``Outgoing`` messages."""
     raise NotImplementedError(type(message))
 
 
@@ -39,7 +40,7 @@
 def _(message: ConfigurationDigest, state, now_ms):
     outgoing = []
     if message.version > state.version:
-        outgoing += _request(state, message, now_ms)
+        outgoing += _request_content(state, message, now_ms)
     if message.is_current and message.reply_to:
         state.record_confirmation(message.reply_to, message.version)
     if message.wants_reply or message.version < state.version:
@@ -50,9 +51,9 @@
     return outgoing
 
 
-def _request(state, message, now_ms):
-    version, asked_ms = state.requested
-    if message.version <= version and now_ms - asked_ms < REQUEST_TIMEOUT_MS:
+def _request_content(state, message, now_ms):
+    version, requested_ms = state.requested
+    if message.version <= version and now_ms - requested_ms < REQUEST_TIMEOUT_MS:
         return []
     state.requested = (message.version, now_ms)
     request = ConfigurationRequest(address=state.address, have_version=state.version)
@@ -70,8 +71,8 @@
 @respond.register
 def _(message: ConfigurationContent, state, now_ms):
     if message.version <= state.version:
-        # Failure: a peer that was cut off offers what it has, or the message was
-        # overtaken by a later one. Taking it would revert the configuration here.
+        # The peer was partitioned and sends an old version, or a later message arrived
+        # first. Applying this one would revert the configuration here.
         return []
     declarations = state.content.unpack(message, state.current)
     if declarations is None:
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/halts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/halts.py
@@ -1,15 +1,15 @@
-"""Versions that were taken back: a set that only grows, merged from any peer."""
+"""Grow-only set of the versions that were rolled back, merged from any peer."""
 
 import msgspec
 import xxhash
 
 
 class HaltedSet:
-    """A grow-only set of ``HaltedVersion`` with a hash to compare it by.
+    """Grow-only set of ``HaltedVersion`` with a hash for comparison.
 
-    It needs no store and no order: whichever host sees badness adds to it, and merging
-    in any order, late or twice gives the same set. A new move of the same version has a
-    new move id, so an old entry never blocks it.
+    It needs neither the store nor an order of messages: any host that finds a version
+    faulty adds it, and merging in any order, late or twice gives the same set. A new
+    move of the same version has a new move id, so an old entry never blocks it.
     """
 
     __slots__ = ("_halted", "hash")
@@ -25,7 +25,7 @@
         return halted in self._halted
 
     def add(self, halted):
-        """Add one; return whether it is new."""
+        """Add a halted version and return whether it is new."""
         if halted in self._halted:
             return False
         self._halted.add(halted)
@@ -34,7 +34,7 @@
         return True
 
     def merge(self, items):
-        """Add several; return a tuple of the new ones."""
+        """Add several halted versions and return a tuple of the new ones."""
         return tuple(item for item in items if self.add(item))
 
     def items(self):
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
@@ -1,8 +1,9 @@
-"""The declarations in force at this host, and their way from host to host.
+"""The declarations in force at this host, and their propagation between hosts.
 
-A few hosts read the store's row; each host that takes a higher version tells a few
-others at once, and one random peer each second, which reaches all of a large fleet in a
-few rounds and mends every loss. Only a higher version is ever taken.
+A few hosts read the store's row. Each host that applies a higher version sends a digest
+to a few peers at once, and to one random peer every second. This gossip reaches all of
+a large fleet in a few rounds and repairs every loss. Only a higher version is ever
+applied.
 """
 
 import random
@@ -23,42 +24,44 @@
     HaltedVersions,
 )
 
-# Enough for a rumour to reach nearly all of 1,300 hosts in five or six steps; the
-# digest of each second reaches the rest.
+# Enough for a new version to reach nearly all of 1,300 hosts in five or six rounds of
+# gossip; the digest sent every second reaches the rest.
 FANOUT = 4
 DIGEST_INTERVAL_MS = 1_000
 STORE_READ_MS = 2_000
-# Readers of the store, and collectors of acknowledgements: with one of them gone and
-# one cut off, one is left.
+# Number of hosts that read the store and collect acknowledgements: if one of them is
+# gone and one is partitioned, one is left.
 READER_COUNT = 3
 ACK_INTERVAL_MS = 15_000
-# A host that was not scheduled for so long may have missed a change that was in force
-# everywhere before it woke.
+# A host that was not scheduled for this long may have missed a change that came into
+# force everywhere before it resumed.
 FROZEN_MS = 5_000
-# How long such a host waits for a peer to tell; with no peer it serves what it has.
+# How long such a host waits for a peer's confirmation. Without one it then serves the
+# version that it has.
 CONFIRM_TIMEOUT_MS = 3_000
-# A new host leaves the store to the readers first, and then draws its turn from a span
-# that grows with the fleet: 1,300 hosts that start together ask at 50 reads a second.
+# A new host first leaves the store to the readers, and then draws the time of its read
+# from a span that grows with the fleet: 1,300 hosts that start together cause 50 reads
+# per second.
 FIRST_WAIT_MS = 5_000
 FIRST_SPREAD_MS_PER_HOST = 20
-# After a collector changed, all of its hosts report anew, spread over this time.
+# After a change of a collector, its hosts report again, spread over this time.
 REACK_SPREAD_MS = 3_000
 _NUMBER_BITS = 31
 
 
 class ConfigurationState:
-    """What this host has in force, what it has acknowledged, and whom it tells.
+    """Configuration state of a host: its declarations, acknowledgements and gossip.
 
     Parameters
     ==========
     address, incarnation : str
-        Of this host.
+        Address and incarnation of this host.
     invariants : hemlockhoist.base.InvariantLog
     rng : random.Random
-    content : WholeContent
-        Packs declarations for a peer.
+    content : FullContent
+        Encodes declarations for a peer.
     store_read_ms : int
-        Interval at which a reader looks at the store.
+        Interval between a reader's reads of the store.
     """
 
     __slots__ = (
@@ -69,15 +72,15 @@
         "_confirm_number",
         "_confirm_version",
         "_digest_due_ms",
+        "_digest_number",
+        "_last_read_ms",
         "_last_tick_ms",
-        "_number",
         "_peers",
-        "_read_ms",
-        "_reporting",
+        "_reporting_members",
+        "_resumed_ms",
         "_rng",
         "_started_ms",
         "_store",
-        "_woke_ms",
         "acknowledgements",
         "address",
         "content",
@@ -102,7 +105,7 @@
         self._acknowledged = 0
         self._peers = ()
         self._collectors = ()
-        self._reporting = ()
+        self._reporting_members = ()
         self._started_ms = None
         self._last_tick_ms = None
         self._confirm_by_ms = None
@@ -110,10 +113,11 @@
         self._confirm_version = None
         self._digest_due_ms = None
         self._ack_due_ms = None
-        self._woke_ms = 0
-        self._read_ms = 0
-        # Begins at random: an answer to the run before this one fits no question.
-        self._number = rng.getrandbits(_NUMBER_BITS)
+        self._resumed_ms = 0
+        self._last_read_ms = 0
+        # Starts at random, so that no reply to a previous incarnation matches a request
+        # of this one.
+        self._digest_number = rng.getrandbits(_NUMBER_BITS)
 
     @classmethod
     def from_config(
@@ -125,14 +129,14 @@
         content=None,
         store_read_ms=STORE_READ_MS,
     ):
-        """Return a state without declarations, which is not ready.
+        """Return a state without declarations, which is not yet ready.
 
         Parameters
         ==========
         address, incarnation : str
         invariants : hemlockhoist.base.InvariantLog
         seed : int or str
-        content : WholeContent, optional
+        content : FullContent, optional
         store_read_ms : int, optional
         """
         rng = random.Random(seed)
@@ -141,24 +145,24 @@
 
     @property
     def version(self):
-        """The version of the declarations that this host has; 0 for none."""
+        """Version of the declarations that this host has; 0 for none."""
         return self.current.version
 
     @property
     def acknowledged_version(self):
-        """The highest version that this host has said to have in force."""
+        """Highest version that this host has acknowledged to be in force."""
         return self._acknowledged
 
     def set_view(self, members, collectors, now_ms):
-        """Take the fleet as membership sees it.
+        """Update the fleet from the membership.
 
         Parameters
         ==========
         members : sequence of Member
             The live hosts.
         collectors : sequence of str
-            Addresses by rendezvous rank of "configuration"; the first ``READER_COUNT``
-            read the store and collect acknowledgements.
+            Addresses by rendezvous rank for "configuration". The first
+            ``READER_COUNT`` read the store and collect acknowledgements.
         now_ms : int
         """
         addresses = [item.address for item in members]
@@ -167,21 +171,23 @@
         if chosen != self._collectors:
             self._collectors = chosen
             self._ack_due_ms = now_ms + self._rng.randrange(REACK_SPREAD_MS)
-        self._reporting = ()
+        self._reporting_members = ()
         if self.address in chosen:
-            self._reporting = tuple(
+            self._reporting_members = tuple(
                 item
                 for item in members
                 if exchange.collector_of(item.address, chosen) == self.address
             )
-        self.acknowledgements.keep_only(item.address for item in self._reporting)
+        self.acknowledgements.keep_only(
+            item.address for item in self._reporting_members
+        )
 
     def is_ready(self, now_ms):
-        """Return whether requests may be served under what this host has."""
+        """Return whether requests may be served under this host's declarations."""
         return self.version > 0 and not self.is_confirming(now_ms)
 
     def is_confirming(self, now_ms):
-        """Return whether this host was frozen and waits to hear what it missed."""
+        """Return whether this host was frozen and waits for a peer's confirmation."""
         if self._is_frozen(now_ms):
             return True
         if self._confirm_by_ms is None or now_ms >= self._confirm_by_ms:
@@ -189,32 +195,34 @@
         return self._confirm_version is None or self.version < self._confirm_version
 
     def record_confirmation(self, number, version):
-        """Take an up-to-date peer's word that ``version`` is the newest it knows.
+        """Record that an up-to-date peer confirms ``version`` as the newest it knows.
 
-        Only the answer to a question asked since waking counts: messages that waited
-        in a socket during the freeze tell of the time before it.
+        Only replies to digests sent since the host resumed count: messages that waited
+        in a socket during the freeze describe the state before it.
         """
         if number >= self._confirm_number:
             known = self._confirm_version or 0
             self._confirm_version = max(known, version)
 
     def serving_declarations(self, now_ms):
-        """Return the declarations to decide a request by."""
+        """Return the declarations under which to decide a request."""
         self.invariants.check(
             Property.CONFIGURATION_NEVER_REVERTS,
             self.version >= self._acknowledged,
-            f"{self.address} serves {self.version} after {self._acknowledged}",
+            f"{self.address} serves version {self.version} "
+            f"after acknowledging {self._acknowledged}",
         )
         return self.current
 
     def apply_if_newer(self, declarations, now_ms):
-        """Take declarations if they are newer; return the ``Outgoing`` that tell it.
+        """Apply declarations if they are newer and return the ``Outgoing`` digests.
 
         Parameters
         ==========
         declarations : Declarations
-            From the store or a peer, or written by an operator here and confirmed by
-            the store: a write whose answer was lost is read back first.
+            Declarations from the store or a peer, or written by an operator at this
+            host and confirmed by the store. A write whose answer was lost is read back
+            first.
         now_ms : int
         """
         if declarations.version <= self.version:
@@ -226,20 +234,20 @@
             )
             return []
         self.current = declarations
-        return self._tell(self._choose_peers(), False, now_ms)
+        return self._digest_messages(self._sample_peers(), False, now_ms)
 
     def mark_in_force(self, version, now_ms):
-        """Note that ``version`` governs every decision from now on; return the ack."""
+        """Record that ``version`` governs all decisions from now on; return the ack."""
         self.invariants.check(
             Property.CONFIGURATION_NEVER_REVERTS,
             self._acknowledged <= version <= self.version,
-            f"{self.address} acknowledges {version} after {self._acknowledged}",
+            f"{self.address} acknowledges version {version} after {self._acknowledged}",
         )
         self._acknowledged = max(self._acknowledged, version)
         return self._acknowledge(now_ms)
 
     def halt(self, halted, now_ms):
-        """Halt a version at once, with the store up or down; return the messages.
+        """Halt a version and return the messages, whether or not the store is up.
 
         Parameters
         ==========
@@ -249,11 +257,11 @@
         return self.gossip_halted(self.halted.merge([halted]))
 
     def is_halted(self, pool, move_id, version):
-        """Return whether a version was taken back under a move."""
+        """Return whether a version was rolled back under a move."""
         return HaltedVersion(pool=pool, move_id=move_id, version=version) in self.halted
 
     def store_read_due(self, now_ms):
-        """Return whether this host is to read the store's row now."""
+        """Return whether this host has to read the store's row now."""
         if self._started_ms is None:
             self._started_ms = now_ms
         spread_ms = FIRST_SPREAD_MS_PER_HOST * len(self._peers)
@@ -263,49 +271,49 @@
             return False
         if not self._store.is_due(now_ms, spread_ms):
             return False
-        self._read_ms = now_ms
+        self._last_read_ms = now_ms
         return True
 
     def on_store_answer(self, declarations, now_ms):
-        """Take the row that was read; return the messages that follow."""
+        """Process the row that was read and return the resulting messages."""
         self._store.on_success()
-        if self._read_ms >= self._woke_ms:
+        if self._last_read_ms >= self._resumed_ms:
             self._confirm_by_ms = None
         return self.apply_if_newer(declarations, now_ms)
 
     def on_store_failure(self, now_ms):
-        """Note that the store did not answer; the next read waits longer."""
+        """Record that the store did not answer; the next read is delayed further."""
         self._store.on_failure(now_ms)
 
     def tick(self, now_ms):
-        """Do what is due; return the messages. Call at least once a second."""
-        woke = self._note_time(now_ms)
+        """Perform what is due and return the messages; call at least once a second."""
+        resumed = self._record_tick(now_ms)
         outgoing = []
-        if woke or now_ms >= self._digest_due_ms:
+        if resumed or now_ms >= self._digest_due_ms:
             self._digest_due_ms = now_ms + DIGEST_INTERVAL_MS
-            peers = self._choose_peers() if woke else self._choose_peers(1)
-            outgoing += self._tell(peers, True, now_ms)
+            peers = self._sample_peers() if resumed else self._sample_peers(1)
+            outgoing += self._digest_messages(peers, True, now_ms)
             outgoing += self._summarize()
         if self._acknowledged and now_ms >= (self._ack_due_ms or 0):
             outgoing += self._acknowledge(now_ms)
         return outgoing
 
     def on_message(self, message, now_ms):
-        """Take a peer's message; return the messages that follow."""
+        """Process a peer's message and return the resulting messages."""
         return exchange.respond(message, self, now_ms)
 
     def request_summaries(self):
-        """Return the messages that ask the collectors for their summaries."""
+        """Return the messages that request the collectors' summaries."""
         request = ConfigurationSummaryRequest(address=self.address)
         others = [item for item in self._collectors if item != self.address]
         return [Outgoing(address, request) for address in others]
 
     def summary(self):
-        """Return what this host knows as a collector."""
-        return self.acknowledgements.summarize(self.version, self._reporting)
+        """Return this host's summary as a collector."""
+        return self.acknowledgements.summarize(self.version, self._reporting_members)
 
     def report(self, version):
-        """Return the ``InForceReport`` on a version, as far as this host has heard."""
+        """Return the ``InForceReport`` on a version from the summaries received."""
         self._summarize()
         return self.acknowledgements.report(version, self._collectors)
 
@@ -314,7 +322,7 @@
         return ConfigurationDigest(
             address=self.address,
             version=self.version,
-            number=self._number,
+            number=self._digest_number,
             reply_to=reply_to,
             halted_hash=self.halted.hash,
             wants_reply=wants_reply,
@@ -322,19 +330,19 @@
         )
 
     def halted_messages(self, addresses, items):
-        """Return the messages that bring halted versions to ``addresses``."""
+        """Return the messages that send halted versions to ``addresses``."""
         message = HaltedVersions(address=self.address, halted=items)
         return [Outgoing(address, message) for address in addresses]
 
     def gossip_halted(self, items):
-        """Return the messages that pass new halted versions on to a few peers."""
-        return self.halted_messages(self._choose_peers(), items) if items else []
+        """Return the messages that forward new halted versions to a few peers."""
+        return self.halted_messages(self._sample_peers(), items) if items else []
 
     def _is_frozen(self, now_ms):
         last_ms = self._last_tick_ms
         return last_ms is not None and now_ms - last_ms >= FROZEN_MS and self._peers
 
-    def _note_time(self, now_ms):
+    def _record_tick(self, now_ms):
         last_ms = self._last_tick_ms
         self._last_tick_ms = now_ms
         if last_ms is None:
@@ -342,20 +350,20 @@
             return not self.version
         if now_ms - last_ms < FROZEN_MS or not self._peers:
             return False
-        # Failure: a host is frozen while a change comes into force "everywhere", wakes
-        # and goes on under the old one. It shows as a change that reverts for some
-        # callers. The host serves again when an up-to-date peer has told its version.
-        self._woke_ms = now_ms
+        # A host may be frozen while a change comes into force "everywhere". If it
+        # resumed under the old version, the change would revert for some callers. It
+        # serves again once an up-to-date peer has confirmed the newest version.
+        self._resumed_ms = now_ms
         self._confirm_by_ms = now_ms + CONFIRM_TIMEOUT_MS
         self._confirm_version = None
-        self._confirm_number = self._number + 1
+        self._confirm_number = self._digest_number + 1
         return True
 
-    def _choose_peers(self, count=FANOUT):
+    def _sample_peers(self, count=FANOUT):
         return self._rng.sample(self._peers, min(count, len(self._peers)))
 
-    def _tell(self, addresses, wants_reply, now_ms):
-        self._number += 1
+    def _digest_messages(self, addresses, wants_reply, now_ms):
+        self._digest_number += 1
         digest = self.digest(wants_reply, now_ms)
         return [Outgoing(address, digest) for address in addresses]
 
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A few hosts that exchange declarations through a list, and a store with outages."""
+"""Simulated hosts that exchange declarations, and a store with outages."""
 
 from hemlockhoist.base import InvariantLog
 from hemlockhoist.decisions.configuration import ConfigurationState
@@ -14,7 +14,7 @@
 
 
 class ConfigurationFleet:
-    """Ticks the hosts, answers their reads of the store, carries their messages."""
+    """Ticks the hosts, answers their reads of the store and delivers messages."""
 
     def __init__(self, count):
         self.now_ms = 0
@@ -52,17 +52,17 @@
     def _step(self, name, state):
         collectors = sorted(item.address for item in self.members)
         state.set_view(self.members, collectors, self.now_ms)
-        self.carry(state.tick(self.now_ms))
+        self.deliver(state.tick(self.now_ms))
         if state.store_read_due(self.now_ms):
             self.store_reads += 1
             if self.store_up:
-                self.carry(state.on_store_answer(self.row, self.now_ms))
+                self.deliver(state.on_store_answer(self.row, self.now_ms))
             else:
                 state.on_store_failure(self.now_ms)
         if state.version > state.acknowledged_version:
-            self.carry(state.mark_in_force(state.version, self.now_ms))
+            self.deliver(state.mark_in_force(state.version, self.now_ms))
 
-    def carry(self, outgoing):
+    def deliver(self, outgoing):
         queue = list(outgoing)
         while queue:
             item = queue.pop(0)
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
@@ -8,8 +8,8 @@
 class BackoffTests(unittest.TestCase):
     def test_failures_spread_and_stay_bounded(self):
         """
-        A store comes back after an outage, with a thousand hosts waiting for it. Were
-        their delays equal, it would get a thousand reads in one moment and fail again.
+        A store recovers from an outage while a thousand hosts wait for it. With equal
+        delays it would get a thousand reads at once and fail again.
         """
         due = []
         for seed in range(1_000):
@@ -21,8 +21,8 @@
         busiest = max(sum(start <= ms < start + 1_000 for ms in due) for start in due)
         self.assertLess(busiest, 80)
 
-    def test_success_returns_to_the_plain_interval(self):
-        """After an answer the next read comes at the plain interval."""
+    def test_success_returns_to_the_regular_interval(self):
+        """After an answer the next read follows at the regular interval."""
         backoff = StoreBackoff(2_000, random.Random(1))
         backoff.on_failure(0)
         backoff.on_success()
@@ -31,7 +31,7 @@
         self.assertTrue(backoff.is_due(62_600))
 
     def test_budget_bounds_retries(self):
-        """A hundred failed attempts allow ten retries, and time a few more."""
+        """A hundred first attempts allow ten retries; elapsed time allows more."""
         budget = RetryBudget(share_permille=100, max_retries=5, refill_ms=10_000)
         while budget.try_retry(0):
             pass
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
@@ -12,7 +12,7 @@
 HALTED = HaltedVersion(pool="hall", move_id="m1", version="2")
 
 
-class SpreadTests(unittest.TestCase):
+class PropagationTests(unittest.TestCase):
     def test_a_change_is_in_force_everywhere_within_seconds(self):
         """A row changed in the store is in force at 40 hosts in five seconds."""
         fleet = ConfigurationFleet(40)
@@ -26,20 +26,20 @@
 
     def test_store_down_just_after_the_write(self):
         """
-        An operator's change is confirmed by the store, which then goes down for an
-        hour. The host that wrote it tells the others; no one waits for the store.
+        The store confirms an operator's change and then goes down for an hour. The host
+        that wrote the change propagates it, and no host waits for the store.
         """
         fleet = ConfigurationFleet(8)
         fleet.run(10_000)
         fleet.store_up = False
-        fleet.carry(
+        fleet.deliver(
             fleet.states["h7"].apply_if_newer(make_declarations(2), fleet.now_ms)
         )
         fleet.run(5_000)
         self.assertEqual(fleet.versions(), {2})
 
-    def test_host_started_during_an_outage_takes_it_from_peers(self):
-        """A new host is not ready without declarations, and gets them from a peer."""
+    def test_host_started_during_an_outage_is_updated_by_peers(self):
+        """A new host is not ready until it gets the declarations from a peer."""
         fleet = ConfigurationFleet(8)
         fleet.run(10_000)
         fleet.store_up = False
@@ -50,7 +50,7 @@
         self.assertEqual(state.version, 1)
 
     def test_hosts_without_peers_or_store_are_not_ready(self):
-        """With the store down and no peer that has any, nobody is ready."""
+        """If the store is down and no peer has declarations, no host is ready."""
         fleet = ConfigurationFleet(3)
         fleet.store_up = False
         fleet.run(60_000)
@@ -58,11 +58,11 @@
         self.assertEqual(ready, [False] * 3)
 
     def test_halted_versions_reach_all_with_the_store_down(self):
-        """A version found bad at one host is halted at all, a host that starts later too."""
+        """A version halted at one host is halted at all, including later ones."""
         fleet = ConfigurationFleet(8)
         fleet.run(10_000)
         fleet.store_up = False
-        fleet.carry(fleet.states["h3"].halt(HALTED, fleet.now_ms))
+        fleet.deliver(fleet.states["h3"].halt(HALTED, fleet.now_ms))
         fleet.run(3_000)
         fleet.add(8)
         fleet.run(5_000)
@@ -78,10 +78,10 @@
         state.mark_in_force(5, 0)
         return state
 
-    def test_older_offers_change_nothing(self):
+    def test_older_versions_change_nothing(self):
         """
-        A peer that was cut off for an hour offers what it has, and the store answers
-        from a replica that lags. Taking either would undo an accepted change.
+        A peer that was partitioned for an hour sends its old version, and the store
+        answers from a lagging replica. Applying either would revert an accepted change.
         """
         state = self.make_state()
         old = make_declarations(4)
@@ -92,15 +92,15 @@
 
     def test_two_contents_of_one_version_are_a_violation(self):
         """
-        Two operators race, and a host tells its peers of a write that the store has not
-        confirmed. The same number then stands for two contents.
+        Two operators race, and a host propagates a write that the store has not
+        confirmed. One version number then has two contents.
         """
         state = self.make_state()
         with self.assertRaises(PropertyViolation):
             state.apply_if_newer(make_declarations(5, "port office"), 1)
 
-    def test_a_reverted_host_is_caught(self):
-        """Serving less than was acknowledged is a violation."""
+    def test_serving_a_reverted_version_is_a_violation(self):
+        """Serving a lower version than the acknowledged one is a violation."""
         state = self.make_state()
         state.current = make_declarations(4)
         with self.assertRaises(PropertyViolation):
@@ -108,33 +108,33 @@
         with self.assertRaises(PropertyViolation):
             state.mark_in_force(4, 1)
 
-    def test_woken_host_serves_nothing_before_it_has_heard(self):
+    def test_resumed_host_serves_nothing_before_a_confirmation(self):
         """
-        Host h5 is frozen while version 2 comes into force and the fleet calls it gone.
-        It wakes with version 1, and reads messages that waited in its socket: among
-        them a peer's word, from before the change, that 1 is the newest. Until it has
-        asked anew, serving would revert the change for its callers.
+        Host h5 is frozen while version 2 comes into force and the fleet considers it
+        gone. It resumes with version 1 and reads messages that waited in its socket,
+        among them a peer's confirmation from before the change that 1 is the newest.
+        Serving before a new confirmation would revert the change for its callers.
         """
         fleet = ConfigurationFleet(8)
         fleet.run(10_000)
-        woken = fleet.states["h5"]
+        resumed = fleet.states["h5"]
         fleet.delayed = []
         fleet.frozen.add("h5")
         fleet.run(4_000)
         fleet.row = make_declarations(2)
         fleet.run(20_000)
         fleet.frozen.clear()
-        self.assertFalse(woken.is_ready(fleet.now_ms))
-        woken.tick(fleet.now_ms)
+        self.assertFalse(resumed.is_ready(fleet.now_ms))
+        resumed.tick(fleet.now_ms)
         for item in fleet.delayed[:4]:
-            woken.on_message(item.message, fleet.now_ms)
-        self.assertFalse(woken.is_ready(fleet.now_ms))
+            resumed.on_message(item.message, fleet.now_ms)
+        self.assertFalse(resumed.is_ready(fleet.now_ms))
         fleet.run(2_000)
-        self.assertTrue(woken.is_ready(fleet.now_ms))
-        self.assertEqual(woken.version, 2)
+        self.assertTrue(resumed.is_ready(fleet.now_ms))
+        self.assertEqual(resumed.version, 2)
 
-    def test_woken_host_whose_peers_are_silent_serves_again(self):
-        """All hosts are frozen together: each serves what it has after a short wait."""
+    def test_resumed_host_without_replies_serves_again(self):
+        """Hosts frozen together each serve their version again after a short wait."""
         fleet = ConfigurationFleet(3)
         fleet.run(10_000)
         fleet.store_up = False
@@ -146,7 +146,7 @@
         self.assertTrue(fleet.states["h0"].is_ready(fleet.now_ms))
 
     def test_lagging_and_restarted_hosts_are_named(self):
-        """A frozen host lags, and a restarted one does until it has said so itself."""
+        """A frozen host lags, and a restarted one until it has acknowledged itself."""
         fleet = ConfigurationFleet(6)
         fleet.run(10_000)
         fleet.frozen.add("h4")
@@ -162,8 +162,8 @@
         fleet.run(2_000)
         self.assertEqual(fleet.states["h0"].report(2).lagging, ("h4",))
 
-    def test_news_goes_to_a_bounded_number_of_peers(self):
-        """Taking a version sends as many digests among 1,300 hosts as among 8."""
+    def test_new_version_goes_to_a_bounded_number_of_peers(self):
+        """Applying a version sends as many digests among 1,300 hosts as among 8."""
         for count in (8, 1_300):
             fleet = ConfigurationFleet(count)
             state = fleet.states["h0"]
