--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
@@ -46,9 +46,9 @@
         run(self.a, self.key)
         hand_over(self.a, self.s)
         self.b.record_successor("a", "s")
-        asked = begin(self.b, self.key)
-        self.assertEqual(asked.incarnation, "s")
-        self.assertEqual(look_up(self.b, self.s, asked.lookup), Replay(ANSWER))
+        pending = begin(self.b, self.key)
+        self.assertEqual(pending.incarnation, "s")
+        self.assertEqual(look_up(self.b, self.s, pending.lookup), Replay(ANSWER))
 
     def test_leaver_dispatches_no_new_key(self):
         """
@@ -65,10 +65,10 @@
     def test_leaver_refers_calls_to_the_successor(self):
         """After the acknowledgement the leaver refers calls to its successor."""
         hand_over(self.a, self.s)
-        asked = begin(self.a, self.key)
-        self.assertEqual((type(asked), asked.incarnation), (OwnedBy, "s"))
-        asked = begin(self.b, self.key)
-        moved = look_up(self.b, self.a, asked.lookup)
+        pending = begin(self.a, self.key)
+        self.assertEqual((type(pending), pending.incarnation), (OwnedBy, "s"))
+        pending = begin(self.b, self.key)
+        moved = look_up(self.b, self.a, pending.lookup)
         self.assertIsInstance(look_up(self.b, self.s, moved.lookup), Proceed)
 
     def test_successor_waits_for_all_parts(self):
@@ -103,14 +103,14 @@
         """
         A booking runs while its host leaves. A repeat at the successor gets "in
         progress", and the answer once the leaver has reported it, even if the leaver
-        has gone by then.
+        has left by then.
         """
         attempt = begin(self.a, self.key).attempt
         self.a.mark_dispatched(attempt, 0)
         hand_over(self.a, self.s)
-        asked = begin(self.s, self.key)
-        self.assertEqual(asked.incarnation, "a")
-        self.assertEqual(look_up(self.s, self.a, asked.lookup), InProgress())
+        pending = begin(self.s, self.key)
+        self.assertEqual(pending.incarnation, "a")
+        self.assertEqual(look_up(self.s, self.a, pending.lookup), InProgress())
         self.a.mark_finished(attempt, ANSWER, 1)
         hand_over(self.a, self.s)
         self.assertEqual(begin(self.s, self.key), Replay(ANSWER))
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
@@ -34,9 +34,9 @@
         the answer; the next time it replays it without a.
         """
         run(self.a, self.key)
-        asked = begin(self.b, self.key)
-        self.assertEqual((type(asked), asked.incarnation), (OwnedBy, "a"))
-        self.assertEqual(look_up(self.b, self.a, asked.lookup), Replay(ANSWER))
+        pending = begin(self.b, self.key)
+        self.assertEqual((type(pending), pending.incarnation), (OwnedBy, "a"))
+        self.assertEqual(look_up(self.b, self.a, pending.lookup), Replay(ANSWER))
         self.assertEqual(begin(self.b, self.key), Replay(ANSWER))
 
     def test_unseen_key_is_granted_to_the_requester(self):
@@ -58,20 +58,20 @@
         A client sends one booking to hosts a and b at the same time. In whatever order
         the messages arrive, one host proceeds and the other waits.
         """
-        asked = begin(self.b, self.key)
+        pending = begin(self.b, self.key)
         self.assertIsInstance(begin(self.a, self.key), Proceed)
-        self.assertEqual(look_up(self.b, self.a, asked.lookup), InProgress())
+        self.assertEqual(look_up(self.b, self.a, pending.lookup), InProgress())
         other = make_key(self.a, "2")
-        asked = begin(self.b, other)
-        reply = self.a.on_lookup(asked.lookup, 0)
+        pending = begin(self.b, other)
+        reply = self.a.on_lookup(pending.lookup, 0)
         self.assertIsInstance(begin(self.a, other), WithdrawnTo)
         self.assertIsInstance(self.b.on_lookup_reply(reply, 0), Proceed)
 
     def test_one_of_two_requesters_gets_the_right(self):
         """Of two hosts that query an unseen key, only the first may dispatch it."""
-        asked_b, asked_c = begin(self.b, self.key), begin(self.c, self.key)
-        self.assertIsInstance(look_up(self.b, self.a, asked_b.lookup), Proceed)
-        moved = look_up(self.c, self.a, asked_c.lookup)
+        pending_b, pending_c = begin(self.b, self.key), begin(self.c, self.key)
+        self.assertIsInstance(look_up(self.b, self.a, pending_b.lookup), Proceed)
+        moved = look_up(self.c, self.a, pending_c.lookup)
         self.assertEqual(moved.incarnation, "b")
         self.assertEqual(look_up(self.c, self.b, moved.lookup), InProgress())
 
@@ -89,7 +89,7 @@
         self.assertEqual(begin(self.b, self.key), InProgress())
 
     def test_late_grant_serves_the_next_call(self):
-        """A grant that arrives after its caller has gone serves the next call."""
+        """A grant for an abandoned lookup serves the next call."""
         late = self.a.on_lookup(begin(self.b, self.key).lookup, 0)
         self.b.abandon_lookup(CUSTOMER, self.key, 0)
         self.assertIsNone(self.b.on_lookup_reply(late, 0))
@@ -105,8 +105,8 @@
         self.b.mark_dispatched(proceed.attempt, 0)
         self.b.mark_finished(proceed.attempt, ANSWER, 0)
         self.b.table.remove(self.b.table.get(CUSTOMER, self.key.text))
-        asked = begin(self.b, self.key)
-        self.assertEqual(look_up(self.b, self.a, asked.lookup), OutcomeUnknown())
+        pending = begin(self.b, self.key)
+        self.assertEqual(look_up(self.b, self.a, pending.lookup), OutcomeUnknown())
 
     def test_delayed_lookup_does_not_move_a_returned_right(self):
         """
@@ -135,9 +135,9 @@
         self.b.abandon_lookup(CUSTOMER, key, 0)
         self.a.mark_not_run(filler, 0)
         run(self.a, key)
-        asked = begin(self.b, key)
+        pending = begin(self.b, key)
         self.assertIsNone(self.b.on_lookup_reply(stale, 0))
-        self.assertEqual(look_up(self.b, self.a, asked.lookup), Replay(ANSWER))
+        self.assertEqual(look_up(self.b, self.a, pending.lookup), Replay(ANSWER))
 
     def test_full_holder_grants_nothing(self):
         """
@@ -166,8 +166,8 @@
     def test_different_body_is_refused_across_hosts(self):
         """A key that identifies a different request at its holder is refused."""
         run(self.a, self.key)
-        asked = begin(self.b, self.key, 0, OTHER_FINGERPRINT)
-        self.assertEqual(look_up(self.b, self.a, asked.lookup), Reused())
+        pending = begin(self.b, self.key, 0, OTHER_FINGERPRINT)
+        self.assertEqual(look_up(self.b, self.a, pending.lookup), Reused())
 
     def test_wrong_body_at_a_requesting_host_does_not_bind_the_key(self):
         """
@@ -187,8 +187,8 @@
         """
         attempt = look_up(self.b, self.a, begin(self.b, self.key).lookup).attempt
         self.b.mark_dispatched(attempt, 0)
-        asked = begin(self.a, self.key, 0, OTHER_FINGERPRINT)
-        self.assertEqual(look_up(self.a, self.b, asked.lookup), Reused())
+        pending = begin(self.a, self.key, 0, OTHER_FINGERPRINT)
+        self.assertEqual(look_up(self.a, self.b, pending.lookup), Reused())
         self.assertIsInstance(begin(self.a, self.key), WithdrawnTo)
 
     def test_body_of_a_waiting_call_does_not_bind_the_key(self):
@@ -198,8 +198,8 @@
         run" yet.
         """
         begin(self.a, self.key)
-        asked = begin(self.b, self.key, 0, OTHER_FINGERPRINT)
-        self.assertEqual(look_up(self.b, self.a, asked.lookup), InProgress())
+        pending = begin(self.b, self.key, 0, OTHER_FINGERPRINT)
+        self.assertEqual(look_up(self.b, self.a, pending.lookup), InProgress())
 
     def test_restarted_host_answers_unknown_for_earlier_keys(self):
         """
@@ -207,8 +207,8 @@
         new process has no record, which must not lead to a second booking.
         """
         restarted = make_ledger("a2")
-        asked = begin(self.b, self.key)
-        self.assertEqual(look_up(self.b, restarted, asked.lookup), OutcomeUnknown())
+        pending = begin(self.b, self.key)
+        self.assertEqual(look_up(self.b, restarted, pending.lookup), OutcomeUnknown())
         own = begin(restarted, self.key)
         self.assertIsInstance(own, OwnedBy)
         unknown = restarted.abandon_lookup(CUSTOMER, self.key, 0)
