--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
@@ -1,4 +1,4 @@
-"""What a home knows of each upstream from its own grants and their outcomes."""
+"""Upstreams without declared slots: limits, health and speed from grant outcomes."""
 
 from hemlockhoist.decisions.scheduling.ejection import (
     RECOVERED_RATIO,
@@ -20,20 +20,20 @@
 from hemlockhoist.decisions.scheduling.upstream_tracker import UpstreamTracker
 from hemlockhoist.decisions.work import OutcomeKind
 
-# A grant that has been held this many times longer than predicted counts as an
-# answer of that slowness: a stuck upstream gives no outcomes to learn from.
+# Median ratio of holding time to prediction above which open grants eject an upstream:
+# a stuck upstream produces no outcomes to learn from.
 OVERDUE_RATIO = 4.0
-# Grants of one upstream that must be overdue before it is ejected for them.
+# Least number of open grants for which an upstream is ejected as overdue.
 MIN_OVERDUE = 3
 
-# Answers of fewer tokens say nothing of the time between them.
+# Shorter answers give no usable time per output token.
 MIN_OUTPUT_TOKENS = 8
 POOL_EWMA_WEIGHT = 0.05
 INITIAL_HOLD_MS = 2_000.0
-# An engine computes prompts in the order they come. Made for long prompts beside short
-# ones: with more than this waiting there, a short request of the highest tier would
-# wait for its first token behind prompts that no tier order governs. It is more than
-# two ticks, so that an engine does not run out of prompts between them.
+# Bound on the pending prompt time of an upstream. An engine computes prompts in order
+# of arrival: a short request of the highest tier would wait for its first token behind
+# long prompts, whatever their tiers. The bound exceeds two ticks, so that an engine
+# does not run out of prompts between them.
 MAX_PROMPT_WAIT_MS = 250.0
 
 _FAILURES = frozenset(
@@ -47,7 +47,7 @@
 
 
 class AdaptiveUpstream:
-    """Limit, health, speed and prefixes of one upstream."""
+    """Limit, health, speed and cached prefixes of one upstream."""
 
     __slots__ = (
         "failure_domain",
@@ -71,18 +71,18 @@
         self.prompts_done_ms = 0.0
 
     def cached_tokens(self, request):
-        """Return how many of the request's prompt tokens are probably cached."""
+        """Return how many of a request's prompt tokens are probably cached here."""
         hashes = request.prefix_hashes
         if not hashes:
             return 0
         return request.prompt_tokens * self.prefixes.match(hashes) // len(hashes)
 
     def slots(self, now_ms):
-        """Return how many requests it may hold now."""
+        """Return how many requests the upstream may hold now."""
         return self.health.slots(self.limit.slots, now_ms)
 
     def on_grant(self, held, now_ms):
-        """Count the request's prompt."""
+        """Add the request's prompt to the pending ones."""
         request = held.request
         held.prompt_wait_ms = max(0.0, self.prompts_done_ms - now_ms)
         if request.prefix_hashes:
@@ -94,20 +94,28 @@
         self.prefixes.add(request.prefix_hashes)
 
     def on_prompt_done(self, held, now_ms):
-        """Stop counting a prompt: its first token came, or its grant came back.
+        """Remove a prompt from the pending ones, after first token or release.
 
-        Where first tokens are told, what is still pending bounds the expected time;
-        a wrong estimate of an engine's speed then keeps it idle no longer than one
-        prompt takes.
+        The prompts still pending bound the expected time at which all are done. Where
+        first tokens are reported, a wrong speed estimate thus keeps an engine idle no
+        longer than one prompt takes.
         """
         self.pending_tokens -= held.pending_tokens
         held.pending_tokens = 0
-        rest_ms = self.pending_tokens * self.speed.prompt_token_ms
-        self.prompts_done_ms = min(self.prompts_done_ms, now_ms + rest_ms)
+        remaining_ms = self.pending_tokens * self.speed.prompt_token_ms
+        self.prompts_done_ms = min(self.prompts_done_ms, now_ms + remaining_ms)
 
 
 class AdaptiveTracker(UpstreamTracker):
-    """The tracks of a pool shard's upstreams, and what a generation has in common."""
+    """Tracker of upstreams whose concurrency limits are found from latencies.
+
+    Speeds and first token baselines are also kept per hardware generation.
+
+    Parameters
+    ==========
+    max_limit : int
+        The pool's declared upper bound of a limit.
+    """
 
     __slots__ = (
         "_baselines",
@@ -130,25 +138,25 @@
         self._hold_ms = INITIAL_HOLD_MS
 
     def set_max_limit(self, max_limit):
-        """Take a changed upper bound of the limits."""
+        """Set the upper bound of the limits."""
         self._max_limit = max_limit
         for tracked in self._tracked.values():
             tracked.limit.set_max(max_limit)
 
     def set_listed(self, upstreams):
-        """Begin tracks for new upstreams, and drop those of vanished ones."""
-        former = self._tracked
+        """Start tracking new upstreams, and forget those that are no longer listed."""
+        previous = self._tracked
         self._tracked = {}
         for item in upstreams:
-            tracked = former.get(item.upstream_id) or self._new(item)
+            tracked = previous.get(item.upstream_id) or self._new(item)
             self._tracked[item.upstream_id] = tracked
 
     def set_usable(self, upstreams, now_ms):
-        """Take the upstreams that are not leaving; the bound on ejections is theirs.
+        """Set the upstreams that are not leaving, which the ejection bound counts.
 
-        Failure: one of three upstreams is ejected and the other two begin to leave. The
-        pool shows as having no place though an upstream is there. So ejected ones are
-        let in again until the bound holds; a slow upstream is better than none.
+        If one of three upstreams is ejected and the other two begin to leave, the pool
+        would have no slot although an upstream is available. So ejected upstreams are
+        readmitted until the bound holds; a slow upstream is better than none.
         """
         self._usable = {
             item.upstream_id: self._tracked[item.upstream_id] for item in upstreams
@@ -159,11 +167,11 @@
                 health.readmit(now_ms)
 
     def get(self, upstream_id):
-        """Return the track of a listed upstream, or None."""
+        """Return the ``AdaptiveUpstream`` of a listed upstream, or None."""
         return self._tracked.get(upstream_id)
 
     def cached_elsewhere(self, request, upstream_id):
-        """Return the most prompt tokens that another upstream probably has cached."""
+        """Return the most prompt tokens that any other upstream probably has cached."""
         others = (
             tracked.cached_tokens(request)
             for other_id, tracked in self._tracked.items()
@@ -176,20 +184,23 @@
         return self._tracked[upstream_id].slots(now_ms)
 
     def accepts_more(self, upstream_id, now_ms):
-        """Return whether the prompts waiting at an upstream leave room for another."""
+        """Return whether the pending prompts of an upstream are within their bound."""
         waiting_ms = self._tracked[upstream_id].prompts_done_ms - now_ms
         return waiting_ms < MAX_PROMPT_WAIT_MS
 
     def hold_ms(self, request):
-        """Return None: how long places are held is not known before limits are."""
+        """Return None: holding times aren't known until the limits are found."""
         return
 
     def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
-        """Return when a request's turn is, within its customer's."""
+        """Return the key by which the requests of one customer are ordered."""
         return short_first_ms(arrived_ms, cost_ms)
 
     def choose(self, request, choices, in_flight, now_ms, ahead=0):
-        """Return the upstream for a request, or None where only probes are left."""
+        """Return the upstream for a request, or None if only probes are possible.
+
+        A non-idempotent request is never sent as a probe.
+        """
         best, best_ms = None, None
         for item in choices:
             tracked = self._tracked[item.upstream_id]
@@ -197,7 +208,7 @@
             if probing and not request.idempotent:
                 continue
             if probing:
-                # A probe is due: it goes first, else a pool with room never probes.
+                # Probes take precedence; a pool with free slots would never probe.
                 return item
             held, slots = in_flight(item.upstream_id), tracked.slots(now_ms)
             score_ms = score(request, tracked, held, slots, now_ms)
@@ -206,16 +217,16 @@
         return best
 
     def drift(self):
-        """Let speeds that are not measured return to their generation's."""
+        """Move the speed of each upstream towards its generation's."""
         for tracked in self._tracked.values():
             tracked.speed.drift(self._speeds[tracked.generation])
 
     def on_grant(self, held, now_ms):
-        """Count a grant."""
+        """Record a grant."""
         self._tracked[held.grant.upstream_id].on_grant(held, now_ms)
 
     def on_outcome(self, held, outcome, hold_ms, predicted_ms, now_ms):
-        """Learn from a returned grant."""
+        """Update speed, limit and health from a released grant."""
         tracked = self._tracked.get(held.grant.upstream_id)
         if tracked is None:
             return
@@ -236,7 +247,7 @@
         self._eject_if_due(tracked, now_ms)
 
     def on_first_token(self, held, first_token_ms, now_ms):
-        """Learn from a first token that is told before the answer's end."""
+        """Update speed and limit from a first token reported before the answer ends."""
         tracked = self._tracked.get(held.grant.upstream_id)
         if tracked is None or held.first_token_reported:
             return
@@ -251,13 +262,13 @@
         self._observe_first_token(tracked, held, computed, first_token_ms, now_ms)
 
     def forget(self, held, now_ms):
-        """Stop counting a grant whose outcome nobody will report."""
+        """Remove a grant whose outcome will not be reported."""
         tracked = self._tracked.get(held.grant.upstream_id)
         if tracked is not None:
             tracked.on_prompt_done(held, now_ms)
 
     def on_overdue(self, upstream_id, overdue, ratio, now_ms):
-        """Take notice of grants that are held far longer than predicted."""
+        """Eject an upstream whose grants are held far longer than predicted."""
         tracked = self._tracked.get(upstream_id)
         if tracked is None or tracked.health.is_ejected or overdue < MIN_OVERDUE:
             return
@@ -271,12 +282,12 @@
         self._speeds[tracked.generation].observe_outcome(outcome)
         hashes = request.prefix_hashes
         if hashes and request.prompt_tokens:
-            # Rounded up: the prompt's last, partial block has no hash.
+            # Rounded up, as the prompt's last, partial block has no hash.
             blocks = -(-outcome.cached_tokens * len(hashes) // request.prompt_tokens)
             tracked.prefixes.observe(held.expected_blocks, blocks)
         first_ms = outcome.first_token_ms
         if first_ms < 0 and not outcome.output_tokens:
-            # A plain service has no tokens; its whole answer shows its queue.
+            # A plain service has no tokens: its total time shows its queueing.
             first_ms = outcome.total_ms
         if first_ms >= 0 and not held.first_token_reported:
             computed = request.prompt_tokens - outcome.cached_tokens
@@ -295,11 +306,11 @@
         )
 
     def _slowness(self, outcome, hold_ms, predicted_ms):
-        """Return an answer's time over the expected one.
+        """Return the ratio of an answer's time to the expected time.
 
-        Between tokens where there are any: the time to the first one depends on the
-        prompts that happen to be computed before it, and a short request behind a
-        long prompt would make a well engine look slow.
+        The time between tokens is used if there are enough: the time to first token
+        depends on the prompts computed before it, and a short request behind a long
+        prompt would make a healthy engine look slow.
         """
         if outcome.output_tokens < MIN_OUTPUT_TOKENS or outcome.first_token_ms < 0:
             return hold_ms / max(1.0, predicted_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
@@ -129,7 +129,7 @@
     Parameters
     ==========
     work : Work
-    tracked : DeclaredTrack
+    tracked : DeclaredSlotsUpstream
     held : int
         Requests that the upstream has.
     counts : tuple of float
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_upstream.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_upstream.py
@@ -1,23 +1,23 @@
-"""What a home knows of one upstream that declares its places."""
+"""State of one upstream that declares its slots, as known to a home."""
 
 from hemlockhoist.decisions.scheduling.limits import DeclaredLimit
 from hemlockhoist.decisions.scheduling.pace import EnginePace
 from hemlockhoist.decisions.scheduling.reliability import CircuitBreaker, FailureRate
 
-# A request that is this much over its expected first token, and this many times, says
-# that its upstream has stalled.
+# A request counts as stalled when its first token is overdue by the allowance plus this
+# multiple of the base time to first token.
 STALLED_FACTOR = 3.0
 STALLED_ALLOWANCE_MS = 300.0
-# An answer's length is an estimate: an upstream counts as too slow for a request where
-# one that is this much longer would not end by the deadline.
+# Factor on the estimated length of an answer: an upstream is too slow for a request if
+# an answer of that length would not end by the deadline.
 LENGTH_MARGIN = 1.5
-# Until an upstream's first answer has ended.
+# Initial value, until the first answer of an upstream has ended.
 INITIAL_HOLD_MS = 500.0
 HOLD_EWMA_WEIGHT = 0.1
 
 
 class DeclaredSlotsUpstream:
-    """Pace, reach, failures and pending prompts of one upstream.
+    """Pace, reachability, failures and pending prompts of one upstream.
 
     Parameters
     ==========
@@ -26,6 +26,7 @@
     """
 
     __slots__ = (
+        "breaker",
         "failure_domain",
         "failures",
         "hold_ms",
@@ -34,7 +35,6 @@
         "pending",
         "pending_tokens",
         "prompts_done_ms",
-        "breaker",
         "region",
         "stalled",
         "started_unix_ms",
@@ -47,19 +47,19 @@
         self.started_unix_ms = upstream.started_unix_ms
         self.limit = DeclaredLimit(upstream.slots)
         self.pace = EnginePace(pool_pace)
-        # What it is without the coldness, while it is cold.
+        # The pace of the warm upstream, kept while it is cold.
         self.warm_pace = None
         self.breaker = CircuitBreaker()
         self.failures = FailureRate()
         self.prompts_done_ms = 0.0
         self.hold_ms = INITIAL_HOLD_MS
-        # Prompts whose first token has not come, by grant: tokens and when it is due.
+        # Prompts without a first token, by grant id: tokens, expected first token time.
         self.pending = {}
         self.pending_tokens = 0
         self.stalled = 0
 
     def set_cold(self, is_cold):
-        """Take notice that it warms up, or is warm; each has a pace of its own."""
+        """Switch between the paces of the cold and the warm upstream."""
         if is_cold and self.warm_pace is None:
             self.warm_pace = self.pace
             self.pace = self.warm_pace.cold_copy()
@@ -67,52 +67,52 @@
             self.pace, self.warm_pace = self.warm_pace, None
 
     def allows_request(self, now_ms):
-        """Return whether it may be given a request, places aside."""
+        """Return whether the upstream may take a request, apart from free slots."""
         return self.breaker.allows_request(now_ms, len(self.pending))
 
-    def prompts_ms(self, work, kept=0):
-        """Return for how long the prompts here and a request's take the engine."""
-        return self.pace.prompt_ms(self.pending_tokens + work.prompt_tokens - kept)
+    def prompts_ms(self, work, cached=0):
+        """Return how long the pending prompts and a request's keep the engine busy."""
+        return self.pace.prompt_ms(self.pending_tokens + work.prompt_tokens - cached)
 
-    def first_token_ms(self, work, now_ms, kept=0):
-        """Return the expected time until a request's first token here.
+    def first_token_ms(self, work, now_ms, cached=0):
+        """Return the expected time to first token of a request at this upstream.
 
         Parameters
         ==========
         work : hemlockhoist.decisions.scheduling.pace.Work
         now_ms : int
-        kept : int, optional
-            Tokens of its prompt that need not be computed here.
+        cached : int, optional
+            Number of its prompt tokens that are cached here.
         """
         wait_ms = self.prompts_done_ms - now_ms
-        first_token_cost = work.first_token_cost - work.prompt_token_cost * kept
+        first_token_cost = work.first_token_cost - work.prompt_token_cost * cached
         first_ms = self.pace.token_ms * first_token_cost
         return wait_ms + first_ms if wait_ms > 0 else first_ms
 
     def meets_deadline(self, work, first_token_ms, now_ms):
-        """Return whether a whole answer is expected here before the deadline."""
+        """Return whether the whole answer is expected before the deadline."""
         decode_ms = LENGTH_MARGIN * self.pace.token_ms * work.output_tokens
         return now_ms + first_token_ms + decode_ms <= work.deadline_ms
 
     def first_token_within(self, work, within_ms, max_prompts_ms, now_ms):
-        """Return the expected time until a request's first token here, or None.
+        """Return the expected time to first token of a request, or None.
 
-        Load: asked of all upstreams for each request that may wait for one of them.
+        Hot path: called for all upstreams, for each request that may wait for one.
 
         Parameters
         ==========
         work : hemlockhoist.decisions.scheduling.pace.Work
         within_ms : float
-            Until then the first token has to come.
+            Bound on the time to first token.
         max_prompts_ms : float
-            For how long the prompts here may take the engine.
+            Bound on the time for which prompts keep the engine busy.
         now_ms : int
 
         Returns
         =======
         float or None
-            None where it would come later, the engine would be taken for longer, the
-            answer would not end by the deadline, or no request may be given here.
+            None if a bound is exceeded, the answer would not end by the deadline, or
+            the upstream takes no request.
         """
         first_ms = self.first_token_ms(work, now_ms)
         if first_ms > within_ms or self.prompts_ms(work) > max_prompts_ms:
@@ -123,39 +123,39 @@
             return None
         return first_ms
 
-    def on_grant(self, held, work, now_ms, kept=0):
-        """Count a request's prompt, but for what is kept of it."""
+    def on_grant(self, held, work, now_ms, cached=0):
+        """Add the part of a request's prompt that is not cached to the pending ones."""
         held.prompt_wait_ms = max(0.0, self.prompts_done_ms - now_ms)
-        due_ms = now_ms + self.first_token_ms(work, now_ms, kept)
+        due_ms = now_ms + self.first_token_ms(work, now_ms, cached)
         self.prompts_done_ms = due_ms - self.pace.base_ms()
-        held.pending_tokens = work.prompt_tokens - kept
+        held.pending_tokens = work.prompt_tokens - cached
         self.pending[held.grant.grant_id] = (held.pending_tokens, due_ms)
         self.pending_tokens += held.pending_tokens
 
     def on_prompt_done(self, held, now_ms):
-        """Stop counting a prompt: its first token came, or its grant came back.
+        """Remove a prompt from the pending ones, after first token or release.
 
-        What is still pending bounds the expected time: a wrong estimate then keeps the
-        upstream idle no longer than one prompt takes.
+        The prompts still pending bound the expected time at which all are done, so that
+        a wrong estimate keeps the upstream idle no longer than one prompt takes.
         """
         entry = self.pending.pop(held.grant.grant_id, None)
         if entry is None:
             return
         self.pending_tokens -= entry[0]
-        rest_ms = self.pace.prompt_ms(self.pending_tokens)
-        self.prompts_done_ms = min(self.prompts_done_ms, now_ms + rest_ms)
+        remaining_ms = self.pace.prompt_ms(self.pending_tokens)
+        self.prompts_done_ms = min(self.prompts_done_ms, now_ms + remaining_ms)
 
     def on_success(self, hold_ms, now_ms):
-        """Take a whole answer, and for how long it held its place."""
+        """Record a complete answer and how long it held its slot."""
         self.breaker.on_reachable()
         self.failures.observe(False, now_ms)
         self.hold_ms += HOLD_EWMA_WEIGHT * (hold_ms - self.hold_ms)
 
     def count_stalled(self, now_ms):
-        """Count the requests that are far over their expected first token."""
+        """Count the requests whose first token is long overdue."""
         if not self.pending:
             self.stalled = 0
             return
-        allowed_ms = STALLED_ALLOWANCE_MS + STALLED_FACTOR * self.pace.base_ms()
-        before_ms = now_ms - allowed_ms
+        allowance_ms = STALLED_ALLOWANCE_MS + STALLED_FACTOR * self.pace.base_ms()
+        before_ms = now_ms - allowance_ms
         self.stalled = sum(due_ms < before_ms for _, due_ms in self.pending.values())
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
@@ -1,32 +1,32 @@
-"""Upstreams that are slow or fail: ejected, probed, and let in slowly."""
+"""Outlier ejection: slow or failing upstreams are ejected, probed and ramped up."""
 
 import enum
 import statistics
 
-# Failures in a row after which an upstream is ejected.
+# Consecutive failures after which an upstream is ejected.
 MAX_FAILURES = 3
-# An upstream this many times slower than its generation's median is ejected. Load
-# alone makes a factor of two between full and half-empty batches.
+# An upstream this many times slower than the median of its generation is ejected. Load
+# alone accounts for a factor of two between full and half-empty batches.
 SLOW_RATIO = 3.0
-# A probe that is no slower than this has recovered.
+# A probe no slower than this multiple of the reference counts as successful.
 RECOVERED_RATIO = 2.0
 MIN_SAMPLES = 4
-# Of the upstreams of a pool, at most one in this many is ejected at a time. Where
-# more are slow, the cause is the load, and ejecting makes the rest slower still.
+# At most one upstream of a pool in this many is ejected at a time. If more are slow,
+# the cause is the load, and ejecting them would slow the others down further.
 UPSTREAMS_PER_EJECTION = 3
 FIRST_EJECTION_MS = 5_000
 MAX_EJECTION_MS = 60_000
 PROBES_TO_RECOVER = 2
-# Places grow from one to the limit within this time: a just recovered engine has a
+# After recovery the slots grow from one to the limit within this time: the engine has a
 # cold cache, and a full batch at once would make it slow again.
 RAMP_MS = 10_000
-# A failure makes an upstream less preferred for this long, before the ejection.
+# Time for which a failure that does not eject an upstream lowers its preference.
 FAILURE_MEMORY_MS = 10_000
-_SLOWNESS_WEIGHT = 0.2
+_SLOWNESS_EWMA_WEIGHT = 0.2
 
 
 class HealthState(enum.Enum):
-    """What an upstream may be given."""
+    """State of an upstream, which determines how many requests it may hold."""
 
     HEALTHY = "healthy"
     EJECTED = "ejected"
@@ -35,15 +35,15 @@
 
 
 class Health:
-    """The health of one upstream, from the outcomes of its grants."""
+    """The health of one upstream, derived from the outcomes of its grants."""
 
     __slots__ = (
         "_ejection_ms",
+        "_entered_ms",
         "_failed_ms",
         "_failures",
         "_good_probes",
         "_samples",
-        "_since_ms",
         "slowness",
         "state",
     )
@@ -55,60 +55,60 @@
         self._failures = 0
         self._good_probes = 0
         self._failed_ms = 0
-        self._since_ms = 0
+        self._entered_ms = 0
         self._ejection_ms = FIRST_EJECTION_MS
 
     @property
     def is_ejected(self):
-        """Whether it counts against the pool's bound of ejected upstreams."""
+        """Whether the upstream counts towards the pool's ejection bound."""
         return self.state in (HealthState.EJECTED, HealthState.PROBING)
 
     @property
     def has_enough_samples(self):
-        """Whether there are enough answers to compare it by."""
+        """Whether there are enough answers for a comparison with other upstreams."""
         return self._samples >= MIN_SAMPLES
 
     def slots(self, limit, now_ms):
-        """Return how many of ``limit`` places may be used now."""
+        """Return how many of ``limit`` slots may be used now."""
         if self.state is HealthState.HEALTHY:
             return limit
         if self.state is HealthState.EJECTED:
-            if now_ms - self._since_ms < self._ejection_ms:
+            if now_ms - self._entered_ms < self._ejection_ms:
                 return 0
             self._enter(HealthState.PROBING, now_ms)
             return 1
         if self.state is HealthState.PROBING:
             return 1
-        part = (now_ms - self._since_ms) / RAMP_MS
-        if part >= 1.0:
+        ramp_fraction = (now_ms - self._entered_ms) / RAMP_MS
+        if ramp_fraction >= 1.0:
             self._enter(HealthState.HEALTHY, now_ms)
             self._ejection_ms = FIRST_EJECTION_MS
             return limit
-        return max(1, int(limit * part))
+        return max(1, int(limit * ramp_fraction))
 
     def observe_slowness(self, ratio, now_ms):
-        """Take an answer's time as a multiple of what the pool needs for it."""
+        """Record a successful answer and the ratio of its time to the expected one."""
         self._failures = 0
         self._samples += 1
-        self.slowness += _SLOWNESS_WEIGHT * (ratio - self.slowness)
+        self.slowness += _SLOWNESS_EWMA_WEIGHT * (ratio - self.slowness)
 
     def observe_failure(self, now_ms):
-        """Take a failed answer or a failed connect."""
+        """Record a failed answer or a failed connection attempt."""
         self._failures += 1
         self._failed_ms = now_ms
 
     def recent_failures(self, now_ms):
-        """Return the failures in a row, unless the last is long past."""
+        """Return the number of consecutive failures, 0 if the last is long ago."""
         if now_ms - self._failed_ms > FAILURE_MEMORY_MS:
             return 0
         return self._failures
 
     def failed_too_often(self):
-        """Return whether failures alone are reason to eject."""
+        """Return whether the consecutive failures justify an ejection."""
         return self._failures >= MAX_FAILURES
 
     def observe_probe(self, is_good, now_ms):
-        """Take the outcome of a probe."""
+        """Record the outcome of a probe; ignored in other states."""
         if self.state is not HealthState.PROBING:
             return
         if not is_good:
@@ -121,38 +121,39 @@
             self._samples = 0
 
     def eject(self, now_ms):
-        """Give it no work for a time that doubles with each ejection in a row."""
+        """Assign no work for a time that doubles with each consecutive ejection."""
         if self.state is not HealthState.HEALTHY:
             self._ejection_ms = min(MAX_EJECTION_MS, 2 * self._ejection_ms)
         self._enter(HealthState.EJECTED, now_ms)
 
     def readmit(self, now_ms):
-        """End the ejection early: too few others are left."""
+        """End the ejection early, as too few other upstreams are left."""
         self._enter(HealthState.RAMPING, now_ms)
         self.slowness = 1.0
         self._samples = 0
 
     def _enter(self, state, now_ms):
         self.state = state
-        self._since_ms = now_ms
+        self._entered_ms = now_ms
         self._failures = 0
         self._good_probes = 0
 
 
 def reference_slowness(own, peers):
-    """Return what an upstream's slowness is compared with, or None.
+    """Return the slowness that an upstream's is compared with, or None.
 
     Parameters
     ==========
     own : Health
     peers : sequence of Health
-        Of the other upstreams of its generation and pool.
+        The other upstreams of its generation and pool.
 
     Returns
     =======
     float or None
-        The median of the healthy peers that have answered often enough. A generation
-        that has one upstream is not compared: slower hardware is no fault.
+        Median of the peers that aren't ejected and have enough samples; None without
+        such peers. The only upstream of a generation is not compared, as slower
+        hardware is not a fault.
     """
     known = [
         item.slowness
@@ -165,12 +166,12 @@
 
 
 def exceeds_ejection_bound(healths):
-    """Return whether more upstreams are ejected than the pool's bound allows."""
-    out = sum(1 for item in healths if item.is_ejected)
-    return out * UPSTREAMS_PER_EJECTION > len(healths)
+    """Return whether more upstreams are ejected than the bound allows."""
+    ejected = sum(1 for item in healths if item.is_ejected)
+    return ejected * UPSTREAMS_PER_EJECTION > len(healths)
 
 
 def may_eject(healths):
-    """Return whether one more upstream of the pool may be ejected."""
-    out = sum(1 for item in healths if item.is_ejected)
-    return (out + 1) * UPSTREAMS_PER_EJECTION <= len(healths)
+    """Return whether the bound allows ejecting one more upstream."""
+    ejected = sum(1 for item in healths if item.is_ejected)
+    return (ejected + 1) * UPSTREAMS_PER_EJECTION <= len(healths)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/estimates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/estimates.py
@@ -1,20 +1,20 @@
-"""Predicted cost of a request, learned from the outcomes of earlier ones."""
+"""Predicted cost of a request, fitted to the outcomes of earlier requests."""
 
-# A prompt token is computed in parallel with its neighbours, an output token alone:
-# on continuous-batching engines the ratio of their costs lies between 1:20 and 1:100.
+# Prompt tokens are computed in parallel, output tokens one by one: on
+# continuous-batching engines the ratio of their costs is between 1:20 and 1:100.
 PROMPT_TOKENS_PER_UNIT = 32
-# Before the first outcome. Too low a start only means that the queue's own bound
-# refuses for the first second instead of the predicted wait.
+# Used before the first outcome. If it is too low, requests of the first second are
+# refused by the bound on queue length instead of by their predicted wait.
 INITIAL_MS_PER_UNIT = 5.0
-# Weight of one outcome. The fit follows a change of the engine's speed within about
-# fifty answers, and a single odd answer moves it by two per cent.
+# Factor by which earlier outcomes decay with each new one. The fit follows a change of
+# engine speed within about fifty answers, and one outlier moves it by two per cent.
 DECAY = 0.98
-# Weight of the prior line, in outcomes.
+# Weight of the prior line, in number of outcomes.
 PRIOR_OUTCOMES = 2.0
 
 
 def work_units(request):
-    """Return the predicted work of a request, in output tokens.
+    """Return the predicted work of a request, in units of one output token.
 
     Parameters
     ==========
@@ -23,18 +23,18 @@
     Returns
     =======
     float
-        At least 1, which is also the cost of a call of a plain service.
+        At least 1, which is the cost of a call to a plain service.
     """
     return 1.0 + request.output_tokens + request.prompt_tokens / PROMPT_TOKENS_PER_UNIT
 
 
 class LinearEstimate:
-    """A least-squares line through the origin's quadrant, with decaying weights.
+    """A least-squares line with decaying weights, non-negative slope and intercept.
 
     Parameters
     ==========
     slope : float
-        Of the line that is assumed before there are outcomes.
+        Slope of the line through the origin that is used before the first observation.
 
     Examples
     ========
@@ -46,7 +46,7 @@
     310
     """
 
-    __slots__ = ("_n", "_prior", "_xx", "_xy", "_x", "_y")
+    __slots__ = ("_n", "_prior", "_x", "_xx", "_xy", "_y")
 
     def __init__(self, slope):
         self._prior = slope
@@ -54,11 +54,11 @@
 
     @property
     def has_samples(self):
-        """Whether any outcome was seen."""
+        """Whether there is any observation."""
         return self._n > 0
 
     def add(self, x, y):
-        """Take one observation."""
+        """Add one observation."""
         self._n = self._n * DECAY + 1.0
         self._x = self._x * DECAY + x
         self._y = self._y * DECAY + y
@@ -66,7 +66,7 @@
         self._xy = self._xy * DECAY + x * y
 
     def predict(self, x):
-        """Return the expected value at ``x``, never below 0."""
+        """Return the expected value at ``x``, at least 0."""
         if self._n <= 0:
             return self._prior * x
         mean_x = self._x / self._n
@@ -76,7 +76,7 @@
             slope = mean_y / mean_x if mean_x > 0 else 0.0
             return max(0.0, slope * x if mean_x > 0 else mean_y)
         slope = max(0.0, (self._xy - self._x * mean_y) / spread)
-        # A negative intercept would call short requests free.
+        # A negative intercept would predict no cost for short requests.
         base = max(0.0, mean_y - slope * mean_x)
         if base == 0.0 and mean_x > 0:
             slope = mean_y / mean_x
@@ -84,7 +84,7 @@
 
 
 class ServiceEstimate:
-    """Predicts how long a request holds a place and when its first token comes."""
+    """Predicts how long a request holds a slot and its time to first token."""
 
     __slots__ = ("_first_token", "_hold")
 
@@ -94,11 +94,11 @@
 
     @property
     def has_samples(self):
-        """Whether any outcome was seen."""
+        """Whether any outcome was observed."""
         return self._hold.has_samples
 
     def hold_ms(self, request):
-        """Return how long the request is expected to hold a place."""
+        """Return how long a request is expected to hold a slot."""
         return max(1.0, self._hold.predict(work_units(request)))
 
     def first_token_ms(self, request):
@@ -106,7 +106,7 @@
         return self._first_token.predict(request.prompt_tokens)
 
     def observe(self, request, hold_ms, first_token_ms):
-        """Take the outcome of a request that was answered.
+        """Add the outcome of a request that was answered.
 
         Parameters
         ==========
@@ -114,7 +114,7 @@
         hold_ms : int
             From grant to release.
         first_token_ms : int
-            From dispatch; -1 where it never came.
+            From dispatch; -1 if there was none.
         """
         self._hold.add(work_units(request), hold_ms)
         if first_token_ms >= 0:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -94,7 +94,7 @@
         )
 
     def declared_slots_tracker(self, cache_tokens=0, warmup=None):
-        """Return the tracks of upstreams that declare their places."""
+        """Return a tracker of upstreams that declare their slots."""
         if Mechanism.DEFERRAL in self.disabled:
             return NoDeferralTracker(cache_tokens, warmup)
         return DeclaredSlotsTracker(cache_tokens, warmup)
@@ -128,5 +128,5 @@
 
     __slots__ = ()
 
-    def _should_wait(self, work, best, most_ms, ahead, now_ms):
+    def _should_wait(self, work, best, max_prompts_ms, ahead, now_ms):
         return False
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
@@ -1,57 +1,58 @@
-"""The upstreams of a pool shard as places: listed, tracked, and in recovery."""
+"""The upstreams of a pool shard and their free slots, also during recovery."""
 
 import statistics
 
 from hemlockhoist.decisions.scheduling.recovery import RecoveryPhase
 from hemlockhoist.decisions.scheduling.upstreams import UpstreamTable
 
-# A grant is not called overdue by a multiple of less: a few long prompts at one
-# engine make every short request there wait about as long.
+# Lower bound of the expected time that overdue ratios are computed from: behind a few
+# long prompts, every short request at an engine waits about this long.
 MIN_EXPECTED_MS = 1_000.0
-# The review walks all grants in flight, so it is made this often and not at a tick.
+# The check for overdue grants iterates over all grants in flight, so it runs at this
+# interval instead of at each tick.
 OVERDUE_CHECK_INTERVAL_MS = 1_000
 
 
 class Fleet:
-    """Says which upstreams have a free place, and learns from what comes back.
+    """Finds the upstreams with a free slot, and updates what is known of them.
 
     Parameters
     ==========
     grants : GrantBook
-    tracker : Tracks
+    tracker : UpstreamTracker
     """
 
-    __slots__ = ("_grants", "_reviewed_ms", "recovery", "table", "tracker")
+    __slots__ = ("_grants", "_overdue_checked_ms", "recovery", "table", "tracker")
 
     def __init__(self, grants, tracker):
         self._grants = grants
-        self._reviewed_ms = 0
+        self._overdue_checked_ms = 0
         self.table = UpstreamTable()
         self.tracker = tracker
         self.recovery = RecoveryPhase(tracker.recovery_ms)
 
     def replace(self, upstreams, now_ms):
-        """Take a new list; an empty one keeps the former."""
+        """Replace the list of upstreams; an empty list is ignored."""
         if self.table.replace(upstreams):
             self.tracker.set_listed(self.table)
             self.tracker.set_usable(self.table.usable(), now_ms)
 
     def observe(self, report, now_ms):
-        """Take an upstream's load report."""
+        """Record an upstream's load report."""
         was_leaving = self.table.is_leaving(report.upstream_id)
         self.table.observe(report, now_ms)
         if self.table.is_leaving(report.upstream_id) != was_leaving:
             self.tracker.set_usable(self.table.usable(), now_ms)
 
     def free_upstreams(self, now_ms):
-        """Return the upstreams that may be given one more request."""
+        """Return the upstreams that may be assigned one more request."""
         usable = self.table.usable()
         if self.recovery.is_active(now_ms):
             return [item for item in usable if self.has_free_slot(item, now_ms)]
         return self.tracker.with_free_slot(usable, self._grants.in_flight, now_ms)
 
     def has_free_slot(self, upstream, now_ms):
-        """Return whether an upstream may be given one more request."""
+        """Return whether an upstream may be assigned one more request."""
         upstream_id = upstream.upstream_id
         held = self._grants.in_flight(upstream_id)
         if self.recovery.is_active(now_ms):
@@ -62,18 +63,18 @@
         return self.tracker.accepts_more(upstream_id, now_ms)
 
     def slots(self, now_ms):
-        """Return the places of all upstreams that take work."""
+        """Return the number of slots of all usable upstreams."""
         return self.tracker.count_slots(self.table.usable(), now_ms)
 
     def on_grant(self, held, now_ms):
-        """Count a grant that was just made."""
+        """Record a grant that was just issued."""
         upstream_id = held.grant.upstream_id
         held.in_flight_at_grant = self._grants.in_flight(upstream_id)
         self.tracker.on_grant(held, now_ms)
         self.recovery.record_grant(upstream_id, now_ms)
 
     def on_adopt(self, held, now_ms):
-        """Let an upstream keep what a former home had granted."""
+        """Record a grant that a former home issued, raising the limit to hold it."""
         upstream_id = held.grant.upstream_id
         tracked = self.tracker.get(upstream_id)
         if tracked is not None:
@@ -81,11 +82,14 @@
             self.tracker.on_adopt(held, now_ms)
 
     def on_tick(self, estimate, now_ms):
-        """Find upstreams that hold grants far longer than predicted; once a second."""
+        """Update time-dependent state; check for overdue grants once a second.
+
+        An upstream whose grants are held far longer than predicted may be ejected.
+        """
         self.tracker.on_tick(now_ms)
-        if now_ms - self._reviewed_ms < OVERDUE_CHECK_INTERVAL_MS:
+        if now_ms - self._overdue_checked_ms < OVERDUE_CHECK_INTERVAL_MS:
             return
-        self._reviewed_ms = now_ms
+        self._overdue_checked_ms = now_ms
         self.tracker.drift()
         if not estimate.has_samples:
             return
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/pace.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/pace.py
@@ -1,49 +1,50 @@
-"""How fast each engine is, and what the pool's work costs in its time."""
+"""Speed of each engine, and the cost of requests relative to it."""
 
-# Start values until the first answers: a large model on one accelerator.
+# Initial value, until the first answers: a large model on one accelerator.
 INITIAL_TOKEN_MS = 4.0
-# What every request takes to its first token, and what a prompt token takes, both in
-# units of the time of one output token. The ratios are the model's and hardly differ
-# between engines of one pool; the time of a token is the engine's own.
+# Fixed cost of any first token, and cost of a prompt token, both in units of the time
+# of one output token. These ratios depend on the model and hardly differ between the
+# engines of a pool; the time of an output token is specific to an engine.
 INITIAL_BASE_COST = 10.0
 INITIAL_PROMPT_TOKEN_COST = 0.0075
-# An engine's pace follows its own answers within a few, so that one that turns slow is
-# known before its next batch; the pool's ratios follow slowly.
+# An engine's pace adapts within a few of its answers, so that an engine that turns slow
+# is recognised before its next batch; the ratios of the pool adapt slowly.
 PACE_EWMA_WEIGHT = 0.4
 RATIO_EWMA_WEIGHT = 0.05
-# A first token that took this many times the expected time moves the pace at once, by
-# at most this factor: the end of the answer, which tells it well, may be seconds off.
+# A first token that took this multiple of the expected time changes the pace at once,
+# by at most the factor below: the end of the answer gives a better sample, but may be
+# seconds away.
 SLOW_FIRST_TOKEN_RATIO = 2.0
 MAX_FIRST_TOKEN_FACTOR = 1.5
-# A prompt of fewer tokens says too little of what a token costs, one of more too
-# little of what every request costs.
+# The cost of a prompt token is estimated from prompts of at least the first length, the
+# fixed cost from prompts of at most the second: others hold too little information.
 MIN_LONG_PROMPT_TOKENS = 1_500
 MAX_SHORT_PROMPT_TOKENS = 800
 
 
 class Work:
-    """What a request asks of an engine, in output tokens of the engine's time.
+    """The work of a request for an engine, in units of the time of one output token.
 
     Parameters
     ==========
     request : hemlockhoist.decisions.WorkRequest
     base_cost : float
-        What every first token takes beside its prompt.
+        Fixed cost of a first token, without that of its prompt.
     prompt_token_cost : float
-        What a prompt token takes.
+        Cost of a prompt token.
 
     Attributes
     ==========
     first_token_cost : float
-        To the first token of an answer that waits for nothing, of which nothing is kept.
+        Cost of the first token without queueing, and with no part of the prompt cached.
     prompt_token_cost : float
-        What a prompt token takes.
+        Cost of a prompt token.
     prompt_tokens, output_tokens : int
     deadline_ms, first_token_by_ms : int
     failure_domain : str
         Of the entry host.
     regions : tuple of str
-        Where the engine has to be; empty for anywhere.
+        Allowed regions of the engine; empty for any.
     """
 
     __slots__ = (
@@ -70,12 +71,12 @@
         self.regions = request.regions
 
     def allows_region(self, region):
-        """Return whether an engine of a region may have the request."""
+        """Return whether an engine of a region may serve the request."""
         return not self.regions or region in self.regions
 
 
 class PoolPace:
-    """What requests cost on any engine of a pool, in output tokens of its time."""
+    """Cost of requests in a pool, in units of the time of one output token."""
 
     __slots__ = ("_token_ms", "base_cost", "prompt_token_cost")
 
@@ -86,7 +87,7 @@
 
     @property
     def token_ms(self):
-        """The time of a token on an engine of which nothing is known yet."""
+        """The time of an output token on an engine that has no samples yet."""
         return INITIAL_TOKEN_MS if self._token_ms is None else self._token_ms
 
     def work(self, request):
@@ -94,24 +95,24 @@
         return Work(request, self.base_cost, self.prompt_token_cost)
 
     def hold_ms(self, request):
-        """Return for how long a request keeps a place of a usual engine."""
+        """Return how long a request holds a slot of an engine of mean pace."""
         tokens = self.base_cost + self.prompt_token_cost * request.prompt_tokens
         return self.token_ms * (tokens + request.output_tokens)
 
     def observe_token(self, token_ms):
-        """Take the time of a token of one answer, of any engine."""
+        """Add the time per output token of one answer of any engine."""
         if self._token_ms is None:
             self._token_ms = token_ms
         self._token_ms += RATIO_EWMA_WEIGHT * (token_ms - self._token_ms)
 
     def observe_first_token(self, prompt_tokens, first_token_cost):
-        """Take the time to a first token that waited for nothing.
+        """Update the costs from a first token without queueing.
 
         Parameters
         ==========
         prompt_tokens : int
         first_token_cost : float
-            The time, in output tokens of the engine's.
+            Time to first token, in units of the engine's time per output token.
         """
         if prompt_tokens >= MIN_LONG_PROMPT_TOKENS:
             sample = max(0.0, first_token_cost - self.base_cost) / prompt_tokens
@@ -124,15 +125,15 @@
 
 
 class EnginePace:
-    """How fast one engine is.
+    """Speed of one engine.
 
     Parameters
     ==========
     pool : PoolPace
     token_ms : float or None, optional
-        Of the engine, where that is known.
+        Initial value, if known.
     updates_pool : bool, optional
-        Whether its answers say anything of the pool's other engines.
+        Whether its answers also update the costs of the pool.
 
     Examples
     ========
@@ -146,7 +147,7 @@
     4
     """
 
-    __slots__ = ("_pool", "_updates_pool", "_token_ms")
+    __slots__ = ("_pool", "_token_ms", "_updates_pool")
 
     def __init__(self, pool, token_ms=None, updates_pool=True):
         self._pool = pool
@@ -154,20 +155,20 @@
         self._token_ms = token_ms
 
     def cold_copy(self):
-        """Return the pace of the same engine while it warms up.
+        """Return a copy of the pace for the time in which the engine warms up.
 
-        Failure: engines come back cold, and all engines of their pool are taken to be
-        as slow as they are for a while.
+        The copy does not update the pool: otherwise restarted, cold engines would make
+        all engines of their pool appear as slow as they are.
         """
         return EnginePace(self._pool, self._token_ms, updates_pool=False)
 
     @property
     def token_ms(self):
-        """The time of one output token."""
+        """The time per output token."""
         return self._pool.token_ms if self._token_ms is None else self._token_ms
 
     def observe_token(self, token_ms):
-        """Take the time of a token of one of its answers."""
+        """Add the time per output token of one of the engine's answers."""
         if self._updates_pool:
             self._pool.observe_token(token_ms)
         if self._token_ms is None:
@@ -175,12 +176,12 @@
         self._token_ms += PACE_EWMA_WEIGHT * (token_ms - self._token_ms)
 
     def observe_service_call(self, total_ms):
-        """Take the time of an answer without tokens, of a plain service."""
+        """Add the total time of an answer of a plain service, which has no tokens."""
         self._pool.base_cost = 1.0
         self.observe_token(total_ms)
 
     def observe_first_token(self, prompt_tokens, first_ms):
-        """Take the time to a first token that waited for nothing."""
+        """Add the time to a first token without queueing."""
         expected_ms = self.prompt_ms(prompt_tokens) + self.base_ms()
         ratio = first_ms / max(1.0, expected_ms)
         if self._token_ms is not None and ratio > SLOW_FIRST_TOKEN_RATIO:
@@ -190,13 +191,13 @@
             self._pool.observe_first_token(prompt_tokens, first_ms / self.token_ms)
 
     def prompt_ms(self, prompt_tokens):
-        """Return how long a prompt keeps the engine busy."""
+        """Return the prefill time of a prompt."""
         return self.token_ms * self._pool.prompt_token_cost * prompt_tokens
 
     def base_ms(self):
-        """Return what every request's first token takes beside its prompt."""
+        """Return the fixed part of the time to first token, without prefill."""
         return self.token_ms * self._pool.base_cost
 
     def decode_ms(self, output_tokens):
-        """Return how long an answer's tokens take."""
+        """Return the decoding time of an answer."""
         return self.token_ms * output_tokens
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/prefixes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/prefixes.py
@@ -1,41 +1,41 @@
-"""What an upstream has lately computed, by the hashes of leading prompt blocks."""
+"""Prompt prefixes that an upstream probably has cached, by hashes of their blocks."""
 
 import collections
 
-# Blocks remembered for an upstream, at most: about the prefix cache of an engine of a
-# middle generation. With some tens of upstreams in a shard this bound keeps the map
-# within a tenth of the host's memory for control.
+# Most blocks recorded for an upstream: about the prefix cache of an engine of a middle
+# generation. With some tens of upstreams in a shard this bound keeps the maps within a
+# tenth of the host's memory for control.
 MAX_BLOCKS = 2_048
-# And at least, whatever the engine's cache seems to be.
+# Lower bound of the map's capacity, however small the engine's cache appears to be.
 MIN_BLOCKS = 64
-# Slower than one would think: a prompt that is still being computed also reads as a
-# miss for the next one with the same beginning.
-_SHRINK = 0.97
-_GROW = 1.02
+# Factors by which the capacity follows the answers. Shrinking is slow, as a prompt that
+# is still being computed also counts as a miss for the next one with the same prefix.
+_SHRINK_FACTOR = 0.97
+_GROWTH_FACTOR = 1.02
 
 
 class PrefixMap:
-    """A bounded map of the blocks in one upstream's prefix cache, as far as known.
+    """A bounded map of the blocks that are probably in one upstream's prefix cache.
 
     It is filled from this home's grants, not from the engines' cache events, which
-    come late and with gaps. Its bound follows what answers prove: an engine with a
-    small cache has dropped blocks that the map still lists.
+    arrive late and incomplete. Its capacity follows the cached tokens that answers
+    report: an engine with a small cache has evicted blocks that the map still lists.
     """
 
-    __slots__ = ("_blocks", "_room")
+    __slots__ = ("_blocks", "_max_blocks")
 
     def __init__(self):
         self._blocks = collections.OrderedDict()
-        self._room = float(MAX_BLOCKS)
+        self._max_blocks = float(MAX_BLOCKS)
 
     def __len__(self):
         return len(self._blocks)
 
     def match(self, prefix_hashes):
-        """Return how many leading blocks are held.
+        """Return how many leading blocks are probably cached.
 
-        Hashes are chained, so a held block implies that those before it were held
-        when it was computed: a binary search finds the last one.
+        Hashes are chained, so a cached block implies that those before it were cached
+        when it was computed, and a binary search finds the last one.
         """
         low, high = 0, len(prefix_hashes)
         while low < high:
@@ -47,23 +47,23 @@
         return low
 
     def add(self, prefix_hashes):
-        """Note that a prompt is computed."""
+        """Add the blocks of a prompt that is computed."""
         blocks = self._blocks
-        # Longest first: when room is short the leading blocks, which more prompts
-        # share, are the last to go.
+        # Longest prefix first, so that the leading blocks, which more prompts share,
+        # are evicted last.
         for item in reversed(prefix_hashes):
             blocks[item] = None
             blocks.move_to_end(item)
         self._trim()
 
     def observe(self, expected_blocks, found_blocks):
-        """Compare what was expected to be cached with what the engine found."""
+        """Adapt the capacity to the number of blocks that the engine found cached."""
         if found_blocks < expected_blocks:
-            self._room = max(float(MIN_BLOCKS), self._room * _SHRINK)
+            self._max_blocks = max(float(MIN_BLOCKS), self._max_blocks * _SHRINK_FACTOR)
             self._trim()
         elif expected_blocks:
-            self._room = min(float(MAX_BLOCKS), self._room * _GROW)
+            self._max_blocks = min(float(MAX_BLOCKS), self._max_blocks * _GROWTH_FACTOR)
 
     def _trim(self):
-        while len(self._blocks) > self._room:
+        while len(self._blocks) > self._max_blocks:
             self._blocks.popitem(last=False)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/recovery.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/recovery.py
@@ -1,23 +1,23 @@
-"""The time after a home has taken over, while it doesn't yet know all grants."""
+"""The phase after a takeover in which a home doesn't yet know all grants."""
 
-# Entry hosts report the grants they hold within a second of learning of a new home.
-# A report that is lost is sent again once within the rest.
+# Entry hosts report the grants they hold within a second of learning of a new home. The
+# remaining time allows for one resend of a lost report.
 RECOVERY_MS = 3_000
-# Where upstreams declare their places, reports are not read; entry hosts answer within
-# a few round trips, and what the dead ones held is ending. Too many grants for a moment
-# only wait in the upstreams' own queues, which costs less than standing still.
+# With declared slots, load reports are not read; entry hosts answer within a few round
+# trips, and the requests of dead ones are ending. Excess grants of this short time only
+# wait in the upstreams' own queues, which costs less than granting nothing.
 DECLARED_RECOVERY_MS = 200
 
 
 class RecoveryPhase:
-    """Bounds what a new home grants by the upstreams' own load reports.
+    """Bounds the grants of a new home by the load reports of the upstreams.
 
-    Made for the death of a home: its grants in flight are unknown to the next one
-    until the entry hosts that hold them have reported. Counting only what is known
-    would grant a full set of places again, and every upstream would hold twice its
-    limit. So in this phase an upstream without a load report gets nothing, and one
-    with a report is taken to hold what it reports plus what was granted since, or
-    what is known to be granted, whichever is more.
+    When a home fails, its grants in flight are unknown to its successor until the entry
+    hosts that hold them have reported. By known grants alone, the successor would grant
+    all slots again, and every upstream would hold twice its limit. So in this phase an
+    upstream without a load report gets no requests. One with a report is assumed to
+    hold what it reported plus what was granted since, or the known grants if these are
+    more.
     """
 
     __slots__ = ("_duration_ms", "_granted_ms", "_until_ms")
@@ -28,7 +28,7 @@
         self._granted_ms = {}
 
     def begin(self, now_ms):
-        """Start the phase, for at most its duration."""
+        """Start the phase, which lasts at most its configured duration."""
         self._until_ms = now_ms + self._duration_ms
         self._granted_ms = {}
 
@@ -38,33 +38,33 @@
         self._granted_ms = {}
 
     def is_active(self, now_ms):
-        """Return whether the phase lasts."""
+        """Return whether the phase is in progress."""
         if self._until_ms is not None and now_ms >= self._until_ms:
             self.end()
         return self._until_ms is not None
 
     def record_grant(self, upstream_id, now_ms):
-        """Count a grant that no report includes yet."""
+        """Record a grant that no report includes yet."""
         if self.is_active(now_ms):
             self._granted_ms.setdefault(upstream_id, []).append(now_ms)
 
     def assumed_in_flight(self, upstream_id, counted, report, now_ms):
-        """Return how many requests an upstream is taken to hold, or None if unknown.
+        """Return how many requests an upstream is assumed to hold, or None if unknown.
 
         Parameters
         ==========
         upstream_id : str
         counted : int
-            Grants that this home counts.
+            Number of grants that this home knows.
         report : tuple of int and LoadReport, or None
-            When the upstream's last report was measured, and the report.
+            Time at which the upstream's latest report was measured, and the report.
         now_ms : int
         """
         if not self.is_active(now_ms):
             return counted
         if report is None:
             return None
-        measured_ms, load = report
+        measured_ms, load_report = report
         grants = self._granted_ms.get(upstream_id, ())
-        since = sum(1 for at_ms in grants if at_ms >= measured_ms)
-        return max(counted, load.in_flight + load.queued + since)
+        granted_since = sum(1 for at_ms in grants if at_ms >= measured_ms)
+        return max(counted, load_report.in_flight + load_report.queued + granted_since)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/upstream_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/upstream_tracker.py
@@ -1,27 +1,27 @@
-"""What a pool's scheduler asks of the tracks of its upstreams."""
+"""The interface between a pool's scheduler and the tracker of its upstreams."""
 
 
 class UpstreamTracker:
-    """What a home knows of each upstream, and where it places a request by it.
+    """Records what a home knows of each upstream, and chooses one for a request.
 
-    Upstreams that declare how many requests they work on at once have
-    ``DeclaredSlotsTracker``; for others ``AdaptiveTracker`` finds their limits.
+    ``DeclaredSlotsTracker`` is for upstreams that declare how many requests they work
+    on at once; for others ``AdaptiveTracker`` finds the limits.
 
     Attributes
     ==========
     recovery_ms : int
-        For how long a new home does not trust its counts.
+        How long a new home bounds its grants by load reports after taking over.
     """
 
     __slots__ = ()
     recovery_ms = 0
 
     def set_listed(self, upstreams):
-        """Begin tracks for new upstreams, and drop those of vanished ones."""
+        """Start tracking new upstreams, and forget those that are no longer listed."""
         raise NotImplementedError
 
     def get(self, upstream_id):
-        """Return the track of a listed upstream, or None."""
+        """Return what is tracked of a listed upstream, or None."""
         raise NotImplementedError
 
     def slots(self, upstream_id, now_ms):
@@ -29,39 +29,42 @@
         raise NotImplementedError
 
     def choose(self, request, choices, in_flight, now_ms, ahead=0):
-        """Return the upstream for a request, or None where it should wait.
+        """Return the upstream for a request, or None if it should wait.
 
         Parameters
         ==========
         request : hemlockhoist.decisions.WorkRequest
         choices : sequence of hemlockhoist.decisions.Upstream
-            With a free place.
+            Those with a free slot.
         in_flight : callable
-            Returns the count in flight of an upstream id.
+            Returns the number of grants in flight at an upstream id.
         now_ms : int
         ahead : int, optional
-            Requests before this one that wait for a better upstream.
+            Number of requests before this one that wait for a better upstream.
         """
         raise NotImplementedError
 
     def hold_ms(self, request):
-        """Return for how long a request holds a place, or None where not known."""
+        """Return how long a request is expected to hold a slot, or None if unknown."""
         raise NotImplementedError
 
     def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
-        """Return when a request's turn is, within its customer's."""
+        """Return the key by which the requests of one customer are ordered.
+
+        The request with the lowest key is served first.
+        """
         raise NotImplementedError
 
     def on_grant(self, held, now_ms):
-        """Count a grant."""
+        """Record a grant."""
         raise NotImplementedError
 
     def on_first_token(self, held, first_token_ms, now_ms):
-        """Learn from a first token that is told before the answer's end."""
+        """Record a first token that is reported before the answer ends."""
         raise NotImplementedError
 
     def on_outcome(self, held, outcome, hold_ms, predicted_ms, now_ms):
-        """Learn from a returned grant.
+        """Record the outcome of a released grant.
 
         Parameters
         ==========
@@ -70,50 +73,50 @@
         hold_ms : int
             From grant to release.
         predicted_ms : float
-            What the pool's estimate says for such a request now.
+            Current prediction of the pool's estimate for such a request.
         now_ms : int
         """
         raise NotImplementedError
 
     def forget(self, held, now_ms):
-        """Stop counting a grant whose outcome nobody will report."""
+        """Remove a grant whose outcome will not be reported."""
         raise NotImplementedError
 
     def begin_takeover(self, now_ms):
-        """Take notice that this home decides from here on, perhaps after another."""
+        """Start deciding as a new home, possibly after another one."""
 
     def set_share(self, share):
-        """Take the part of what is bounded over all hosts that is given out here."""
+        """Set the fraction of bounds over all hosts that applies to this one."""
 
     def is_cold(self, upstream_id, now_ms):
-        """Return whether an upstream warms up after its start."""
+        """Return whether an upstream is still warming up after its start."""
         return False
 
     def on_adopt(self, held, now_ms):
-        """Count a grant of a former home."""
+        """Record a grant of a former home."""
 
     def set_max_limit(self, max_limit):
-        """Take a changed upper bound of the limits, where they are found."""
+        """Set the upper bound of adaptive limits."""
 
     def set_usable(self, upstreams, now_ms):
-        """Take the upstreams that are not leaving."""
+        """Set the upstreams that may be assigned work."""
 
     def cached_elsewhere(self, request, upstream_id):
-        """Return the most prompt tokens that another upstream probably has cached."""
+        """Return the most prompt tokens that any other upstream probably has cached."""
         return 0
 
     def accepts_more(self, upstream_id, now_ms):
-        """Return whether an upstream may be given another request, places aside."""
+        """Return whether an upstream may take a request, apart from free slots."""
         return True
 
     def with_free_slot(self, upstreams, in_flight, now_ms):
-        """Return those of some upstreams that may be given one more request.
+        """Return those of the given upstreams that may be assigned one more request.
 
         Parameters
         ==========
         upstreams : iterable of hemlockhoist.decisions.Upstream
         in_flight : callable
-            Returns the count in flight of an upstream id.
+            Returns the number of grants in flight at an upstream id.
         now_ms : int
         """
         return [
@@ -124,24 +127,24 @@
         ]
 
     def count_slots(self, upstreams, now_ms):
-        """Return the places of some upstreams together."""
+        """Return the total number of slots of the given upstreams."""
         return sum(self.slots(item.upstream_id, now_ms) for item in upstreams)
 
     def on_overdue(self, upstream_id, overdue, ratio, now_ms):
-        """Take notice of grants that are held far longer than predicted.
+        """Handle grants that are held far longer than predicted.
 
         Parameters
         ==========
         upstream_id : str
         overdue : int
-            How many.
+            Number of such grants.
         ratio : float
-            Median multiple of their predicted time.
+            Median ratio of their holding time to the predicted time.
         now_ms : int
         """
 
     def on_tick(self, now_ms):
-        """Do what time alone brings about; to be called at each tick."""
+        """Update state that depends on time alone; called at each tick."""
 
     def drift(self):
-        """Let what is not measured return to what is usual; once a second."""
+        """Move speeds towards their means; called once a second."""
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/upstreams.py
@@ -1,10 +1,10 @@
-"""What is known of the upstreams of one pool shard."""
+"""The table of the listed upstreams of one pool shard and their load reports."""
 
 from hemlockhoist.decisions.work import UpstreamState
 
 
 class UpstreamTable:
-    """Upstreams from the platform's list, and what each last said of itself."""
+    """Upstreams from the platform's list, with the latest load report of each."""
 
     __slots__ = ("_leaving", "_reports", "_upstreams", "_usable")
 
@@ -21,27 +21,28 @@
         return iter(self._upstreams.values())
 
     def get(self, upstream_id):
-        """Return the upstream, or None where the list has it no more."""
+        """Return the upstream, or None if it is not listed."""
         return self._upstreams.get(upstream_id)
 
     def replace(self, upstreams):
-        """Take a new list; return whether it was taken.
+        """Replace the list of upstreams; return whether it was replaced.
 
-        An empty list keeps the former one. The list lags and its service has
-        outages; one that reads as empty shows as every request of the pool refused
-        at once, while its upstreams are well. If they are truly gone, connecting
-        fails before a byte is sent, which refuses the same requests truthfully.
+        An empty list is ignored if there was one with upstreams. The list lags and its
+        service has outages, and a list that wrongly reads as empty would refuse all
+        requests of a pool whose upstreams are healthy. If the upstreams are really
+        gone, connecting fails before a byte is sent, and the same requests are refused
+        for that reason.
         """
         if not upstreams and self._upstreams:
             return False
         self._usable = None
         self._upstreams = {item.upstream_id: item for item in upstreams}
-        self._reports = _only(self._reports, self._upstreams)
-        self._leaving = _only(self._leaving, self._upstreams)
+        self._reports = _retain(self._reports, self._upstreams)
+        self._leaving = _retain(self._leaving, self._upstreams)
         return True
 
     def observe(self, report, now_ms):
-        """Take an upstream's load report, unless a later one was seen."""
+        """Record an upstream's load report, unless it is older than the latest one."""
         measured_ms = now_ms - report.age_ms
         former = self._reports.get(report.upstream_id)
         if former is not None and measured_ms < former[0]:
@@ -54,18 +55,21 @@
             self._leaving.pop(report.upstream_id, None)
 
     def report(self, upstream_id):
-        """Return when the last report was measured and the report, or None."""
+        """Return the latest report as ``(measured_ms, report)``, or None."""
         return self._reports.get(upstream_id)
 
     def is_leaving(self, upstream_id):
-        """Return whether it gets nothing more: the list, an operator, or it says so."""
+        """Return whether an upstream gets no new work.
+
+        The list, an operator's evacuation or its own load report may say so.
+        """
         upstream = self._upstreams.get(upstream_id)
         if upstream is None or upstream.state is not UpstreamState.LIVE:
             return True
         return upstream_id in self._leaving
 
     def evacuated_domains(self):
-        """Return the failure domains of evacuated upstreams, in order."""
+        """Return the sorted failure domains of evacuated upstreams."""
         return sorted(
             {
                 item.failure_domain
@@ -75,23 +79,23 @@
         )
 
     def is_evacuated(self):
-        """Return whether evacuations leave no upstream that may be given work."""
+        """Return whether no upstream is usable and some are evacuated."""
         return not self.usable() and bool(self.evacuated_domains())
 
     def serves(self, regions):
-        """Return whether any upstream of some regions may be given work.
+        """Return whether any upstream of the given regions is usable.
 
         Parameters
         ==========
         regions : tuple of str
-            Empty for anywhere.
+            Empty for any region.
         """
         if not regions:
             return bool(self.usable())
         return any(item.region in regions for item in self.usable())
 
     def usable(self):
-        """Return the upstreams that are not leaving.
+        """Return the upstreams that are neither leaving nor evacuated.
 
         Returns
         =======
@@ -107,5 +111,5 @@
         return self._usable
 
 
-def _only(mapping, kept):
+def _retain(mapping, kept):
     return {key: value for key, value in mapping.items() if key in kept}
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/warmup.py
@@ -1,4 +1,4 @@
-"""How many requests a cold upstream is given while it warms up."""
+"""Rate limit of requests to cold upstreams while they warm up."""
 
 import collections
 
@@ -6,26 +6,26 @@
 
 from hemlockhoist.base import MS_PER_S
 
-# Grants are given here and requests arrive at the upstream some time later: those of a
-# little more than a second may arrive within one.
+# Requests arrive at the upstream some time after their grants are issued here: those of
+# a little more than a second may arrive within one second.
 WINDOW_MS = MS_PER_S + 300
-# Of the bound, what is given out. The rest is for grants whose way took longer still.
+# Fraction of the limit that is used; the rest is for requests with longer delays still.
 USED_FRACTION = 0.85
-# A home that hears more than half of the fleet gives each cold upstream one request a
-# window, however low the bound.
+# A home that reaches more than this fraction of the fleet assigns each cold upstream at
+# least one request per window, however low the limit.
 MAJORITY_FRACTION = 0.5
 
 
 class ColdStartLimit(msgspec.Struct, frozen=True, kw_only=True):
-    """What is declared of the cold upstreams of a pool.
+    """The declared limit for cold upstreams of a pool.
 
     Parameters
     ==========
     cold_ms : int
-        For how long an upstream is cold after its start.
+        How long an upstream is cold after its start.
     requests_per_s : float
-        The most that a cold upstream may get in any second, from all hosts together;
-        0 where that is not bounded.
+        The most requests that a cold upstream may get in any second, from all hosts
+        together; 0 for no limit.
     """
 
     cold_ms: int = 0
@@ -36,17 +36,17 @@
 
 
 class Warmup:
-    """Which upstreams are cold, and whether one may be given another request.
+    """Tracks which upstreams are cold, and limits the requests that they get.
 
-    Load: engines come back after a crash or an evacuation of their failure domain. They
-    hold nothing, so that they look the best of all, and get the whole pool's requests
-    within a second; cold ones crash under that. The home counts what all hosts send,
-    and gives a cold upstream less than it bears in any second.
+    Engines that return after a crash or an evacuation of their failure domain hold no
+    requests, so they would be preferred to all others and get the whole pool's requests
+    within a second, which makes cold engines crash. The home counts the requests from
+    all hosts, and keeps a cold upstream below its limit in any second.
 
     Parameters
     ==========
     get_limit : callable
-        Returns the ``ColdStartLimit`` that is declared at present.
+        Returns the currently declared ``ColdStartLimit``.
 
     Examples
     ========
@@ -59,25 +59,25 @@
     (False, True, True)
     """
 
-    __slots__ = ("_get_limit", "_cold_until_ms", "_grants", "_since_ms", "_share")
+    __slots__ = ("_cold_until_ms", "_get_limit", "_grants", "_share", "_takeover_ms")
 
     def __init__(self, get_limit=lambda: UNLIMITED):
         self._get_limit = get_limit
         self._cold_until_ms = {}
         self._grants = {}
-        self._since_ms = None
+        self._takeover_ms = None
         self._share = 1.0
 
     def set_share(self, share):
-        """Take the part of the bound that is given out here; others give the rest."""
+        """Set the fraction of the limit that applies to this home."""
         self._share = share
 
     def assume_limit_used(self, now_ms):
-        """Take all bounds for spent: another home may have given them out just now."""
-        self._since_ms = now_ms
+        """Assume that all limits are used up, perhaps by another home just before."""
+        self._takeover_ms = now_ms
 
     def set_listed(self, upstreams):
-        """Take what the list says of upstreams, and forget those that vanished."""
+        """Record until when the listed upstreams are cold, and forget all others."""
         listed = {item.upstream_id: item.cold_until_ms for item in upstreams}
         self._grants = {
             key: times for key, times in self._grants.items() if key in listed
@@ -90,55 +90,55 @@
         }
 
     def assume_cold(self, upstream_id, now_ms):
-        """Take an upstream that was out of reach and is back for one that has started.
+        """Treat an upstream that was unreachable as just started.
 
-        Failure: an upstream crashes and is back before the list shows it, and gets the
-        requests of a warm one.
+        Otherwise an upstream that crashes and restarts before the list shows it would
+        get as many requests as a warm one.
         """
         until_ms = now_ms + self._get_limit().cold_ms
         known_ms = self._cold_until_ms.get(upstream_id, 0)
         self._cold_until_ms[upstream_id] = max(until_ms, known_ms)
 
     def is_cold(self, upstream_id, now_ms):
-        """Return whether an upstream warms up."""
+        """Return whether an upstream is still warming up."""
         return self._cold_until_ms.get(upstream_id, 0) > now_ms
 
     def any_cold(self, now_ms):
-        """Return whether any upstream warms up."""
+        """Return whether any upstream is still warming up."""
         return any(until_ms > now_ms for until_ms in self._cold_until_ms.values())
 
     def allows(self, upstream_id, now_ms):
-        """Return whether an upstream may be given another request now."""
+        """Return whether an upstream may be assigned another request now."""
         if not self.is_cold(upstream_id, now_ms):
             return True
-        bound = self._get_limit().requests_per_s
-        if not bound:
+        limit = self._get_limit().requests_per_s
+        if not limit:
             return True
-        if self._since_ms is not None and now_ms - self._since_ms < WINDOW_MS:
+        if self._takeover_ms is not None and now_ms - self._takeover_ms < WINDOW_MS:
             return False
-        most = int(USED_FRACTION * self._share * bound)
+        max_requests = int(USED_FRACTION * self._share * limit)
         if self._share > MAJORITY_FRACTION:
-            most = max(1, most)
-        return self._count(upstream_id, now_ms) < most
+            max_requests = max(1, max_requests)
+        return self._count(upstream_id, now_ms) < max_requests
 
     def record_grant(self, upstream_id, now_ms):
-        """Count a request that an upstream is given, also a warm one.
+        """Count a request for an upstream, cold or warm.
 
-        Failure: an upstream turns cold while it serves, and what it was sent in the
-        second before counts as well.
+        Warm upstreams are counted too: if one turns cold while it serves, the requests
+        of the second before count against its limit.
         """
         if self._get_limit().requests_per_s:
             times = self._grants.setdefault(upstream_id, collections.deque())
             times.append(now_ms)
-            _forget(times, now_ms)
+            _drop_expired(times, now_ms)
 
     def _count(self, upstream_id, now_ms):
         times = self._grants.get(upstream_id, ())
         if times:
-            _forget(times, now_ms)
+            _drop_expired(times, now_ms)
         return len(times)
 
 
-def _forget(times, now_ms):
+def _drop_expired(times, now_ms):
     while times and now_ms - times[0] >= WINDOW_MS:
         times.popleft()
