--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
@@ -42,8 +42,8 @@
     return Outcome(kind=kind, total_ms=1)
 
 
-class Load:
-    """Sends requests one by one, and ends each as its upstream would."""
+class RequestSender:
+    """Sends requests one by one, and ends each with its upstream's outcome."""
 
     def __init__(self, sched):
         self.sched = sched
@@ -51,7 +51,7 @@
         self.sent = []
 
     def send(self, outcome_of, count=1, every_ms=100, **fields):
-        """Return where the requests went."""
+        """Return the upstreams that the requests were sent to."""
         placed = []
         for _ in range(count):
             self.now_ms += every_ms
@@ -66,7 +66,7 @@
         return placed
 
     def learn(self, paces):
-        """Let each upstream answer a few requests at its pace."""
+        """Have each upstream answer a few requests at its pace."""
         for name, token_us in paces.items():
             self.sched.set_upstreams([upstream(name)], self.now_ms)
             self.send(lambda _, us=token_us: success(us), count=5)
@@ -75,12 +75,12 @@
 
 class UnreachableTests(unittest.TestCase):
     def test_crashed_upstream_is_not_tried_by_every_request(self):
-        """Every caller waits for two dead engines before a live one.
+        """Each request is first sent to crashed engines.
 
-        An engine crashed and is still listed. It holds nothing, so each request of the
-        next seconds is sent there first; half of all places given were useless.
+        A crashed engine that is still listed holds no requests, so each request of the
+        next seconds was sent there first; half of all grants were useless.
         """
-        load = Load(scheduler("dead", "live"))
+        load = RequestSender(scheduler("dead", "live"))
         placed = load.send(
             lambda name: (
                 ended(OutcomeKind.CONNECT_FAILED)
@@ -92,8 +92,8 @@
         )
         self.assertLessEqual(placed.count("dead"), 4)
 
-    def test_upstream_that_is_back_is_used_again(self):
-        load = Load(scheduler("once", "other"))
+    def test_upstream_that_is_reachable_again_is_used(self):
+        load = RequestSender(scheduler("once", "other"))
         load.send(
             lambda name: (
                 ended(OutcomeKind.CONNECT_FAILED)
@@ -106,8 +106,8 @@
         self.assertIn("once", placed[-20:])
 
     def test_all_unreachable_upstreams_are_tried_in_turn(self):
-        """With nothing else left, a pause ends after two seconds at most."""
-        load = Load(scheduler("a", "b"))
+        """Without any other upstream, a backoff ends after two seconds at most."""
+        load = RequestSender(scheduler("a", "b"))
         placed = load.send(
             lambda name: ended(OutcomeKind.CONNECT_FAILED), count=100, every_ms=100
         )
@@ -116,7 +116,7 @@
 
 class FailingTests(unittest.TestCase):
     def test_upstream_that_fails_half_its_answers_is_avoided(self):
-        """Bookings fail at one replica that says it is well."""
+        """Half of the requests fail at one upstream that reports no problem."""
         count = {"bad": 0}
 
         def outcome_of(name):
@@ -126,26 +126,26 @@
                     return ended(OutcomeKind.FAILED)
             return success(FAST_US)
 
-        load = Load(scheduler("bad", "good", "fine"))
+        load = RequestSender(scheduler("bad", "good", "fine"))
         placed = load.send(outcome_of, count=60)
         self.assertLess(placed.count("bad"), 15)
 
-    def test_failures_that_all_have_alike_change_nothing(self):
-        """Where every replica fails as often, none is avoided for it."""
+    def test_equal_failure_rates_avoid_no_upstream(self):
+        """If all upstreams fail equally often, none is avoided."""
         turn = {"n": 0}
 
         def outcome_of(name):
             turn["n"] += 1
             return ended(OutcomeKind.FAILED) if turn["n"] % 3 == 0 else success(FAST_US)
 
-        load = Load(scheduler("a", "b"))
+        load = RequestSender(scheduler("a", "b"))
         placed = load.send(outcome_of, count=200, every_ms=20)
         self.assertGreater(min(placed.count("a"), placed.count("b")), 20)
 
 
 class PaceTests(unittest.TestCase):
     def setUp(self):
-        self.load = Load(scheduler("fast", "slow"))
+        self.load = RequestSender(scheduler("fast", "slow"))
         self.load.learn({"fast": FAST_US, "slow": SLOW_US})
         self.load.now_ms += 1_000
 
@@ -158,15 +158,15 @@
         self.assertEqual(self.place(prompt_tokens=20_000), "fast")
 
     def test_short_prompts_use_the_slow_engine_beside_a_long_one(self):
-        """A short question waits behind a long report, and an engine stands idle.
+        """A short prompt waits behind a long one while a slow engine is idle.
 
-        The fast engine computes a report's prompt for half a second; the slow one
-        would have answered the question in a tenth of that.
+        The fast engine computes the long prompt for half a second; the slow one would
+        have answered the short one in a tenth of that.
         """
         self.place(prompt_tokens=40_000)
         self.assertEqual(self.place(prompt_tokens=300), "slow")
 
-    def test_engine_that_turns_slow_is_known_after_a_few_answers(self):
+    def test_engine_that_turns_slow_is_recognised_after_a_few_answers(self):
         self.load.sched.set_upstreams([upstream("fast")], self.load.now_ms)
         self.load.send(lambda name: success(10 * SLOW_US), count=4)
         both = [upstream("fast"), upstream("slow")]
@@ -183,20 +183,20 @@
 
 
 class StallTests(unittest.TestCase):
-    def test_upstream_that_has_gone_silent_is_avoided(self):
-        """An engine goes dark while it holds two requests; new ones follow them.
+    def test_unresponsive_upstream_is_avoided(self):
+        """An engine hangs while it holds two requests; more requests are sent there.
 
-        No connection breaks and no answer fails. It shows in first tokens that are
-        long overdue.
+        No connection breaks and no answer fails. Only the first tokens, long overdue,
+        show the stall.
         """
-        sched = scheduler("dark", "live")
-        load = Load(sched)
-        load.learn({"dark": FAST_US, "live": FAST_US})
+        sched = scheduler("stalled", "live")
+        load = RequestSender(sched)
+        load.learn({"stalled": FAST_US, "live": FAST_US})
         now_ms = load.now_ms + 1_000
-        sched.set_upstreams([upstream("dark")], now_ms)
+        sched.set_upstreams([upstream("stalled")], now_ms)
         for _ in range(2):
             sched.submit(b.request(now_ms=now_ms), now_ms)
-        sched.set_upstreams([upstream("dark"), upstream("live")], now_ms)
+        sched.set_upstreams([upstream("stalled"), upstream("live")], now_ms)
         load.now_ms = now_ms + 2_000
         sched.tick(load.now_ms)
         placed = load.send(lambda name: success(FAST_US), count=6)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_ejection.py
@@ -10,8 +10,8 @@
 from hemlockhoist.decisions.scheduling.tests import builders as b
 
 
-class _Pool:
-    """Serves requests one after the other, each upstream in its own time."""
+class _PoolSimulation:
+    """Simulates a pool whose upstreams serve requests with fixed holding times."""
 
     def __init__(self, count, hold_ms):
         self.sched = b.scheduler(slots=4, count=count, max_queued=100)
@@ -21,7 +21,7 @@
         self.used = []
 
     def run(self, until_ms, every_ms=50, **fields):
-        """Submit at a fixed pace; return the upstreams used."""
+        """Submit requests at a fixed interval; return the upstreams used."""
         self.used = []
         while self.now_ms < until_ms:
             self.now_ms += every_ms
@@ -54,25 +54,25 @@
 
 
 class SlowUpstreamTests(unittest.TestCase):
-    def test_a_tenfold_slow_upstream_gets_next_to_nothing(self):
-        """One of four is ten times slower: callers are served by the other three."""
-        pool = _Pool(4, {"u0": 4_000})
+    def test_upstream_ten_times_slower_gets_almost_no_requests(self):
+        """One of four is ten times slower: the other three serve the requests."""
+        pool = _PoolSimulation(4, {"u0": 4_000})
         pool.run(20_000)
         used = pool.run(60_000)
         self.assertLess(used.count("u0"), 0.03 * len(used))
 
-    def test_a_recovered_upstream_is_let_in_again(self):
-        """The slow upstream is well again: it gets its part within two minutes."""
-        pool = _Pool(4, {"u0": 4_000})
+    def test_recovered_upstream_is_readmitted(self):
+        """A slow upstream recovers and gets its share of requests in two minutes."""
+        pool = _PoolSimulation(4, {"u0": 4_000})
         pool.run(20_000)
         pool.hold_ms = {}
         pool.run(140_000)
         used = pool.run(180_000)
         self.assertGreater(used.count("u0"), 0.1 * len(used))
 
-    def test_a_pool_that_is_slow_as_a_whole_keeps_its_upstreams(self):
-        """All become ten times slower: none is better, and none is ejected."""
-        pool = _Pool(4, {})
+    def test_uniformly_slow_pool_keeps_its_upstreams(self):
+        """All upstreams become ten times slower: none is ejected."""
+        pool = _PoolSimulation(4, {})
         pool.run(10_000)
         pool.hold_ms = {f"u{n}": 4_000 for n in range(4)}
         pool.run(40_000, every_ms=300)
@@ -80,8 +80,8 @@
         self.assertEqual(set(used), {"u0", "u1", "u2", "u3"})
 
     def test_slower_hardware_is_not_ejected(self):
-        """Two of an older generation, four times slower, go on serving."""
-        pool = _Pool(4, {"u2": 1_600, "u3": 1_600})
+        """Two upstreams of an older generation, four times slower, keep serving."""
+        pool = _PoolSimulation(4, {"u2": 1_600, "u3": 1_600})
         listed = [
             Upstream(
                 upstream_id=f"u{n}",
@@ -101,8 +101,8 @@
 class FailingUpstreamTests(unittest.TestCase):
     def test_failed_connects_eject_at_most_a_third(self):
         """
-        The network to all upstreams but one breaks. Connects fail and are given back
-        unsent. If all were ejected the pool would refuse everything; a third is.
+        The network to the upstreams fails: connects fail and grants are released
+        unsent. If all were ejected, the pool would refuse everything; a third is.
         """
         sched = b.scheduler(slots=4, count=6)
         failed = Outcome(kind=OutcomeKind.CONNECT_FAILED)
@@ -115,11 +115,11 @@
                 sched.release(decision.grant.grant_id, failed, now_ms + 1)
         self.assertEqual(len(set(used[-20:])), 4)
 
-    def test_the_last_upstream_that_stays_is_let_in_again(self):
+    def test_last_upstream_that_is_not_leaving_is_readmitted(self):
         """
-        One of three upstreams is ejected for failures. A minute of planned work
-        begins: the other two say they are leaving. The pool has one upstream left,
-        and callers are refused as if it had none.
+        One of three upstreams is ejected for failures, then the other two report that
+        they are leaving. The pool has one upstream left, and requests were refused as
+        if it had none.
         """
         sched = b.scheduler(slots=4, count=3)
         broke = Outcome(kind=OutcomeKind.BROKE_OFF)
@@ -141,9 +141,9 @@
 
     def test_a_probe_is_never_a_non_idempotent_call(self):
         """
-        An upstream failed thrice and its ejection is over. A booking and a lookup
-        arrive. A booking that breaks off there may be lost or doubled; a lookup can
-        be asked again, so it is the one that probes.
+        The ejection of an upstream after three failures is over. A non-idempotent
+        booking that breaks off there could be lost or doubled; the lookup is
+        idempotent and can be retried, so it is used as the probe.
         """
         sched = b.scheduler(slots=4, count=3)
         broke = Outcome(kind=OutcomeKind.BROKE_OFF)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
@@ -39,7 +39,7 @@
 
 class EvacuationTests(unittest.TestCase):
     def test_waiting_requests_go_to_the_other_domains(self):
-        """Requests that wait for a zone reach it after it was evacuated."""
+        """Requests that wait for a domain reach it after it was evacuated."""
         sched = scheduler(upstream("a1"), upstream("b1"))
         first = [sched.submit(b.request(), 0)[0].grant for _ in range(2)]
         waiting = b.request()
@@ -52,8 +52,8 @@
         self.assertEqual(granted.grant.upstream_id, "b1")
         self.assertIs(granted.request, waiting)
 
-    def test_callers_are_told_at_once_when_all_domains_are_evacuated(self):
-        """Callers wait to the end of their time for upstreams that get nothing."""
+    def test_requests_are_refused_at_once_when_all_domains_are_evacuated(self):
+        """Callers wait until their deadline for upstreams that get no requests."""
         sched = scheduler(upstream("a1"), upstream("b1"))
         for _ in range(2):
             sched.submit(b.request(), 0)
@@ -67,7 +67,7 @@
         self.assertGreater(min(item.retry_after_ms for item in refused), 1_000)
         self.assertEqual(sched.evacuated_domains(), ["a", "b"])
 
-    def test_domain_that_is_taken_back_is_used_again(self):
+    def test_domain_is_used_again_after_the_evacuation(self):
         sched = scheduler(evacuated("a1"))
         self.assertEqual(len(b.rejected(sched.submit(b.request(), 0))), 1)
         sched.set_upstreams([upstream("a1")], 10)
@@ -80,10 +80,10 @@
             upstream("n1", region="north", slots=3), upstream("s1", region="south")
         )
 
-    def test_bodies_stay_in_their_regions(self):
+    def test_requests_stay_in_their_regions(self):
         """A customer's prompts reach a region that it does not allow.
 
-        All places of its own region were taken, and another's was free.
+        All slots of the allowed region were taken, and one of another was free.
         """
         bound = [b.request(regions=("south",)) for _ in range(2)]
         (granted,) = self.sched.submit(bound[0], 0)
@@ -92,7 +92,7 @@
         (other,) = self.sched.submit(b.request(), 0)
         self.assertEqual(other.grant.upstream_id, "n1")
 
-    def test_callers_are_told_when_their_regions_have_no_upstream(self):
+    def test_requests_are_refused_when_their_regions_have_no_upstream(self):
         for regions in (("west",), ("",)):
             with self.subTest(regions):
                 (refused,) = self.sched.submit(b.request(regions=regions), 0)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
@@ -18,10 +18,10 @@
 
 
 class PlacementTests(unittest.TestCase):
-    def test_stale_reports_do_not_draw_everyone_to_one_upstream(self):
+    def test_stale_reports_do_not_attract_all_requests_to_one_upstream(self):
         """
-        All load reports are ten seconds old and show one upstream idle. A burst
-        arrives. By the reports it would all go there; by own counts it spreads.
+        All load reports are ten seconds old and show one upstream idle. By the reports
+        a burst would go there entirely; by the home's own counts it is spread evenly.
         """
         sched = b.scheduler(slots=8, count=4)
         for number, in_flight in enumerate((0, 8, 8, 8)):
@@ -36,8 +36,8 @@
         counts = [[g.upstream_id for g in grants].count(f"u{n}") for n in range(4)]
         self.assertEqual(counts, [4, 4, 4, 4])
 
-    def test_a_known_prefix_draws_the_request(self):
-        """A second question about one document goes where the first was computed."""
+    def test_request_goes_to_upstream_with_cached_prefix(self):
+        """A second request on a document goes to the upstream that computed it."""
         sched = b.scheduler(slots=8, count=4)
         hashes = tuple(range(100))
         long = {"prompt_tokens": 6_400, "prefix_hashes": hashes}
@@ -47,8 +47,8 @@
         second = sched.submit(b.request(**long), 2_002)[0].grant
         self.assertEqual(second.upstream_id, first.upstream_id)
 
-    def test_a_popular_prefix_spreads_when_its_upstream_is_full(self):
-        """Thirty questions about one document at once use more than one upstream."""
+    def test_popular_prefix_spreads_when_its_upstream_is_full(self):
+        """Thirty concurrent requests on one document use more than one upstream."""
         sched = b.scheduler(slots=8, count=4, max_queued=100)
         long = {"prompt_tokens": 6_400, "prefix_hashes": tuple(range(100))}
         decisions = []
@@ -56,11 +56,11 @@
             decisions += sched.submit(b.request(**long), now_ms)
         self.assertEqual(len({d.grant.upstream_id for d in decisions}), 4)
 
-    def test_prompts_wait_here_and_not_in_the_engine(self):
+    def test_prompts_wait_in_the_queue_and_not_in_the_engine(self):
         """
-        Long logs arrive, then a short question of the top tier. An engine computes
-        prompts in the order they come: sent on at once, the logs would keep the
-        question from its first token for seconds.
+        Long prompts arrive, then a short one of the highest tier. An engine computes
+        prompts in order of arrival: if the long ones were sent at once, they would
+        delay the first token of the short one by seconds.
         """
         sched = b.scheduler(slots=32, max_queued=100)
         logs = [b.request(rank=2, prompt_tokens=9_000) for _ in range(8)]
@@ -69,13 +69,13 @@
         question = b.request(rank=0)
         sched.submit(question, 10)
         first = granted[0][0].grant
-        told = sched.observe_first_token(first.grant_id, 700, 700)
-        self.assertEqual(b.granted(told)[0], question.request_id)
+        reported = sched.observe_first_token(first.grant_id, 700, 700)
+        self.assertEqual(b.granted(reported)[0], question.request_id)
 
-    def test_a_wrong_estimate_of_prompts_does_not_idle_an_engine(self):
+    def test_wrong_prefill_estimate_does_not_idle_an_engine(self):
         """
-        An engine was overrun and its prompts took long, so each prompt is expected to
-        take long. When first tokens show that none is pending, it is given work.
+        An engine was overloaded and its prompts took long, so each prompt is expected
+        to take long. When first tokens show that none is pending, it gets requests.
         """
         sched = b.scheduler(slots=32, max_queued=100)
         now_ms = 0
@@ -90,11 +90,11 @@
             grant = sched.submit(item, now_ms + 100 * step)[0].grant
             sched.observe_first_token(grant.grant_id, 90, now_ms + 100 * step + 90)
 
-    def test_a_shared_beginning_stays_known(self):
+    def test_shared_prefix_stays_in_the_map(self):
         """
-        Questions about four documents share 64 blocks each and end in a partial
-        block. Engines find all 64 each time. Were that read as fewer, the home would
-        take their caches for smaller with each answer, forget the documents, and
+        Requests on four documents share 64 blocks each and end in a partial block.
+        Engines report all 64 as cached. If that were rounded down, the home would
+        shrink its estimate of their caches with each answer, forget the documents, and
         have other engines compute them again.
         """
         tracker = AdaptiveTracker(8)
@@ -125,10 +125,10 @@
         own = tuple(10_000_000 + 10 * number + n for n in range(6))
         return b.request(now_ms=now_ms, prompt_tokens=4_500, prefix_hashes=shared + own)
 
-    def test_the_faster_generation_is_preferred_while_it_has_room(self):
-        """At light load callers get the faster of two generations."""
+    def test_faster_generation_is_preferred_while_it_has_free_slots(self):
+        """At light load requests go to the faster of two hardware generations."""
         sched = b.scheduler(slots=8)
-        names = {"old": 40, "new": 10}
+        token_times = {"old": 40, "new": 10}
         sched.set_upstreams(
             [
                 Upstream(
@@ -138,7 +138,7 @@
                     address="127.0.0.1:1",
                     generation=name,
                 )
-                for name in names
+                for name in token_times
             ],
             0,
         )
@@ -152,12 +152,12 @@
             for grant in grants:
                 used.append(grant.upstream_id)
                 sched.release(
-                    grant.grant_id, _outcome(names[grant.upstream_id]), now_ms
+                    grant.grant_id, _outcome(token_times[grant.upstream_id]), now_ms
                 )
         self.assertGreater(used[-40:].count("new"), 30)
 
-    def test_the_near_failure_domain_is_preferred_between_equals(self):
-        """With equal load the request stays in its failure domain."""
+    def test_local_failure_domain_is_preferred_between_equals(self):
+        """With equal load a request stays in its failure domain."""
         sched = b.scheduler(slots=8)
         sched.set_upstreams(
             [
@@ -178,21 +178,21 @@
 
 class PrefixMapTests(unittest.TestCase):
     def test_is_bounded(self):
-        """However many prompts pass, the map keeps a fixed number of blocks."""
+        """The map holds a bounded number of blocks, however many prompts are added."""
         prefixes = PrefixMap()
         for document in range(200):
             prefixes.add(tuple(range(100 * document, 100 * document + 100)))
         self.assertLessEqual(len(prefixes), MAX_BLOCKS)
 
-    def test_matches_the_longest_known_beginning(self):
+    def test_matches_the_longest_known_prefix(self):
         """Only leading blocks count."""
         prefixes = PrefixMap()
         prefixes.add((1, 2, 3, 4))
         self.assertEqual(prefixes.match((1, 2, 9, 10)), 2)
         self.assertEqual(prefixes.match((9, 10, 11)), 0)
 
-    def test_shrinks_to_what_the_engine_holds(self):
-        """An engine that lost expected blocks has a smaller cache than assumed."""
+    def test_shrinks_to_the_cache_of_the_engine(self):
+        """An engine that evicted expected blocks has a smaller cache than assumed."""
         prefixes = PrefixMap()
         prefixes.add(tuple(range(MAX_BLOCKS)))
         for _ in range(60):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
@@ -18,13 +18,13 @@
     def test_docstring_examples_run(self):
         self.assertEqual(doctest.testmod(module).failed, 0)
 
-    def test_parts_of_a_few_tokens_do_not_bind_a_prompt(self):
-        """All prompts share their first part, and would all go to one engine."""
+    def test_blocks_of_a_few_tokens_do_not_determine_the_upstream(self):
+        """All prompts share their first block, and would all go to one engine."""
         cache = PromptCache(CAPACITY)
         cache.record("u1", (1, 2), (60, 700))
         self.assertEqual(cache.cached_tokens((1, 3), (60, 700)), {})
 
-    def test_upstream_that_is_gone_keeps_nothing(self):
+    def test_upstream_that_is_gone_has_nothing_cached(self):
         cache = PromptCache(CAPACITY)
         cache.record("u1", (1,), (500,))
         cache.forget("u1")
@@ -42,22 +42,22 @@
             max_size=60,
         )
     )
-    def test_no_upstream_keeps_more_than_its_capacity(self, notes):
+    def test_no_upstream_caches_more_than_its_capacity(self, records):
         cache, sizes = PromptCache(CAPACITY), {}
-        for upstream, part, tokens in notes:
-            tokens = sizes.setdefault(part, tokens)
-            cache.record(f"u{upstream}", (part,), (tokens,))
+        for upstream, block, tokens in records:
+            tokens = sizes.setdefault(block, tokens)
+            cache.record(f"u{upstream}", (block,), (tokens,))
             for name in ("u0", "u1", "u2"):
-                kept = sum(
+                cached = sum(
                     size
-                    for part, size in sizes.items()
-                    if name in cache._holders.get(part, ())
+                    for block, size in sizes.items()
+                    if name in cache._holders.get(block, ())
                 )
-                self.assertLessEqual(kept, CAPACITY)
+                self.assertLessEqual(cached, CAPACITY)
 
 
 class PlacementTests(unittest.TestCase):
-    """Engines compute the same long prompts over and over, each a few times."""
+    """Without placement by cached prefixes, many engines compute the same prompts."""
 
     def setUp(self):
         pool = Pool(name="dossiers", kind=PoolKind.MODEL, stable_version="")
@@ -78,7 +78,7 @@
         )
 
     def place(self, subject, now_ms, ends=True):
-        """Return where a prompt on a subject goes; its answer ends at once."""
+        """Return the upstream of a prompt on a subject; its answer ends at once."""
         request = b.request(
             now_ms=now_ms,
             prompt_tokens=4_060,
@@ -91,7 +91,7 @@
             self.sched.release(granted.grant.grant_id, b.SUCCESS, now_ms + 500)
         return granted.grant.upstream_id
 
-    def test_prompts_on_one_subject_go_where_it_is_kept(self):
+    def test_prompts_on_one_subject_go_to_the_upstream_that_has_it_cached(self):
         """Of 60 prompts on 6 subjects 6 are computed, not 48."""
         placed = {}
         for number in range(60):
@@ -100,12 +100,12 @@
         self.assertEqual({len(found) for found in placed.values()}, {1})
 
     def test_subject_of_a_burst_is_spread_over_engines(self):
-        """One subject gets most of the traffic; one engine would be full with it."""
+        """One subject gets most of the traffic, which would overload one engine."""
         placed = [self.place(1, 1_000 + number, ends=False) for number in range(12)]
         self.assertGreaterEqual(len(set(placed)), 6)
 
-    def test_engine_that_begins_anew_is_not_taken_to_keep_anything(self):
-        """An engine restarts under its id, or leaves the list and comes back."""
+    def test_restarted_engine_is_assumed_to_have_nothing_cached(self):
+        """An engine restarts under its id, or is removed from the list and returns."""
         request = b.request(prefix_hashes=(1, 101), prefix_tokens=(60, 4_000))
         for again in ([], [self.upstream(name, 9) for name in self.names]):
             name = self.place(1, 1_000)
@@ -116,7 +116,7 @@
             self.assertEqual(self.sched.cached_elsewhere(request, other), 0)
             self.sched.set_upstreams([self.upstream(n) for n in self.names], 3_000)
 
-    def test_request_without_sizes_of_its_parts(self):
+    def test_request_without_sizes_of_its_blocks(self):
         request = b.request(prefix_hashes=(1, 2), prompt_tokens=500)
         (granted,) = self.sched.submit(request, 0)
         self.assertIsInstance(granted, Granted)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
@@ -21,11 +21,11 @@
 
 
 class RecoveryTests(unittest.TestCase):
-    def test_a_new_home_does_not_grant_the_former_ones_places_again(self):
+    def test_new_home_does_not_grant_the_slots_of_its_predecessor_again(self):
         """
-        A home dies while its upstream serves four requests, which is its limit. The
-        next home knows none of them yet. Callers ask at once. If it granted a full
-        set again, the engine would hold eight and every answer would be late.
+        A home fails while its upstream serves four requests, which is its limit. The
+        next home does not know them yet and gets new requests. If it granted all slots
+        again, the engine would hold eight and every answer would be late.
         """
         sched = b.scheduler(slots=4)
         sched.begin_recovery(0)
@@ -33,8 +33,8 @@
         sched.observe_load(_report(in_flight=4), 10)
         self.assertEqual(sched.in_flight, 0)
 
-    def test_it_grants_what_the_reports_leave(self):
-        """Two of four places are reported busy: two requests are granted, no more."""
+    def test_grants_the_slots_that_load_reports_leave_free(self):
+        """Two of four slots are reported busy: two requests are granted, no more."""
         sched = b.scheduler(slots=4)
         sched.begin_recovery(0)
         sched.observe_load(_report(in_flight=2), 10)
@@ -42,15 +42,15 @@
             sched.submit(b.request(), now_ms)
         self.assertEqual(sched.in_flight, 2)
 
-    def test_the_phase_ends_by_itself(self):
+    def test_phase_ends_after_its_duration(self):
         """An upstream that never reports its load is used again after the phase."""
         sched = b.scheduler(slots=4)
         sched.begin_recovery(0)
         sched.submit(b.request(deadline_ms=90_000, first_token_by_ms=9_000), 1)
         self.assertEqual(len(b.granted(sched.tick(RECOVERY_MS))), 1)
 
-    def test_adopted_grants_count_once_and_are_given_back(self):
-        """Entry hosts report twice what they hold; each grant takes one place."""
+    def test_adopted_grants_count_once_and_are_released(self):
+        """Entry hosts report their grants twice; each grant takes one slot."""
         sched = b.scheduler(slots=2)
         request = b.request(request_id="old1")
         sched.adopt(request, _grant(1), 0)
@@ -59,21 +59,21 @@
         self.assertEqual(sched.submit(b.request(), 3), [])
         self.assertEqual(len(b.granted(sched.release("old:1", b.SUCCESS, 4))), 1)
 
-    def test_an_adopted_request_is_not_granted_a_second_time(self):
+    def test_adopted_request_is_not_granted_a_second_time(self):
         """
-        An entry host asks the new home again for a request for which the former home
-        had sent a grant. The grant arrives late and is used; the report of it reaches
-        the new home while the second ask waits. One of the two has to go.
+        An entry host submits a request again to the new home, though the former home
+        had sent a grant. The grant arrives late and is used; its report reaches the new
+        home while the second submission is queued, which must then be removed.
         """
         sched = b.scheduler(slots=1)
         sched.submit(b.request(), 0)
-        asked = b.request(request_id="old1")
-        sched.submit(asked, 1)
-        sched.adopt(asked, _grant(1), 2)
+        submitted = b.request(request_id="old1")
+        sched.submit(submitted, 1)
+        sched.adopt(submitted, _grant(1), 2)
         self.assertEqual(sched.queued, 0)
 
-    def test_grants_of_a_dead_entry_host_are_given_free(self):
-        """An entry host dies with its streams: its places serve others at once."""
+    def test_grants_of_a_dead_entry_host_are_released(self):
+        """An entry host fails with its streams: its slots serve others at once."""
         sched = b.scheduler(slots=1)
         sched.submit(b.request(entry_host="dead"), 0)
         sched.submit(b.request(entry_host="dead"), 1)
@@ -82,7 +82,7 @@
         decisions = sched.forget_entry_host("dead", 3)
         self.assertEqual(b.granted(decisions), [waiting.request_id])
 
-    def test_a_lost_release_does_not_hold_a_place_for_ever(self):
+    def test_lost_release_does_not_hold_a_slot_forever(self):
         """Some time after the deadline the grant is no longer counted."""
         sched = b.scheduler(slots=1)
         sched.submit(b.request(), 0)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
@@ -21,10 +21,10 @@
 from hemlockhoist.declarations import Pool, PoolKind
 
 COLD_MS = 3_000
-BOUND = ColdStartLimit(cold_ms=COLD_MS, requests_per_s=14.9)
+LIMIT = ColdStartLimit(cold_ms=COLD_MS, requests_per_s=14.9)
 SHORT_MS = 40
-# The longest that requests are under way from a home to an upstream.
-MOST_DELAY_MS = warmup.WINDOW_MS - 1_000
+# The longest delay of a request between its grant and its arrival at an upstream.
+MAX_DELAY_MS = warmup.WINDOW_MS - 1_000
 
 
 def upstream(name, cold_until_ms=0, version=1):
@@ -39,16 +39,16 @@
     )
 
 
-def scheduler(*upstreams, bound=BOUND):
+def scheduler(*upstreams, limit=LIMIT):
     pool = Pool(name="assistant", kind=PoolKind.MODEL, stable_version="")
-    tracker = DeclaredSlotsTracker(warmup=Warmup(lambda: bound))
+    tracker = DeclaredSlotsTracker(warmup=Warmup(lambda: limit))
     made = PoolScheduler.from_config(pool, (), "i1", tracker=tracker)
     made.set_upstreams(upstreams, 0)
     return made
 
 
-class Flood:
-    """Short requests, each of which ends soon: far more than an upstream may get."""
+class LoadGenerator:
+    """Sends short requests at a far higher rate than a cold upstream may get."""
 
     def __init__(self, sched):
         self.sched = sched
@@ -56,7 +56,7 @@
         self._ends = []
 
     def run(self, from_ms, until_ms, every_ms=5):
-        """Send; ``sent`` gets ``(at_ms, upstream, is_cold)``."""
+        """Send requests; ``sent`` gets ``(at_ms, upstream, is_cold)`` per grant."""
         for now_ms in range(from_ms, until_ms, every_ms):
             while self._ends and self._ends[0][0] <= now_ms:
                 _, grant_id = self._ends.pop(0)
@@ -73,88 +73,88 @@
                 self._ends.append((now_ms + SHORT_MS, grant.grant_id))
 
     def count(self, name, from_ms, until_ms):
-        """Return how many requests an upstream was given in a time."""
+        """Return how many requests an upstream got in a time span."""
         return sum(
             item[1] == name and from_ms <= item[0] < until_ms for item in self.sent
         )
 
-    def most(self, name, until_ms):
-        """Return the most that an upstream was given in any second up to a moment."""
+    def max_per_second(self, name, until_ms):
+        """Return the most requests that an upstream got in any second until a time."""
         starts = [item[0] for item in self.sent if item[0] < until_ms]
         return max(self.count(name, at, min(at + 1_000, until_ms)) for at in starts)
 
 
 class ColdTests(unittest.TestCase):
-    def test_cold_upstream_gets_no_more_than_it_bears(self):
+    def test_cold_upstream_stays_within_its_limit(self):
         """Engines crash again as soon as they are back from a crash.
 
-        They hold nothing, look the best of all, and get the whole pool's requests.
+        They hold no requests, so they are preferred and get the whole pool's requests.
         """
-        flood = Flood(scheduler(upstream("cold", COLD_MS), upstream("warm")))
-        flood.run(0, COLD_MS + 2_000)
-        self.assertLessEqual(flood.most("cold", COLD_MS), 12)
-        self.assertGreater(flood.count("cold", 0, 1_000), 8)
-        self.assertGreater(flood.count("warm", 0, 1_000), 30)
-        self.assertGreater(flood.count("cold", COLD_MS, COLD_MS + 1_000), 30)
+        load = LoadGenerator(scheduler(upstream("cold", COLD_MS), upstream("warm")))
+        load.run(0, COLD_MS + 2_000)
+        self.assertLessEqual(load.max_per_second("cold", COLD_MS), 12)
+        self.assertGreater(load.count("cold", 0, 1_000), 8)
+        self.assertGreater(load.count("warm", 0, 1_000), 30)
+        self.assertGreater(load.count("cold", COLD_MS, COLD_MS + 1_000), 30)
 
     def test_grants_say_that_the_upstream_is_cold(self):
-        flood = Flood(scheduler(upstream("cold", COLD_MS), upstream("warm")))
-        flood.run(0, 500)
-        told = {(name, is_cold) for _, name, is_cold in flood.sent}
-        self.assertEqual(told, {("cold", True), ("warm", False)})
+        load = LoadGenerator(scheduler(upstream("cold", COLD_MS), upstream("warm")))
+        load.run(0, 500)
+        cold_by_upstream = {(name, is_cold) for _, name, is_cold in load.sent}
+        self.assertEqual(cold_by_upstream, {("cold", True), ("warm", False)})
 
     def test_upstream_that_turns_cold_has_its_last_second_counted(self):
-        """A busy upstream turns cold, and gets a cold one's share on top."""
-        flood = Flood(scheduler(upstream("u"), upstream("other")))
-        flood.run(0, 1_000)
-        before = flood.count("u", 0, 1_000)
+        """A busy upstream turns cold, and gets a cold one's limit on top."""
+        load = LoadGenerator(scheduler(upstream("u"), upstream("other")))
+        load.run(0, 1_000)
+        before = load.count("u", 0, 1_000)
         self.assertGreater(before, 20)
-        flood.sched.set_upstreams(
+        load.sched.set_upstreams(
             [upstream("u", 1_000 + COLD_MS, version=2), upstream("other")], 1_000
         )
-        flood.run(1_000, 2_000)
-        self.assertEqual(flood.count("u", 1_000, 1_300), 0)
+        load.run(1_000, 2_000)
+        self.assertEqual(load.count("u", 1_000, 1_300), 0)
 
-    def test_upstream_that_was_out_of_reach_is_taken_for_cold(self):
+    def test_upstream_that_was_unreachable_is_assumed_cold(self):
         """An upstream restarts under its id before the list shows it."""
         sched = scheduler(upstream("u"), upstream("other"))
-        flood = Flood(sched)
+        load = LoadGenerator(sched)
         refused = Outcome(kind=OutcomeKind.CONNECT_FAILED, total_ms=1)
         first = [sched.submit(b.request(), 0)[0].grant for _ in range(2)]
         for grant in first:
             if grant.upstream_id == "u":
                 sched.release(grant.grant_id, refused, 1)
-        flood.run(600, 2_600)
-        self.assertGreater(flood.count("u", 600, 2_600), 4)
-        self.assertLessEqual(flood.most("u", 2_600), 12)
+        load.run(600, 2_600)
+        self.assertGreater(load.count("u", 600, 2_600), 4)
+        self.assertLessEqual(load.max_per_second("u", 2_600), 12)
 
-    def test_new_home_begins_as_if_the_bound_were_spent(self):
-        """Two homes in turn give a cold engine its share of the same second."""
+    def test_new_home_begins_as_if_the_limit_were_used(self):
+        """Two successive homes grant a cold engine its limit within one second."""
         sched = scheduler(upstream("cold", COLD_MS), upstream("warm"))
         sched.begin_recovery(0)
         sched.end_recovery(0)
-        flood = Flood(sched)
-        flood.run(0, 2_000)
-        self.assertEqual(flood.count("cold", 0, 1_300), 0)
-        self.assertGreater(flood.count("cold", 1_300, 2_000), 4)
+        load = LoadGenerator(sched)
+        load.run(0, 2_000)
+        self.assertEqual(load.count("cold", 0, 1_300), 0)
+        self.assertGreater(load.count("cold", 1_300, 2_000), 4)
 
     def test_host_that_decides_alone_leaves_cold_upstreams_to_the_home(self):
-        """Many hosts that are cut off from the home each send a few: too many."""
+        """Many hosts without contact to the home each send a few requests: too many."""
         sched = scheduler(upstream("cold", COLD_MS), upstream("warm"))
         sched.set_share(0.5 / 71)
-        flood = Flood(sched)
-        flood.run(0, 1_000)
-        self.assertEqual(flood.count("cold", 0, 1_000), 0)
-
-    def test_service_without_a_bound_is_given_its_places(self):
-        bound = ColdStartLimit(cold_ms=COLD_MS)
-        sched = scheduler(upstream("cold", COLD_MS), upstream("warm"), bound=bound)
-        flood = Flood(sched)
-        flood.run(0, 1_000)
-        self.assertGreater(flood.count("cold", 0, 1_000), 30)
-
-    def test_cold_engine_does_not_teach_the_pace_of_warm_ones(self):
-        """All engines are taken for slow while a few warm up, and prompts wait."""
+        load = LoadGenerator(sched)
+        load.run(0, 1_000)
+        self.assertEqual(load.count("cold", 0, 1_000), 0)
+
+    def test_service_without_a_limit_gets_all_its_slots(self):
+        limit = ColdStartLimit(cold_ms=COLD_MS)
+        sched = scheduler(upstream("cold", COLD_MS), upstream("warm"), limit=limit)
+        load = LoadGenerator(sched)
+        load.run(0, 1_000)
+        self.assertGreater(load.count("cold", 0, 1_000), 30)
+
+    def test_cold_engine_does_not_change_the_pace_of_warm_ones(self):
+        """All engines are assumed to be slow while a few warm up, and prompts wait."""
         pool = PoolPace()
         warm, other = (DeclaredSlotsUpstream(upstream("u"), pool) for _ in range(2))
         for _ in range(20):
@@ -168,19 +168,19 @@
         self.assertAlmostEqual(warm.pace.token_ms, 2.0)
 
     @given(st.integers(0, 1_000))
-    def test_late_grants_stay_within_the_bound(self, seed):
-        """Grants that are under way for some time arrive in heaps."""
+    def test_delayed_requests_stay_within_the_limit(self, seed):
+        """Requests with varying delays arrive in bursts."""
         rng = random.Random(seed)
-        made = Warmup(lambda: BOUND)
+        made = Warmup(lambda: LIMIT)
         made.assume_cold("u", 0)
         arrivals = []
         for now_ms in range(0, COLD_MS, 7):
             if made.allows("u", now_ms):
                 made.record_grant("u", now_ms)
-                arrivals.append(now_ms + rng.randrange(MOST_DELAY_MS))
+                arrivals.append(now_ms + rng.randrange(MAX_DELAY_MS))
         for start in arrivals:
             inside = sum(start <= at <= start + 1_000 for at in arrivals)
-            self.assertLessEqual(inside, BOUND.requests_per_s)
+            self.assertLessEqual(inside, LIMIT.requests_per_s)
 
     def test_examples_run(self):
         self.assertEqual(doctest.testmod(warmup).failed, 0)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/upstreams.py
@@ -44,8 +44,8 @@
     def observe(self, report, now_ms):
         """Record an upstream's load report, unless it is older than the latest one."""
         measured_ms = now_ms - report.age_ms
-        former = self._reports.get(report.upstream_id)
-        if former is not None and measured_ms < former[0]:
+        previous = self._reports.get(report.upstream_id)
+        if previous is not None and measured_ms < previous[0]:
             return
         self._reports[report.upstream_id] = (measured_ms, report)
         self._usable = None
@@ -111,5 +111,5 @@
         return self._usable
 
 
-def _retain(mapping, kept):
-    return {key: value for key, value in mapping.items() if key in kept}
+def _retain(mapping, listed):
+    return {key: value for key, value in mapping.items() if key in listed}
