--- a/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
@@ -1,13 +1,13 @@
-"""Tell operators when a move can not finish in time, and why."""
+"""Reports to operators on moves that will not finish in time."""
 
 from hemlockhoist.decisions.versions.events import Late
 
-# The estimate rests on traffic of minutes: it is looked at this often.
-LOOK_EVERY_MS = 5_000
+# Interval between checks. The estimate is based on minutes of traffic and changes slowly.
+CHECK_INTERVAL_MS = 5_000
 
 
-class DelayWatch:
-    """Tells of a delay twice at most: when it shows, and at the time itself.
+class DelayMonitor:
+    """Reports a delay at most twice: when it is expected, and at the "moved by" time.
 
     Parameters
     ==========
@@ -15,16 +15,16 @@
     planner : Planner
     """
 
-    __slots__ = ("_looked_ms", "_planner", "_row", "_told")
+    __slots__ = ("_checked_ms", "_planner", "_reported_stage", "_row")
 
     def __init__(self, row, planner):
         self._row = row
         self._planner = planner
-        self._looked_ms = None
-        self._told = 0
+        self._checked_ms = None
+        self._reported_stage = 0
 
-    def look(self, lanes, now_ms):
-        """Return the events that are due.
+    def check(self, lanes, now_ms):
+        """Return the delay to report now, if any.
 
         Parameters
         ==========
@@ -35,17 +35,22 @@
         =======
         list of Late
         """
-        if self._looked_ms is not None and now_ms - self._looked_ms < LOOK_EVERY_MS:
+        if (
+            self._checked_ms is not None
+            and now_ms - self._checked_ms < CHECK_INTERVAL_MS
+        ):
             return []
-        self._looked_ms = now_ms
+        self._checked_ms = now_ms
         schedule = self._planner.schedule
         is_past = now_ms >= schedule.end_ms
-        if self._told >= 1 + is_past or not schedule.is_settled(now_ms):
+        if self._reported_stage >= 1 + is_past or not schedule.is_estimate_reliable(
+            now_ms
+        ):
             return []
         delay = self._planner.delay(tuple(lanes), now_ms)
         if delay is None:
             return []
-        self._told = 1 + is_past
+        self._reported_stage = 1 + is_past
         return [self._late(delay, now_ms)]
 
     def _late(self, delay, now_ms):
