--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
@@ -18,7 +18,7 @@
 
     Parameters
     ==========
-    grants : GrantBook
+    grants : GrantTable
     tracker : UpstreamTracker
     """
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
@@ -80,8 +80,8 @@
         A crashed engine that is still listed holds no requests, so each request of the
         next seconds was sent there first; half of all grants were useless.
         """
-        load = RequestSender(scheduler("dead", "live"))
-        placed = load.send(
+        sender = RequestSender(scheduler("dead", "live"))
+        placed = sender.send(
             lambda name: (
                 ended(OutcomeKind.CONNECT_FAILED)
                 if name == "dead"
@@ -93,8 +93,8 @@
         self.assertLessEqual(placed.count("dead"), 4)
 
     def test_upstream_that_is_reachable_again_is_used(self):
-        load = RequestSender(scheduler("once", "other"))
-        load.send(
+        sender = RequestSender(scheduler("once", "other"))
+        sender.send(
             lambda name: (
                 ended(OutcomeKind.CONNECT_FAILED)
                 if name == "once"
@@ -102,13 +102,13 @@
             ),
             count=10,
         )
-        placed = load.send(lambda name: success(FAST_US), count=60)
+        placed = sender.send(lambda name: success(FAST_US), count=60)
         self.assertIn("once", placed[-20:])
 
     def test_all_unreachable_upstreams_are_tried_in_turn(self):
         """Without any other upstream, a backoff ends after two seconds at most."""
-        load = RequestSender(scheduler("a", "b"))
-        placed = load.send(
+        sender = RequestSender(scheduler("a", "b"))
+        placed = sender.send(
             lambda name: ended(OutcomeKind.CONNECT_FAILED), count=100, every_ms=100
         )
         self.assertGreater(len(placed), 8)
@@ -126,8 +126,8 @@
                     return ended(OutcomeKind.FAILED)
             return success(FAST_US)
 
-        load = RequestSender(scheduler("bad", "good", "fine"))
-        placed = load.send(outcome_of, count=60)
+        sender = RequestSender(scheduler("bad", "good", "fine"))
+        placed = sender.send(outcome_of, count=60)
         self.assertLess(placed.count("bad"), 15)
 
     def test_equal_failure_rates_avoid_no_upstream(self):
@@ -138,20 +138,20 @@
             turn["n"] += 1
             return ended(OutcomeKind.FAILED) if turn["n"] % 3 == 0 else success(FAST_US)
 
-        load = RequestSender(scheduler("a", "b"))
-        placed = load.send(outcome_of, count=200, every_ms=20)
+        sender = RequestSender(scheduler("a", "b"))
+        placed = sender.send(outcome_of, count=200, every_ms=20)
         self.assertGreater(min(placed.count("a"), placed.count("b")), 20)
 
 
 class PaceTests(unittest.TestCase):
     def setUp(self):
-        self.load = RequestSender(scheduler("fast", "slow"))
-        self.load.learn({"fast": FAST_US, "slow": SLOW_US})
-        self.load.now_ms += 1_000
+        self.sender = RequestSender(scheduler("fast", "slow"))
+        self.sender.learn({"fast": FAST_US, "slow": SLOW_US})
+        self.sender.now_ms += 1_000
 
     def place(self, **fields):
-        request = b.request(now_ms=self.load.now_ms, **fields)
-        decisions = self.load.sched.submit(request, self.load.now_ms)
+        request = b.request(now_ms=self.sender.now_ms, **fields)
+        decisions = self.sender.sched.submit(request, self.sender.now_ms)
         return decisions[0].grant.upstream_id
 
     def test_long_prompts_go_to_the_fast_engine(self):
@@ -167,18 +167,18 @@
         self.assertEqual(self.place(prompt_tokens=300), "slow")
 
     def test_engine_that_turns_slow_is_recognised_after_a_few_answers(self):
-        self.load.sched.set_upstreams([upstream("fast")], self.load.now_ms)
-        self.load.send(lambda name: success(10 * SLOW_US), count=4)
+        self.sender.sched.set_upstreams([upstream("fast")], self.sender.now_ms)
+        self.sender.send(lambda name: success(10 * SLOW_US), count=4)
         both = [upstream("fast"), upstream("slow")]
-        self.load.sched.set_upstreams(both, self.load.now_ms)
-        self.load.sched.release("none", success(FAST_US), self.load.now_ms)
+        self.sender.sched.set_upstreams(both, self.sender.now_ms)
+        self.sender.sched.release("none", success(FAST_US), self.sender.now_ms)
         self.assertEqual(self.place(prompt_tokens=5_000), "slow")
 
     def test_no_more_is_granted_than_the_upstreams_declare(self):
         placed = []
         for _ in range(3 * PLACES):
-            request = b.request(now_ms=self.load.now_ms)
-            placed += self.load.sched.submit(request, self.load.now_ms)
+            request = b.request(now_ms=self.sender.now_ms)
+            placed += self.sender.sched.submit(request, self.sender.now_ms)
         self.assertEqual(len(placed), 2 * PLACES)
 
 
@@ -190,16 +190,16 @@
         show the stall.
         """
         sched = scheduler("stalled", "live")
-        load = RequestSender(sched)
-        load.learn({"stalled": FAST_US, "live": FAST_US})
-        now_ms = load.now_ms + 1_000
+        sender = RequestSender(sched)
+        sender.learn({"stalled": FAST_US, "live": FAST_US})
+        now_ms = sender.now_ms + 1_000
         sched.set_upstreams([upstream("stalled")], now_ms)
         for _ in range(2):
             sched.submit(b.request(now_ms=now_ms), now_ms)
         sched.set_upstreams([upstream("stalled"), upstream("live")], now_ms)
-        load.now_ms = now_ms + 2_000
-        sched.tick(load.now_ms)
-        placed = load.send(lambda name: success(FAST_US), count=6)
+        sender.now_ms = now_ms + 2_000
+        sched.tick(sender.now_ms)
+        placed = sender.send(lambda name: success(FAST_US), count=6)
         self.assertEqual(set(placed), {"live"})
 
 
