--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Admission, queue and placement of one pool shard; the budget of retries."""
+"""Admission, queueing and placement for one pool shard, and the retry budget."""
 
 from hemlockhoist.decisions.scheduling.declared import DeclaredTracks
 from hemlockhoist.decisions.scheduling.experiments import Experiments, Mechanism
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
@@ -1,36 +1,37 @@
-"""How the free places of a pool shard are given to waiting requests."""
+"""Assignment of a pool shard's free slots to waiting requests."""
 
 from hemlockhoist.base import Property
 from hemlockhoist.decisions.scheduling.grants import InFlightGrant
 from hemlockhoist.decisions.work import Grant, Granted, new_grant_id
 
-# A grant that is not used within this time is void: the entry host must dispatch at
-# once or give it back, so that a place is never held by a request that went away.
+# A grant that is not used within this time is void. The entry host must dispatch at
+# once or release it, so that no slot is held by a request whose caller disconnected.
 GRANT_TTL_MS = 2_000
-# Requests that the version policy holds back are passed over, up to this many in one
-# go; then it ends, since a lower tier must not pass untried higher ones.
+# Requests that the version policy holds back are skipped, up to this many in one pass
+# over the queue. Then the pass ends, since a lower tier must not overtake requests of a
+# higher one that have not been tried.
 MAX_SKIPPED = 16
 
 
 class SlotAssigner:
-    """Gives free places, tier by tier, and to short requests out of turn.
+    """Assigns free slots tier by tier, and lets short requests overtake.
 
-    Load: at the home of some dozen upstreams, a burst keeps a score of requests waiting
-    for better ones than are free. Asked for each of them at each arrival and each end
-    of an answer, that took most of the home's processor time. So a request that found
-    no place is offered others again in the next round; until then, only an upstream at
-    which something changed.
+    At a home with some dozen upstreams, a burst keeps about twenty requests waiting
+    for better upstreams than the free ones. Choosing an upstream for each of them at
+    each arrival and each end of an answer took most of the home's processor time. So a
+    request that found no slot is tried at all upstreams again only in the next round;
+    until then, only at an upstream that changed.
 
     Parameters
     ==========
     pool : str
     incarnation : str
-        Of this home; makes grant ids unique over restarts.
+        Of this home; makes grant ids unique across restarts.
     queue : RequestQueue
     fleet : Fleet
-    grants : GrantBook
-    passing : Passing
-    turns : OutOfTurn
+    grants : GrantTable
+    overtaking_check : OvertakingCheck
+    overtaking_budget : OvertakingBudget
     admission : Admission
     policy : VersionPolicy
     invariants : hemlockhoist.base.InvariantLog
@@ -42,13 +43,13 @@
         "_grants",
         "_incarnation",
         "_invariants",
-        "_passing",
+        "_overtaking_check",
         "_policy",
         "_pool",
         "_queue",
-        "_round",
+        "_round_number",
         "_sequence",
-        "_turns",
+        "_overtaking_budget",
     )
 
     def __init__(
@@ -58,8 +59,8 @@
         queue,
         fleet,
         grants,
-        passing,
-        turns,
+        overtaking_check,
+        overtaking_budget,
         admission,
         policy,
         invariants,
@@ -69,94 +70,98 @@
         self._queue = queue
         self._fleet = fleet
         self._grants = grants
-        self._passing = passing
-        self._turns = turns
+        self._overtaking_check = overtaking_check
+        self._overtaking_budget = overtaking_budget
         self._admission = admission
         self._policy = policy
         self._invariants = invariants
         self._sequence = 0
-        self._round = 0
+        self._round_number = 0
 
     def begin_round(self):
-        """Offer all upstreams again, as room may have been made anywhere."""
-        self._round += 1
+        """Begin a round: slots may have been freed at any upstream."""
+        self._round_number += 1
 
     def assign(self, now_ms, changed=""):
-        """Give the free places to waiting requests.
+        """Assign the free slots to waiting requests.
 
         Parameters
         ==========
         now_ms : int
         changed : str, optional
-            The upstream at which something changed; requests that found no place in
-            this round are offered no other.
+            The upstream that changed; requests that found no slot in this round are
+            tried at no other.
 
         Returns
         =======
         list of Granted
         """
         free = self._fleet.free(now_ms)
-        decisions = self._grant_out_of_turn(free, changed, now_ms)
-        held_back = []
+        decisions = self._grant_overtaking(free, changed, now_ms)
+        skipped = []
         for rank in self._queue.ranks:
-            while free and len(held_back) < MAX_SKIPPED:
+            while free and len(skipped) < MAX_SKIPPED:
                 taken = self._queue.take(rank)
                 if taken is None:
                     break
                 waiting = taken[0]
-                offered = self._offered(waiting, free, changed)
-                ahead = len(held_back)
-                upstream = self._place(waiting.request, offered, ahead, now_ms)
+                eligible = self._eligible(waiting, free, changed)
+                ahead = len(skipped)
+                upstream = self._choose_upstream(
+                    waiting.request, eligible, ahead, now_ms
+                )
                 if upstream is None:
-                    waiting.skipped_round = self._round
-                    held_back.append(taken)
+                    waiting.skipped_round = self._round_number
+                    skipped.append(taken)
                     continue
-                self._check_turn(waiting.request)
+                self._check_tier_order(waiting.request)
                 decisions.append(self._grant(waiting, upstream, now_ms))
                 if not self._fleet.has_place(upstream, now_ms):
                     free.remove(upstream)
-        for waiting, due_ms in held_back:
+        for waiting, due_ms in skipped:
             self._queue.push(waiting, due_ms)
         return decisions
 
-    def _offered(self, waiting, free, changed):
-        """Return the free upstreams that a waiting request has not turned down."""
-        if waiting.skipped_round != self._round:
+    def _eligible(self, waiting, free, changed):
+        """Return the free upstreams at which a waiting request is to be tried."""
+        if waiting.skipped_round != self._round_number:
             return free
         return [item for item in free if item.upstream_id == changed]
 
-    def _grant_out_of_turn(self, free, changed, now_ms):
-        """Give places to requests that may pass those of higher tiers that wait."""
+    def _grant_overtaking(self, free, changed, now_ms):
+        """Assign slots to requests that may overtake waiting ones of higher tiers."""
         decisions = []
         for rank in self._queue.ranks:
             while free and self._queue.count_above(rank):
                 first = self._queue.tier(rank).first()
-                if first is None or not self._passing.may_overtake(
+                if first is None or not self._overtaking_check.may_overtake(
                     first.request, now_ms
                 ):
                     break
-                offered = self._offered(first, free, changed)
-                if not offered:
+                eligible = self._eligible(first, free, changed)
+                if not eligible:
                     break
                 waiting, due_ms = self._queue.take(rank)
-                upstream = self._place(waiting.request, offered, 0, now_ms)
+                upstream = self._choose_upstream(waiting.request, eligible, 0, now_ms)
                 if upstream is None:
-                    waiting.skipped_round = self._round
+                    waiting.skipped_round = self._round_number
                     self._queue.push(waiting, due_ms)
                     break
-                self._turns.charge(self._fleet.tracks.hold_ms(waiting.request))
+                self._overtaking_budget.charge(
+                    self._fleet.tracks.hold_ms(waiting.request)
+                )
                 decisions.append(self._grant(waiting, upstream, now_ms))
                 if not self._fleet.has_place(upstream, now_ms):
                     free.remove(upstream)
         return decisions
 
-    def _place(self, request, free, ahead, now_ms):
+    def _choose_upstream(self, request, free, ahead, now_ms):
         if not free:
             return None
         versions = sorted({item.version for item in free})
         for version in self._policy.candidates(request, versions, now_ms):
             choices = [item for item in free if item.version == version]
-            choices = _untried(request, _within(request, choices))
+            choices = _untried(request, _in_allowed_regions(request, choices))
             upstream = self._fleet.tracks.choose(
                 request, choices, self._grants.in_flight, now_ms, ahead
             )
@@ -166,8 +171,8 @@
 
     def _grant(self, waiting, upstream, now_ms):
         request = waiting.request
-        self._check_staying(request, upstream)
-        self._turns.record_decision(request.tier_rank, False, now_ms)
+        self._check_not_leaving(request, upstream)
+        self._overtaking_budget.record_decision(request.tier_rank, False, now_ms)
         self._queue.tier(request.tier_rank).charge(waiting)
         self._admission.record_grant(request.tier_rank, waiting.cost_ms, now_ms)
         self._sequence += 1
@@ -186,14 +191,14 @@
         self._policy.on_grant(request, upstream.version, now_ms, upstream.upstream_id)
         return Granted(request=request, grant=grant)
 
-    def _check_turn(self, request):
+    def _check_tier_order(self, request):
         self._invariants.check(
             Property.TIER_ORDER,
             self._queue.count_above(request.tier_rank) == 0,
-            f"{request.request_id} granted in turn while a higher tier waits",
+            f"{request.request_id} granted in tier order while a higher tier waits",
         )
 
-    def _check_staying(self, request, upstream):
+    def _check_not_leaving(self, request, upstream):
         self._invariants.check(
             Property.LEAVING_UPSTREAM_NO_WORK,
             not self._fleet.table.is_leaving(upstream.upstream_id),
@@ -201,11 +206,11 @@
         )
 
 
-def _within(request, choices):
-    """Return the choices in the regions to which a request is bound.
+def _in_allowed_regions(request, choices):
+    """Return the choices in the regions to which a request is restricted.
 
-    Harm prevented: a body leaves the regions where its customer or its route's owner
-    allows it to be kept.
+    Without this, a request body could leave the regions in which its customer or the
+    owner of its route allows it to be stored.
     """
     if not request.regions:
         return choices
@@ -213,7 +218,7 @@
 
 
 def _untried(request, choices):
-    """Return the choices that have not failed the request, or all where all have."""
+    """Return the choices that have not failed the request, or all if all have."""
     if not request.avoid:
         return choices
     untried = [item for item in choices if item.upstream_id not in request.avoid]
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
@@ -1,47 +1,47 @@
-"""What a request costs at each upstream that could take it, and which one it takes."""
+"""Cost of a request at each candidate upstream, and selection of the cheapest one."""
 
 import math
 
-# One way to another failure domain takes about 1.5 ms more, and a request makes a few
-# of them.
+# One way to another failure domain takes about 1.5 ms longer, and a request makes a few
+# such trips.
 CROSS_DOMAIN_COST_MS = 6.0
-# An answer that fails costs its caller about this much: the time until it is tried
-# elsewhere. Counted by how much more often than others an upstream fails.
+# A failed answer costs its caller about this much: the time until the request is tried
+# elsewhere. Weighted with the upstream's failure rate in excess of the others'.
 FAILED_ANSWER_COST_MS = 1_500.0
 STALL_COST_MS = 1_000.0
-# The part of an answer's decoding that counts when upstreams are compared. Decoding
-# does not delay the first token; it holds a place that others will want.
+# Fraction of an answer's decoding time that counts when upstreams are compared.
+# Decoding does not delay the first token, but occupies a slot that others will need.
 DECODE_FRACTION = 0.25
-# Prompts are computed between the tokens of the answers under way. Where a prompt
-# would make their pauses longer than declared, it counts as much for each of them.
+# Prompts are computed between the tokens of the answers in progress. A prompt that
+# would make an inter-token gap longer than declared costs this much for each of them.
 LONG_GAP_COST_MS = 400.0
-# What an engine need not compute of a prompt delays none of the answers under way
-# there: besides its own first token, it counts so much more.
+# Prompt tokens that an engine has cached delay none of the answers in progress there:
+# besides the shorter time to first token, their computing time counts this many times.
 CACHE_SAVING_FACTOR = 2.0
-# For each answer that it gave lately: of upstreams that are alike the one that was used
-# less is taken, so that what is known of each is fresh.
+# Cost of each recent answer: of similar upstreams the less used one is selected, so
+# that the measurements of each stay recent.
 RECENT_ANSWER_COST_MS = 0.1
-# Of the time that is left to its target, what a request gives up to stay in its own
-# failure domain: bytes between domains are paid for, and the target is what counts.
+# Fraction of the time left to its target that a request may lose to stay in its own
+# failure domain: traffic between domains is charged, and only the target matters.
 LOCALITY_FRACTION = 0.1
-# A request leaves its domain for one where less is expected to go wrong by this much.
+# A request leaves its domain for one with an expected failure cost lower by this much.
 LOCALITY_RISK_MS = 60.0
 
 
 class PlacementCandidate:
-    """What a request may expect at one upstream.
+    """The expected cost of a request at one upstream.
 
     Parameters
     ==========
     upstream : hemlockhoist.decisions.Upstream
     first_ms : float
-        Until its first token.
+        Time to first token.
     cost_ms : float
-        All that counts when upstreams are compared, in its caller's time.
+        Total cost by which upstreams are compared, as time of the caller.
     risk_ms : float
-        Of that, what may go wrong there.
+        The part of it that covers failures, stalls and long gaps.
     is_local : bool
-        Whether it is in the failure domain of the request's entry host.
+        Whether the upstream is in the failure domain of the request's entry host.
     """
 
     __slots__ = ("cost_ms", "first_ms", "is_local", "risk_ms", "upstream")
@@ -55,67 +55,69 @@
 
 
 class CandidateSelector:
-    """Keeps the best offer of all upstreams, and the best of the own failure domain.
+    """Keeps the best candidate overall and the best in the request's failure domain.
 
-    Load: hundreds of long prompts a second over four failure domains, at engines that
-    are mostly free. Taken wherever it is a few milliseconds faster, three of four bodies
-    cross to another domain, and each byte is paid for.
+    Under hundreds of long prompts a second over four failure domains, with mostly idle
+    engines, always selecting an upstream that is a few milliseconds faster sends three
+    of four request bodies to another domain, and that traffic is charged by the byte.
     """
 
-    __slots__ = ("_best", "_near")
+    __slots__ = ("_best", "_local")
 
     def __init__(self):
         self._best = None
-        self._near = None
-
-    def is_dominated(self, least_ms, is_local):
-        """Return whether an offer that costs at least so much would not be taken."""
-        kept = self._near if is_local else self._best
-        return kept is not None and least_ms >= kept.cost_ms
-
-    def add(self, offer):
-        """Compare an offer with those before."""
-        if self._best is None or offer.cost_ms < self._best.cost_ms:
-            self._best = offer
-        if not offer.is_local:
+        self._local = None
+
+    def is_dominated(self, lower_bound_ms, is_local):
+        """Return whether a candidate of at least this cost cannot be selected."""
+        current = self._local if is_local else self._best
+        return current is not None and lower_bound_ms >= current.cost_ms
+
+    def add(self, candidate):
+        """Add a candidate."""
+        if self._best is None or candidate.cost_ms < self._best.cost_ms:
+            self._best = candidate
+        if not candidate.is_local:
             return
-        if self._near is None or offer.cost_ms < self._near.cost_ms:
-            self._near = offer
+        if self._local is None or candidate.cost_ms < self._local.cost_ms:
+            self._local = candidate
 
     def select(self, left_ms):
-        """Return the upstream that the request takes, or None where there is none.
+        """Return the upstream of the selected candidate, or None without candidates.
 
         Parameters
         ==========
         left_ms : float
-            To the target of its first token.
+            Time left to the first token target.
         """
-        best, near = self._best, self._near
+        best, local = self._best, self._local
         if best is None:
             return None
-        if near is not None and _stays(near, best, left_ms):
-            return near.upstream
+        if local is not None and _prefers_local(local, best, left_ms):
+            return local.upstream
         return best.upstream
 
 
-def _stays(near, best, left_ms):
-    """Return whether a request stays in its domain though another's is better."""
-    if near is best:
+def _prefers_local(local, best, left_ms):
+    """Return whether the local candidate is selected though another is better."""
+    if local is best:
         return True
-    if near.risk_ms - best.risk_ms > LOCALITY_RISK_MS or near.first_ms > left_ms:
+    if local.risk_ms - best.risk_ms > LOCALITY_RISK_MS or local.first_ms > left_ms:
         return False
-    return near.first_ms - best.first_ms <= LOCALITY_FRACTION * max(0.0, left_ms)
+    return local.first_ms - best.first_ms <= LOCALITY_FRACTION * max(0.0, left_ms)
 
 
 def cost_ms(work, track, first_ms, held, now_ms):
-    """Return what a request costs at an upstream, in its caller's time.
+    """Return the cost of a request at an upstream, as time of its caller.
 
-    Made for engines that differ several times in speed: a slow one is as good as any
-    for a short prompt, and no good for a long one.
+    Engines differ several times in speed: a slow one is as good as any for a short
+    prompt, and unsuitable for a long one.
     """
     token_ms = track.pace.token_ms
-    beside = held * work.base_tokens / max(1, track.limit.slots)
-    total_ms = first_ms + token_ms * (DECODE_FRACTION * work.output_tokens + beside)
+    batch_tokens = held * work.base_tokens / max(1, track.limit.slots)
+    total_ms = first_ms + token_ms * (
+        DECODE_FRACTION * work.output_tokens + batch_tokens
+    )
     if not track.ends_within(work, first_ms, now_ms):
         total_ms += FAILED_ANSWER_COST_MS
     if work.failure_domain != track.failure_domain:
@@ -123,31 +125,35 @@
     return total_ms + RECENT_ANSWER_COST_MS * track.failures.counts(now_ms)[1]
 
 
-def risk_ms(work, track, held, counts, most_ms, now_ms):
-    """Return what an upstream's failures, stalls and pauses may cost, in time.
+def risk_ms(work, track, held, counts, max_prompt_ms, now_ms):
+    """Return the expected cost of an upstream's failures, stalls and long gaps.
 
     Parameters
     ==========
     work : Work
     track : DeclaredTrack
     held : int
-        Requests that the upstream has.
+        Requests in flight at the upstream.
     counts : tuple of float
-        The failures and the answers of all upstreams, lately.
-    most_ms : float
-        For how long prompts may take an upstream before its answers pause.
+        The recent failures and answers of all upstreams.
+    max_prompt_ms : float
+        How long an upstream may compute prompts before a gap becomes too long.
     now_ms : int
     """
     total_ms = STALL_COST_MS * track.stalled
     total_ms += FAILED_ANSWER_COST_MS * track.failures.excess(counts, now_ms)
-    if track.prompts_ms(work) > most_ms:
+    if track.prompts_ms(work) > max_prompt_ms:
         total_ms += LONG_GAP_COST_MS * max(1, held)
     return total_ms
 
 
-def cache_saving_ms(track, kept):
-    """Return what the kept part of a prompt spares the answers at an upstream."""
-    return CACHE_SAVING_FACTOR * track.pace.prompt_ms(kept) if kept else 0.0
+def cache_saving_ms(track, cached_tokens):
+    """Return the time that cached prompt tokens save the answers at an upstream."""
+    return (
+        CACHE_SAVING_FACTOR * track.pace.prompt_ms(cached_tokens)
+        if cached_tokens
+        else 0.0
+    )
 
 
 NO_GAP_BOUND_MS = math.inf
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/client_retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/client_retries.py
@@ -1,37 +1,37 @@
-"""Refused requests that come back as they were told."""
+"""Recognition of refused requests that clients retry after the stated time."""
 
 import collections
 
 from hemlockhoist.decisions.scheduling.admission import MIN_RETRY_AFTER_MS
 
-# A caller comes back after at most this part of the time that it has left, whatever it
-# is told.
+# A client retries after at most this fraction of its remaining time, whatever
+# Retry-After says.
 RETRY_WAIT_FRACTION = 1 / 3
-# A returned request waits for a place once more, and may get a slow upstream: of its time,
-# this many usual answers are kept for it.
+# A retried request waits for a slot once more and may get a slow upstream: this many
+# times the usual answer time is reserved for it.
 ANSWER_TIME_FACTOR = 3.0
-# Messages and callers' clocks make the time of a return inexact by about this.
+# Message delays and client clocks make the time of a retry inexact by about this.
 EARLY_TOLERANCE_MS = 100
-# How long after the told time a request still counts as having come back.
+# How long after the stated time a request still counts as a retry.
 LATE_TOLERANCE_MS = 2_000
-# Bound on what is remembered, for a burst that is refused as a whole.
+# Bound on the number of remembered refusals, for a burst that is refused as a whole.
 MAX_REMEMBERED = 10_000
 
 
 class ClientRetries:
-    """Knows a request that comes back after it was refused.
+    """Recognises requests that are retried after a refusal.
 
-    Made for bursts that outlast what a caller can wait. A caller comes back once; one
-    that is refused again has waited in vain, while a new one still has its return. A
-    caller that comes back before the time that it was told gains nothing by it.
+    Bursts can outlast the time that a caller can wait. A client retries once: a request
+    that is refused a second time has waited in vain, whereas a new one can still be
+    retried. Retrying before the stated time gains nothing.
 
-    A request has another id when it comes back, and is known by its route, customer
-    and size. One without a size can not be told from others.
+    A retry has a new request id, so it is recognised by route, customer and size. A
+    request without a size cannot be told apart from others.
 
     Attributes
     ==========
     client_retry_count : int
-        How many have come back as told.
+        Number of requests that were retried after the stated time.
     """
 
     __slots__ = ("_due", "client_retry_count")
@@ -41,10 +41,10 @@
         self.client_retry_count = 0
 
     def record_refusal(self, request, retry_after_ms, now_ms):
-        """Remember a refused request."""
+        """Record a refused request."""
         if not request.prompt_tokens:
             return
-        self._forget(now_ms)
+        self._forget_expired(now_ms)
         key = _key(request)
         self._due[key] = now_ms + retry_after_ms
         self._due.move_to_end(key)
@@ -52,26 +52,26 @@
             self._due.popitem(last=False)
 
     def wait_before_retry_ms(self, request, hold_ms, now_ms):
-        """Return after how long a refused request should come back.
+        """Return after how long a refused request should be retried.
 
         Parameters
         ==========
         request : hemlockhoist.decisions.WorkRequest
         hold_ms : float or None
-            How long its answer takes on a usual upstream.
+            How long its answer takes at a typical upstream; None where unknown.
         now_ms : int
 
         Returns
         =======
         int or None
-            None where the queue is to say it.
+            None where the time is to be computed from the queue.
         """
         if hold_ms is None:
             return None
         return longest_retry_wait_ms(request, hold_ms, now_ms)
 
     def take(self, request, now_ms):
-        """Return whether a request was refused before, and has waited as told."""
+        """Return whether a request is a retry made after the stated time."""
         due_ms = self._due.get(_key(request))
         if due_ms is None or now_ms < due_ms - EARLY_TOLERANCE_MS:
             return False
@@ -80,7 +80,7 @@
         self.client_retry_count += is_retry
         return is_retry
 
-    def _forget(self, now_ms):
+    def _forget_expired(self, now_ms):
         while self._due:
             key, due_ms = next(iter(self._due.items()))
             if now_ms <= due_ms + LATE_TOLERANCE_MS:
@@ -89,17 +89,17 @@
 
 
 def longest_retry_wait_ms(request, hold_ms, now_ms):
-    """Return after how long a refused request should come back.
+    """Return the longest useful wait before a refused request is retried.
 
-    Made for bursts of some seconds: who comes back sooner is refused again by the same
-    burst. It is the longest time that a caller waits and that leaves enough of its own
-    for a whole answer.
+    In a burst of some seconds, a client that retries sooner is refused again by the
+    same burst. The wait is the longest that a client accepts and that leaves enough
+    time before the deadline for a whole answer.
 
     Parameters
     ==========
     request : hemlockhoist.decisions.WorkRequest
     hold_ms : float
-        How long its answer takes on a usual upstream.
+        How long its answer takes at a typical upstream.
     now_ms : int
     """
     left_ms = request.deadline_ms - now_ms
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -1,4 +1,4 @@
-"""Mechanisms of scheduling that an experiment may leave out."""
+"""Scheduling mechanisms that an experiment may disable."""
 
 import enum
 
@@ -11,7 +11,7 @@
 
 
 class Mechanism(enum.Enum):
-    """What can be left out, to measure what it is worth."""
+    """A mechanism that can be disabled to measure its effect."""
 
     DEFERRAL = "better-later"
     PREFIX_BLOCKS = "kept-parts"
@@ -23,7 +23,7 @@
 
 
 class Experiments:
-    """The mechanisms that are left out; none by default.
+    """The disabled mechanisms; none by default.
 
     Parameters
     ==========
@@ -45,22 +45,22 @@
 
     @classmethod
     def from_text(cls, text):
-        """Return the experiments that a setting names, separated by commas.
+        """Return the experiments named in a setting, separated by commas.
 
         Raises
         ======
         SettingError
-            For a name that is not known.
+            For an unknown name.
         """
         names = [name.strip() for name in text.split(",") if name.strip()]
         try:
             return cls(Mechanism(name) for name in names)
         except ValueError as error:
             known = ", ".join(item.value for item in Mechanism)
-            raise SettingError(f"{error}; known are {known}") from None
+            raise SettingError(f"{error}; expected one of {known}") from None
 
     def mask(self, request):
-        """Return a request as a scheduler without the mechanisms would know it."""
+        """Return a request without the fields that the disabled mechanisms use."""
         if not self.disabled:
             return request
         fields = {}
@@ -71,12 +71,12 @@
         if Mechanism.PREFIX_BLOCKS in self.disabled:
             fields["prefix_hashes"] = fields["prefix_tokens"] = ()
         if Mechanism.DOMAIN_LOCALITY in self.disabled:
-            # No upstream is in a domain without a name: none is nearer than another.
+            # No upstream is in a domain without a name, so none of them is local.
             fields["failure_domain"] = ""
         return msgspec.structs.replace(request, **fields)
 
     def overtaking_budget(self):
-        """Return what lets short requests pass those of higher tiers."""
+        """Return the budget for overtaking, or one that allows none."""
         return (
             NoOvertaking()
             if Mechanism.OVERTAKING in self.disabled
@@ -84,7 +84,7 @@
         )
 
     def client_retries(self):
-        """Return what knows the requests that come back."""
+        """Return the recognition of client retries, or one that recognises none."""
         return (
             NoClientRetries()
             if Mechanism.CLIENT_RETRIES in self.disabled
@@ -92,37 +92,37 @@
         )
 
     def declared_tracks(self, cache_tokens=0, warmup=None):
-        """Return the tracks of upstreams that declare their places."""
+        """Return the tracks for upstreams that declare their slots."""
         if Mechanism.DEFERRAL in self.disabled:
             return NoDeferralTracks(cache_tokens, warmup)
         return DeclaredTracks(cache_tokens, warmup)
 
 
 class NoOvertaking(OvertakingBudget):
-    """Lets no request pass those of higher tiers."""
+    """Lets no request overtake those of higher tiers."""
 
     __slots__ = ()
 
-    def longest_ms(self, rank, passed, slots, now_ms):
-        """Return that none may pass."""
+    def max_hold_ms(self, rank, overtaken, slots, now_ms):
+        """Return a negative time: none may overtake."""
         return -1.0
 
 
 class NoClientRetries(ClientRetries):
-    """Knows no request again, and tells none a time of its own."""
+    """Recognises no client retry, and computes no time to wait before one."""
 
     __slots__ = ()
 
     def record_refusal(self, request, retry_after_ms, now_ms):
-        """Remember nothing."""
+        """Do nothing."""
 
     def wait_before_retry_ms(self, request, hold_ms, now_ms):
-        """Return None: the queue alone says when to come back."""
+        """Return None: the wait is computed from the queue alone."""
         return
 
 
 class NoDeferralTracks(DeclaredTracks):
-    """Takes the best of the upstreams that are free, and waits for no other."""
+    """Selects the best free upstream, and never defers to wait for a better one."""
 
     __slots__ = ()
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
@@ -17,7 +17,7 @@
 
     Parameters
     ==========
-    grants : GrantBook
+    grants : GrantTable
     tracks : Tracks
     """
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/grants.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/grants.py
@@ -1,11 +1,11 @@
-"""The grants in flight of one pool shard, and the requests that ended lately."""
+"""The grants in flight of one pool shard, and the recently ended requests."""
 
 import collections
 
-# How long an ended request's id is remembered. Made for a submit that is repeated
-# because its answer was slow: the repeat arrives within the peers' retry time.
+# How long the id of an ended request is kept. A submit whose answer was slow is
+# repeated, and the repeat arrives within the peers' retry time.
 ENDED_TTL_MS = 10_000
-# Bound on the same, for a burst of requests of a few milliseconds each.
+# Bound on the number of these ids, for a burst of requests of a few milliseconds each.
 MAX_ENDED = 20_000
 
 
@@ -18,13 +18,13 @@
     grant : hemlockhoist.decisions.Grant
     granted_ms : int
     cost_ms : float
-        Predicted time for which it holds its place.
+        Predicted time for which it holds its slot.
     in_flight_at_grant : int
-        Requests that its upstream held when it was granted, itself included.
+        Requests in flight at its upstream when it was granted, including itself.
     first_token_reported : bool
-        Whether its first token was told before its end.
+        Whether its first token was reported before the end of the answer.
     prompt_wait_ms : float
-        Prompts that were expected to be computed before its own at its upstream.
+        Predicted time of the prompts that its upstream computes before its own.
     pending_tokens : int
         Prompt tokens that its upstream still has to compute, as far as known.
     expected_blocks : int
@@ -58,8 +58,8 @@
 class GrantTable:
     """Counts grants in flight by upstream, customer and entry host.
 
-    Taking and giving back are idempotent by grant id: peers repeat messages whose
-    answer was lost, and a count that moved twice would never come right again.
+    Adding and removing are idempotent by grant id: peers repeat messages whose answer
+    was lost, and a count that changed twice would stay wrong for good.
     """
 
     __slots__ = (
@@ -83,7 +83,7 @@
         return len(self._by_grant)
 
     def add(self, held):
-        """Count a grant; return False where it is counted already."""
+        """Add a grant; return False if it is already counted."""
         grant_id = held.grant.grant_id
         if grant_id in self._by_grant:
             return False
@@ -96,7 +96,7 @@
         return True
 
     def remove(self, grant_id):
-        """Stop counting a grant; return it, or None where it is unknown."""
+        """Remove and return a grant, or return None if it is unknown."""
         held = self._by_grant.pop(grant_id, None)
         if held is None:
             return None
@@ -116,7 +116,7 @@
         return self._by_grant.get(grant_id)
 
     def of_version(self, version):
-        """Return how many grants upstreams of a version hold."""
+        """Return the number of grants in flight at upstreams of a version."""
         return sum(held.grant.version == version for held in self._by_grant.values())
 
     def of_request(self, request_id):
@@ -124,7 +124,7 @@
         return self._by_request.get(request_id)
 
     def of_entry_host(self, host_id):
-        """Return the ids of the grants that an entry host holds, oldest id first."""
+        """Return the ids of the grants that an entry host holds, sorted."""
         return sorted(self._by_entry_host.get(host_id, ()))
 
     def in_flight(self, upstream_id):
@@ -136,7 +136,7 @@
         return self._customers.get(customer, 0)
 
     def past_deadline(self, before_ms):
-        """Return the ids of grants whose request's deadline was before ``before_ms``."""
+        """Return the ids of grants with a request deadline before ``before_ms``."""
         return [
             grant_id
             for grant_id, held in self._by_grant.items()
@@ -148,17 +148,17 @@
         return self._by_grant.values()
 
     def record_ended(self, request_id, now_ms):
-        """Remember that a request was dispatched and has ended."""
+        """Record that a request was dispatched and has ended."""
         self._ended[request_id] = now_ms
         if len(self._ended) > MAX_ENDED:
             self._ended.popitem(last=False)
 
     def has_ended(self, request_id):
-        """Return whether a request was dispatched and ended lately."""
+        """Return whether a request was dispatched and ended recently."""
         return request_id in self._ended
 
     def forget_ended(self, now_ms):
-        """Forget the requests that ended longer than ``ENDED_TTL_MS`` ago."""
+        """Forget the requests that ended at least ``ENDED_TTL_MS`` ago."""
         while self._ended:
             request_id, at_ms = next(iter(self._ended.items()))
             if now_ms - at_ms < ENDED_TTL_MS:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
@@ -1,32 +1,32 @@
-"""Which waiting requests may pass others of higher tiers, as the pool stands."""
+"""Decides which requests may overtake waiting requests of higher tiers."""
 
 
 class OvertakingCheck:
-    """Says which requests may pass those of higher tiers that wait.
+    """Applies the overtaking budget to the current state of a pool shard.
 
     Parameters
     ==========
     queue : RequestQueue
     fleet : Fleet
-    turns : OutOfTurn
+    overtaking_budget : OvertakingBudget
     """
 
-    __slots__ = ("_fleet", "_queue", "_turns")
+    __slots__ = ("_fleet", "_queue", "_overtaking_budget")
 
-    def __init__(self, queue, fleet, turns):
+    def __init__(self, queue, fleet, overtaking_budget):
         self._queue = queue
         self._fleet = fleet
-        self._turns = turns
+        self._overtaking_budget = overtaking_budget
 
     def may_overtake(self, request, now_ms):
-        """Return whether a request may pass those of higher tiers that wait."""
+        """Return whether a request may overtake waiting requests of higher tiers."""
         return self.predicate_at(now_ms)(request)
 
     def predicate_at(self, now_ms):
-        """Return what says at one moment which requests may pass.
+        """Return a predicate that says which requests may overtake at one moment.
 
-        Load: a refusal in a burst looks at all waiting requests of lower tiers. What
-        is the same for all of a tier is worked out once.
+        A refusal in a burst checks all waiting requests of lower tiers, so values that
+        are the same for all requests of a tier are computed once.
 
         Returns
         =======
@@ -34,20 +34,20 @@
             ``may_overtake(request)``.
         """
         tracks = self._fleet.tracks
-        longest_ms = {}
+        max_hold_ms = {}
 
         def may_overtake(request):
             rank = request.tier_rank
-            if rank not in longest_ms:
-                longest_ms[rank] = self._longest_ms(rank, now_ms)
+            if rank not in max_hold_ms:
+                max_hold_ms[rank] = self._max_hold_ms(rank, now_ms)
             hold_ms = tracks.hold_ms(request)
-            return hold_ms is not None and hold_ms <= longest_ms[rank]
+            return hold_ms is not None and hold_ms <= max_hold_ms[rank]
 
         return may_overtake
 
-    def _longest_ms(self, rank, now_ms):
+    def _max_hold_ms(self, rank, now_ms):
         tracks = self._fleet.tracks
         above = [item.request for item in self._queue.first_above(rank)]
-        passed = [(item.tier_rank, tracks.hold_ms(item) or 0.0) for item in above]
+        overtaken = [(item.tier_rank, tracks.hold_ms(item) or 0.0) for item in above]
         slots = self._fleet.places(now_ms)
-        return self._turns.longest_ms(rank, passed, slots, now_ms)
+        return self._overtaking_budget.max_hold_ms(rank, overtaken, slots, now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
@@ -1,89 +1,89 @@
-"""Which requests of a lower tier may pass waiting ones of higher tiers."""
+"""The budget of slot time for requests that overtake those of higher tiers."""
 
 from hemlockhoist.decisions.scheduling.refusal_rates import RefusalRates
 
-# Of the time of all places, what short requests may take out of their turn: the most by
+# Fraction of the time of all slots that overtaking requests may use: the maximum by
 # which they delay the tiers above them.
 SLOT_TIME_FRACTION = 0.05
-# A request is short where it holds a place for no more than this part of the time of
-# each request that it passes.
+# A request is short if it holds a slot for at most this fraction of the time of each
+# request that it overtakes.
 SHORT_FRACTION = 0.25
-# Place time that is not used is kept for this long.
+# Unused slot time accumulates over at most this long.
 BUDGET_WINDOW_MS = 1_000
 
 
 class OvertakingBudget:
-    """Lets short requests of a lower tier pass longer ones of higher tiers.
+    """Lets short requests of a lower tier overtake longer ones of higher tiers.
 
-    Made for a burst in which a higher tier holds all places for seconds, and a lower
-    one asks for some hundredths of a second each. Harm without it: the lower tier is
-    refused as a whole, for place time that the higher one would not notice.
+    In a burst, a higher tier can hold all slots for seconds while requests of a lower
+    one need some hundredths of a second each. Without overtaking, the whole lower tier
+    is refused for an amount of slot time that the higher tier would not notice.
 
-    A higher tier is never shed before a lower one by it: a tier's requests pass only
-    while at least as great a part of them was refused lately as of every tier above,
-    and all that pass take a small part of the places' time together.
+    A higher tier is never shed before a lower one because of it: a tier's requests
+    overtake only while its recent refusal rate is at least that of every tier above,
+    and together they use a small fraction of the slot time.
     """
 
-    __slots__ = ("_at_ms", "_left_ms", "_shares")
+    __slots__ = ("_at_ms", "_budget_ms", "_refusal_rates")
 
     def __init__(self):
-        self._shares = RefusalRates()
-        self._left_ms = 0.0
+        self._refusal_rates = RefusalRates()
+        self._budget_ms = 0.0
         self._at_ms = 0
 
     def record_decision(self, rank, was_refused, now_ms):
-        """Count a request that was given a place or refused for want of one."""
-        self._shares.add(rank, was_refused, now_ms)
+        """Record a request that was assigned a slot or refused for lack of one."""
+        self._refusal_rates.add(rank, was_refused, now_ms)
 
     def charge(self, hold_ms):
-        """Count the place time of a request that passed."""
-        self._left_ms -= hold_ms
+        """Charge the slot time of a request that has overtaken others."""
+        self._budget_ms -= hold_ms
 
-    def allows(self, rank, hold_ms, passed, slots, now_ms):
-        """Return whether a request may pass those of higher tiers that wait.
+    def allows(self, rank, hold_ms, overtaken, slots, now_ms):
+        """Return whether a request may overtake waiting requests of higher tiers.
 
         Parameters
         ==========
         rank : int
         hold_ms : float or None
-            For how long it is expected to hold a place; None where that is not known.
-        passed : iterable of (int, float)
-            Rank and expected holding time of what it would pass.
+            For how long it is expected to hold a slot; None where that is unknown.
+        overtaken : iterable of (int, float)
+            Rank and expected holding time of the requests that it would overtake.
         slots : int
-            Of all upstreams that take work.
+            Of all upstreams that accept work.
         now_ms : int
         """
         if hold_ms is None:
             return False
-        return hold_ms <= self.longest_ms(rank, passed, slots, now_ms)
+        return hold_ms <= self.max_hold_ms(rank, overtaken, slots, now_ms)
 
-    def longest_ms(self, rank, passed, slots, now_ms):
-        """Return how long a request of a tier may hold a place and still pass.
+    def max_hold_ms(self, rank, overtaken, slots, now_ms):
+        """Return for how long a request of a tier may hold a slot to be let overtake.
 
         Parameters
         ==========
         rank : int
-        passed : iterable of (int, float)
+        overtaken : iterable of (int, float)
         places, now_ms : int
             As for ``allows``.
 
         Returns
         =======
         float
-            Below 0 where none may pass.
+            Negative if none may overtake.
         """
         self._accrue(slots, now_ms)
-        own = self._shares.rate(rank, now_ms)
-        longest_ms = self._left_ms
-        for other, other_ms in passed:
-            if own < self._shares.rate(other, now_ms):
+        own = self._refusal_rates.rate(rank, now_ms)
+        max_hold_ms = self._budget_ms
+        for other, other_ms in overtaken:
+            if own < self._refusal_rates.rate(other, now_ms):
                 return -1.0
-            longest_ms = min(longest_ms, SHORT_FRACTION * other_ms)
-        return longest_ms
+            max_hold_ms = min(max_hold_ms, SHORT_FRACTION * other_ms)
+        return max_hold_ms
 
     def _accrue(self, slots, now_ms):
         passed_ms = max(0, now_ms - self._at_ms)
         self._at_ms = max(self._at_ms, now_ms)
-        most_ms = SLOT_TIME_FRACTION * slots * BUDGET_WINDOW_MS
+        max_budget_ms = SLOT_TIME_FRACTION * slots * BUDGET_WINDOW_MS
         gained_ms = SLOT_TIME_FRACTION * slots * passed_ms
-        self._left_ms = min(most_ms, self._left_ms + gained_ms)
+        self._budget_ms = min(max_budget_ms, self._budget_ms + gained_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
@@ -1,13 +1,13 @@
-"""The waiting requests of one pool shard: strict tiers, fair shares within a tier."""
+"""The request queue of one pool shard: strict tiers, fair queueing within a tier."""
 
 import collections
 
 from sortedcontainers import SortedKeyList, SortedList
 
-# Within one customer a request is served in the order of arrival plus this multiple
-# of its predicted time. Made for a hundredfold mix of short and long: a short request
-# passes a long one, and a long one is passed only by those that came within the
-# multiple of its own time after it, so it can not starve.
+# The requests of one customer are ordered by arrival time plus this multiple of their
+# predicted time, as these differ a hundredfold: a short request overtakes a long one,
+# and a long one is overtaken only by those that arrive within this multiple of its own
+# time after it, so it cannot starve.
 SHORT_FIRST_FACTOR = 2.0
 
 
@@ -18,20 +18,20 @@
     ==========
     request : hemlockhoist.decisions.WorkRequest
     cost_ms : float
-        Predicted time for which it will hold a place.
-    turn_ms : float
-        Within one customer, the request with the least is served first.
-    order : int
-        Breaks ties: counts up with each arrival.
+        Predicted time for which it will hold a slot.
+    order_ms : float
+        Within one customer, the request with the lowest value is served first.
+    sequence : int
+        Breaks ties: increases with each arrival.
     is_late : bool
         Whether its first token target has passed.
     is_retry : bool
-        Whether it was refused before, and came back as it was told.
+        Whether it was refused before and the client retried after the stated time.
 
     Attributes
     ==========
     skipped_round : int or None
-        The scheduler's round in which it last found no place.
+        The round of the slot assigner in which it last found no slot.
     """
 
     __slots__ = (
@@ -39,21 +39,23 @@
         "is_late",
         "is_retry",
         "skipped_round",
-        "rank_key",
+        "sort_key",
         "request",
     )
 
-    def __init__(self, request, cost_ms, turn_ms, order, is_late=False, is_retry=False):
+    def __init__(
+        self, request, cost_ms, order_ms, sequence, is_late=False, is_retry=False
+    ):
         self.is_retry = is_retry
         self.skipped_round = None
         self.request = request
         self.cost_ms = cost_ms
         self.is_late = is_late
-        self.rank_key = (turn_ms, order)
+        self.sort_key = (order_ms, sequence)
 
 
 def short_first_ms(arrived_ms, cost_ms):
-    """Return a request's turn where short ones pass long ones."""
+    """Return the order key with which short requests overtake long ones."""
     return arrived_ms + SHORT_FIRST_FACTOR * cost_ms
 
 
@@ -67,25 +69,33 @@
         self.weight = weight
         self.start = start
         self.cost_ms = 0.0
-        self.waiting = SortedKeyList(key=lambda item: item.rank_key)
+        self.waiting = SortedKeyList(key=lambda item: item.sort_key)
 
 
 class FairQueue:
     """Start-time fair queueing between customers.
 
     Each customer has a virtual start time that advances by predicted cost over weight
-    with every grant; the customer with the least is served next. A customer that
-    sends most of the load only waits behind its own requests, and one that was idle
-    begins at the present virtual time, so idleness earns no credit.
+    with every grant; the customer with the earliest one is served next. A customer that
+    sends most of the load waits only behind its own requests, and one that was idle
+    starts at the current virtual time, so idleness earns no credit.
     """
 
-    __slots__ = ("_active", "_customers", "_idle", "_now", "cost_ms", "size", "weight")
+    __slots__ = (
+        "_active",
+        "_customers",
+        "_idle",
+        "_virtual_time",
+        "cost_ms",
+        "size",
+        "weight",
+    )
 
     def __init__(self):
         self._customers = {}
         self._active = SortedList()
         self._idle = {}
-        self._now = 0.0
+        self._virtual_time = 0.0
         self.cost_ms = 0.0
         self.size = 0
         self.weight = 0
@@ -113,17 +123,17 @@
         return waiting
 
     def charge(self, waiting):
-        """Count a taken request that was granted against its customer's share."""
+        """Charge a request that was taken and granted to its customer's share."""
         name = waiting.request.customer
         step = waiting.cost_ms / max(1, waiting.request.weight)
         customer = self._customers.get(name)
         if customer is None:
-            start = max(self._now, self._idle.get(name, 0.0))
-            self._now = start
+            start = max(self._virtual_time, self._idle.get(name, 0.0))
+            self._virtual_time = start
             self._idle[name] = start + step
             return
         self._active.remove((customer.start, name))
-        self._now = max(self._now, customer.start)
+        self._virtual_time = max(self._virtual_time, customer.start)
         customer.start += step
         self._active.add((customer.start, name))
 
@@ -135,20 +145,20 @@
         self.cost_ms -= waiting.cost_ms
         self.size -= 1
         if not customer.waiting:
-            self._retire(customer)
+            self._deactivate(customer)
 
     def displacement_candidate(self):
-        """Return the last request of the customer furthest over its share, or None."""
+        """Return the last request of the customer furthest above its share, or None."""
         if not self._customers:
             return None
         customer = max(self._customers.values(), key=_backlog_over_weight)
         return customer.waiting[-1]
 
     def is_displaced_by(self, waiting, request):
-        """Return whether a waiting request's customer holds more than another's would.
+        """Return whether a waiting request is displaced by a new one.
 
-        Compares backlog over weight, that of ``request`` counted with one more
-        request of the same cost.
+        It is where its customer's backlog over weight exceeds that of the customer of
+        ``request``, counted with one more request of the same cost.
         """
         theirs = _backlog_over_weight(self._customers[waiting.request.customer])
         own = self._customers.get(request.customer)
@@ -158,8 +168,8 @@
     def work_ahead_ms(self, request):
         """Return the predicted work that is served before a new request.
 
-        The whole tier's backlog, or less where the customer's fair share brings its
-        request forward.
+        This is the whole tier's backlog, or less where the customer's fair share lets
+        its request be served earlier.
         """
         customer = self._customers.get(request.customer)
         if customer is None:
@@ -170,23 +180,23 @@
         return min(self.cost_ms, own_ms * (others + weight) / weight)
 
     def forget_idle(self):
-        """Drop idle customers whose share is used up by the passing of time."""
+        """Drop idle customers whose start time the virtual time has passed."""
         if len(self._idle) > len(self._customers):
             kept = self._idle.items()
-            self._idle = {name: at for name, at in kept if at > self._now}
+            self._idle = {name: at for name, at in kept if at > self._virtual_time}
 
     def _customer(self, request):
         customer = self._customers.get(request.customer)
         if customer is not None:
             return customer
-        start = max(self._now, self._idle.pop(request.customer, 0.0))
+        start = max(self._virtual_time, self._idle.pop(request.customer, 0.0))
         customer = _CustomerQueue(request.customer, max(1, request.weight), start)
         self._customers[customer.name] = customer
         self._active.add((start, customer.name))
         self.weight += customer.weight
         return customer
 
-    def _retire(self, customer):
+    def _deactivate(self, customer):
         del self._customers[customer.name]
         self._active.remove((customer.start, customer.name))
         self.weight -= customer.weight
@@ -198,82 +208,82 @@
 
 
 class TierQueue:
-    """One tier: requests in time, then those that came back, then the late ones.
+    """One tier's queue: requests on time first, then client retries, then late ones.
 
-    A late request does not count as goodput any more, yet its caller may still get a
-    whole answer; it is served when nobody in time waits. One that was refused and came
-    back is late too, and goes first of these: its caller will not come a third time.
+    A late request no longer counts as goodput, but its caller may still get a whole
+    answer, so it is served when no request on time waits. A client retry is late too,
+    and precedes the other late ones, as its client does not retry a second time.
     """
 
-    __slots__ = ("_in_time", "_late", "_returned")
+    __slots__ = ("_on_time", "_late", "_retried")
 
     def __init__(self):
-        self._returned = FairQueue()
-        self._in_time = FairQueue()
+        self._retried = FairQueue()
+        self._on_time = FairQueue()
         self._late = FairQueue()
 
     @property
     def size(self):
         """Number of waiting requests."""
-        return self._returned.size + self._in_time.size + self._late.size
+        return self._retried.size + self._on_time.size + self._late.size
 
     @property
     def cost_ms(self):
-        """Predicted work that is served before a new request."""
-        return self._in_time.cost_ms
+        """Predicted work that is served before a new request of the tier."""
+        return self._on_time.cost_ms
 
     def push(self, waiting):
         """Add a request."""
-        self._part(waiting).push(waiting)
+        self._subqueue(waiting).push(waiting)
 
     def first(self):
         """Return the request that is next, or None."""
-        return self._in_time.first() or self._returned.first() or self._late.first()
+        return self._on_time.first() or self._retried.first() or self._late.first()
 
     def take(self):
         """Remove and return the request that is next, or None."""
-        return self._in_time.take() or self._returned.take() or self._late.take()
+        return self._on_time.take() or self._retried.take() or self._late.take()
 
     def charge(self, waiting):
-        """Count a taken request that was granted against its customer's share."""
-        self._part(waiting).charge(waiting)
+        """Charge a request that was taken and granted to its customer's share."""
+        self._subqueue(waiting).charge(waiting)
 
     def remove(self, waiting):
         """Remove a waiting request."""
-        self._part(waiting).remove(waiting)
+        self._subqueue(waiting).remove(waiting)
 
     def displacement_candidate(self):
-        """Return the request that gives way first, or None."""
+        """Return the request that is displaced first, or None."""
         first = (
             self._late.displacement_candidate()
-            or self._in_time.displacement_candidate()
+            or self._on_time.displacement_candidate()
         )
-        return first or self._returned.displacement_candidate()
+        return first or self._retried.displacement_candidate()
 
     def is_displaced_by(self, waiting, request):
-        """Return whether a waiting request gives way to a new one."""
+        """Return whether a waiting request is displaced by a new one."""
         if waiting.is_late:
             return True
-        return not waiting.is_retry and self._in_time.is_displaced_by(waiting, request)
+        return not waiting.is_retry and self._on_time.is_displaced_by(waiting, request)
 
     def work_ahead_ms(self, request):
         """Return the predicted work that is served before a new request."""
-        return self._in_time.work_ahead_ms(request)
+        return self._on_time.work_ahead_ms(request)
 
     def forget_idle(self):
-        """Drop idle customers whose share is used up by the passing of time."""
-        self._returned.forget_idle()
-        self._in_time.forget_idle()
+        """Drop idle customers whose start time the virtual time has passed."""
+        self._retried.forget_idle()
+        self._on_time.forget_idle()
         self._late.forget_idle()
 
-    def _part(self, waiting):
+    def _subqueue(self, waiting):
         if waiting.is_retry:
-            return self._returned
-        return self._late if waiting.is_late else self._in_time
+            return self._retried
+        return self._late if waiting.is_late else self._on_time
 
 
 class RequestQueue:
-    """All tiers of a pool shard, and the waiting requests by id."""
+    """The queues of all tiers of a pool shard, with an index of requests by id."""
 
     __slots__ = ("_by_id", "_customers", "_due", "_ranks", "_tiers")
 
@@ -292,7 +302,7 @@
 
     @property
     def ranks(self):
-        """The tiers' ranks, highest tier first."""
+        """The ranks of the tiers, highest tier first."""
         return self._ranks
 
     def tier(self, rank):
@@ -303,7 +313,7 @@
         return self._tiers[rank]
 
     def push(self, waiting, due_ms):
-        """Add a request that is given up on at ``due_ms``."""
+        """Add a request that is reviewed at ``due_ms`` if it still waits."""
         request = waiting.request
         self.tier(request.tier_rank).push(waiting)
         self._by_id[request.request_id] = (waiting, due_ms)
@@ -320,14 +330,14 @@
         return waiting
 
     def take(self, rank):
-        """Remove and return the next request of a tier with its due time, or None."""
+        """Remove the next request of a tier; return it with its due time, or None."""
         waiting = self._tiers[rank].take()
         if waiting is None:
             return None
         return self._forget(waiting.request.request_id)
 
     def take_due(self, now_ms):
-        """Remove and return the requests whose due time has come."""
+        """Remove and return the requests whose due time has passed."""
         due = []
         while self._due and self._due[0][0] <= now_ms:
             due.append(self.remove(self._due[0][1]))
@@ -338,29 +348,29 @@
         return self._due[0][0] if self._due else None
 
     def of_customer(self, customer):
-        """Return how many requests of a customer wait."""
+        """Return the number of waiting requests of a customer."""
         return self._customers.get(customer, 0)
 
     def of_entry_host(self, host_id):
-        """Return the ids of the requests that wait for an entry host."""
+        """Return the ids of the waiting requests of an entry host."""
         entries = self._by_id.items()
         return [key for key, (item, _) in entries if item.request.entry_host == host_id]
 
     def count_above(self, rank):
-        """Return how many requests of higher tiers wait."""
+        """Return the number of waiting requests of higher tiers."""
         return sum(self._tiers[r].size for r in self._ranks if r < rank)
 
     def count_below(self, rank):
-        """Return how many requests of lower tiers wait."""
+        """Return the number of waiting requests of lower tiers."""
         return sum(self._tiers[r].size for r in self._ranks if r > rank)
 
     def first_above(self, rank):
-        """Return the next request of each higher tier that has any."""
+        """Return the next request of each higher tier with waiting requests."""
         tiers = (self._tiers[r] for r in self._ranks if r < rank)
         return [tier.first() for tier in tiers if tier.size]
 
     def waiting_below(self, rank):
-        """Return the waiting requests of lower tiers, the highest tier's first."""
+        """Return the waiting requests of lower tiers, highest tier first."""
         if not self.count_below(rank):
             return []
         found = [item for item, _ in self._by_id.values()]
@@ -368,14 +378,14 @@
         return sorted(found, key=lambda item: item.request.tier_rank)
 
     def first_to_shed(self):
-        """Return the request that is shed first, or None."""
+        """Return the waiting request that is shed first, or None."""
         for rank in reversed(self._ranks):
             if self._tiers[rank].size:
                 return self._tiers[rank].displacement_candidate()
         return None
 
     def forget_idle(self):
-        """Drop what is kept of customers without waiting requests."""
+        """Drop the fair-share state of customers that have been idle."""
         for queue in self._tiers.values():
             queue.forget_idle()
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
@@ -1,28 +1,29 @@
-"""Whether a request that was not sent may be tried on another upstream."""
+"""The budget for retrying requests that were not sent on another upstream."""
 
 from hemlockhoist.base import MS_PER_S
 from hemlockhoist.decisions.work import OutcomeKind
 
-# Only where not one byte of the request can have left: anything else may have run.
+# Only outcomes in which no byte of the request can have been sent: after any other, the
+# request may have run.
 RETRYABLE = frozenset({OutcomeKind.CONNECT_FAILED, OutcomeKind.NOT_SENT})
-# Retries over requests. Made for a failure domain that goes dark while the list still
-# shows it: without a budget each request tries one dead upstream after the other, and
-# connects multiply just when the rest of the pool is short of places. A tenth covers
-# single upstreams that restart.
+# Ratio of retries to requests. When a failure domain becomes unreachable while the list
+# still contains it, each request would without a budget try one dead upstream after the
+# other, and connection attempts would multiply just when the rest of the pool is short
+# of slots. A tenth covers single upstreams that restart.
 RETRY_RATIO = 0.1
-# Retries a quiet host may still make, so that one bad upstream among few does not
-# refuse the few requests there are.
+# Retries that a host with little traffic may still make, so that one failed upstream of
+# a few does not cause its few requests to be refused.
 MIN_RETRIES_PER_S = 1.0
-# Budget that may be saved up. More would let a burst of retries through.
+# Maximum accumulated budget. A larger one would let a burst of retries through.
 MAX_BUDGET = 10.0
-# Dispatch attempts of one request, the first included.
+# Maximum dispatch attempts of one request, including the first.
 MAX_ATTEMPTS = 3
 
 
 class RetryBudget:
-    """A token bucket that requests fill and retries empty.
+    """A token bucket that is filled by requests and drained by retries.
 
-    One for each pool and entry host.
+    There is one for each pool and entry host.
 
     Examples
     ========
@@ -43,18 +44,18 @@
         self.refused = 0
 
     def on_request(self):
-        """Count a request that a caller sent."""
+        """Add the share of a request from a caller to the budget."""
         self._tokens = min(MAX_BUDGET, self._tokens + RETRY_RATIO)
 
     def take(self, kind, attempts, now_ms):
-        """Return whether a request may be tried again, and count it if so.
+        """Return whether a request may be retried, and charge the budget if so.
 
         Parameters
         ==========
         kind : hemlockhoist.decisions.OutcomeKind
             How the last attempt ended.
         attempts : int
-            Made so far.
+            Number of attempts so far.
         now_ms : int
         """
         self._refill(now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one pool shard: admits, queues, refuses and places requests."""
+"""The scheduler of one pool shard: admission, queueing, refusal and placement."""
 
 from hemlockhoist.base import InvariantLog, ResultCode
 from hemlockhoist.decisions.policy import VersionPolicy
@@ -19,8 +19,8 @@
 from hemlockhoist.decisions.scheduling.tracking import UpstreamTracks
 from hemlockhoist.decisions.work import Granted, OutcomeKind
 
-# A grant is counted no longer than this after its request's deadline. Made for a
-# release that was lost with a message: without it the place would be lost for good.
+# A grant is dropped this long after its request's deadline. Where the message that
+# carried its release was lost, the slot would otherwise stay occupied for good.
 LOST_GRANT_MS = 5_000
 _NOT_SENT = frozenset({OutcomeKind.CONNECT_FAILED, OutcomeKind.NOT_SENT})
 
@@ -28,9 +28,9 @@
 class PoolScheduler:
     """Admits, queues, refuses and places the requests of one pool shard.
 
-    All methods take the home's clock and return the decisions that follow. The
-    caller sends them; nothing here waits. Every method may be called again with the
-    same request or grant id without harm.
+    All methods take the time on the home's clock and return the resulting decisions,
+    which the caller sends; no method blocks. Every method is idempotent for the same
+    request or grant id.
     """
 
     __slots__ = (
@@ -40,11 +40,11 @@
         "_fleet",
         "_assigner",
         "_grants",
-        "_order",
-        "_passing",
+        "_arrival_count",
+        "_overtaking",
         "_policy",
         "_queue",
-        "_returns",
+        "_client_retries",
         "_shedder",
     )
 
@@ -58,17 +58,17 @@
         self._estimate = ServiceEstimate()
         self._grants = GrantTable()
         self._fleet = Fleet(self._grants, tracks)
-        turns = experiments.overtaking_budget()
-        self._returns = experiments.client_retries()
-        self._passing = OvertakingCheck(self._queue, self._fleet, turns)
+        overtaking_budget = experiments.overtaking_budget()
+        self._client_retries = experiments.client_retries()
+        self._overtaking = OvertakingCheck(self._queue, self._fleet, overtaking_budget)
         self._assigner = SlotAssigner(
             pool.name,
             incarnation,
             self._queue,
             self._fleet,
             self._grants,
-            self._passing,
-            turns,
+            self._overtaking,
+            overtaking_budget,
             self._admission,
             policy,
             invariants,
@@ -76,13 +76,13 @@
         self._shedder = Shedder(
             self._queue,
             self._admission,
-            turns,
-            self._returns,
+            overtaking_budget,
+            self._client_retries,
             invariants,
             self._retry_after_ms,
-            self._passing.predicate_at,
+            self._overtaking.predicate_at,
         )
-        self._order = 0
+        self._arrival_count = 0
 
     @classmethod
     def from_config(
@@ -95,22 +95,22 @@
         tracks=None,
         experiments=None,
     ):
-        """Return a scheduler without upstreams.
+        """Return a scheduler that has no upstreams yet.
 
         Parameters
         ==========
         pool : hemlockhoist.declarations.Pool
         tiers : sequence of hemlockhoist.declarations.Tier
         incarnation : str
-            Of this home; makes grant ids unique over restarts.
+            Of this home; makes grant ids unique across restarts.
         policy : VersionPolicy, optional
         invariants : hemlockhoist.base.InvariantLog, optional
-            Takes the checks of tier order and of leaving upstreams.
+            Records the checks of tier order and of leaving upstreams.
         tracks : DeclaredTracks, optional
-            For upstreams that declare their places; by default their limits are
-            found.
+            For upstreams that declare their slots; by default the limits are
+            estimated.
         experiments : Experiments, optional
-            Mechanisms that are left out.
+            The disabled mechanisms.
         """
         return cls(
             pool,
@@ -124,7 +124,7 @@
 
     @property
     def queued(self):
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return len(self._queue)
 
     @property
@@ -134,29 +134,29 @@
 
     @property
     def client_retry_count(self):
-        """Number of requests so far that came back as they were told."""
-        return self._returns.client_retry_count
+        """Number of requests so far that clients retried after the stated time."""
+        return self._client_retries.client_retry_count
 
     def evacuated_domains(self):
-        """Return the failure domains whose upstreams get nothing, by order."""
+        """Return the evacuated failure domains, whose upstreams get no work, sorted."""
         return self._fleet.table.evacuated_domains()
 
     def in_flight_at(self, version):
-        """Return the number of grants that upstreams of a version have."""
+        """Return the number of grants in flight at upstreams of a version."""
         return self._grants.of_version(version)
 
     def cached_elsewhere(self, request, upstream_id):
-        """Return the most prompt tokens that another upstream probably has cached."""
+        """Return the most prompt tokens that any other upstream probably has cached."""
         return self._fleet.tracks.cached_elsewhere(request, upstream_id)
 
     def reconfigure(self, pool, tiers, now_ms):
-        """Take changed declarations without losing queue or grants."""
+        """Apply changed declarations; the queue and the grants are kept."""
         self._admission.set_tiers(tiers)
         self._fleet.tracks.set_max_limit(pool.max_in_flight_per_upstream)
-        return self._drain(now_ms)
+        return self._decide_everywhere(now_ms)
 
     def submit(self, request, now_ms):
-        """Take a request; return decisions on it and on others.
+        """Admit a request; return the decisions on it and on others.
 
         Parameters
         ==========
@@ -166,8 +166,8 @@
         Returns
         =======
         list of Granted and Rejected
-            Without one for ``request`` when it waits. A repeated submit of a granted
-            request returns the same grant again.
+            None of them is for ``request`` when it is queued. A repeated submit of a
+            granted request returns the same grant.
         """
         held = self._grants.of_request(request.request_id)
         if held is not None:
@@ -180,23 +180,23 @@
         return decisions + self._decide(now_ms)
 
     def cancel(self, request_id, now_ms):
-        """Forget a queued request, whose caller has gone."""
+        """Remove a queued request whose caller has disconnected."""
         self._queue.remove(request_id)
         return []
 
     def release(self, grant_id, outcome, now_ms):
-        """Take a grant back with its outcome; return what can be granted now."""
+        """Release a grant with its outcome; return the decisions that follow."""
         held = self._grants.remove(grant_id)
         if held is None:
             return []
-        self._learn(held, outcome, now_ms)
+        self._record_outcome(held, outcome, now_ms)
         return self._decide(now_ms, held.grant.upstream_id)
 
     def observe_first_token(self, grant_id, first_token_ms, now_ms):
-        """Take the first token time of an answer that is still under way.
+        """Record the time to first token of an answer that is still in progress.
 
-        Optional: without it the same is learned from the outcome, which for a long
-        answer comes many seconds later.
+        Optional: without it the time is learned from the outcome, which for a long
+        answer arrives many seconds later.
 
         Parameters
         ==========
@@ -214,8 +214,8 @@
     def adopt(self, request, grant, now_ms):
         """Count a grant of a former home that an entry host still holds.
 
-        A copy of the request that waits here, submitted before the report came, is
-        dropped: it is dispatched already.
+        A copy of the request that was queued here before the report arrived is
+        removed, as the request is already dispatched.
         """
         self._queue.remove(request.request_id)
         cost_ms = self._estimate.hold_ms(request)
@@ -226,57 +226,57 @@
         return []
 
     def begin_recovery(self, now_ms):
-        """Begin the time in which grants of a former home are still unknown."""
+        """Begin the phase in which grants of a former home are still unknown."""
         self._fleet.recovery.begin(now_ms)
         self._fleet.tracks.begin_takeover(now_ms)
         return []
 
     def set_share(self, share):
-        """Take the part of what is bounded over all hosts that is given out here."""
+        """Set the share of the fleet-wide bounds that this home may use."""
         self._fleet.tracks.set_share(share)
 
     def end_recovery(self, now_ms):
-        """Take notice that all entry hosts have reported the grants they hold."""
+        """End the recovery phase: all entry hosts have reported their grants."""
         self._fleet.recovery.end()
-        return self._drain(now_ms)
+        return self._decide_everywhere(now_ms)
 
     def forget_entry_host(self, host_id, now_ms):
-        """Stop counting what a dead entry host held and had waiting."""
+        """Drop the grants and the queued requests of a dead entry host."""
         for request_id in self._queue.of_entry_host(host_id):
             self._queue.remove(request_id)
         for grant_id in self._grants.of_entry_host(host_id):
-            self._lose(grant_id, now_ms)
-        return self._drain(now_ms)
+            self._drop_grant(grant_id, now_ms)
+        return self._decide_everywhere(now_ms)
 
     def set_upstreams(self, upstreams, now_ms):
-        """Replace the list of upstreams; an empty list keeps the former one."""
+        """Replace the list of upstreams; an empty list is ignored."""
         self._fleet.replace(upstreams, now_ms)
-        return self._drain(now_ms)
+        return self._decide_everywhere(now_ms)
 
     def observe_load(self, report, now_ms):
-        """Take an upstream's load report."""
+        """Record an upstream's load report."""
         self._fleet.observe(report, now_ms)
-        return self._drain(now_ms)
+        return self._decide_everywhere(now_ms)
 
     def tick(self, now_ms):
-        """Refuse what waited too long; return the decisions due.
+        """Refuse requests that have waited too long; return the decisions due.
 
-        To be called every 100 ms or so, and when ``next_due_ms`` has come.
+        To be called about every 100 ms, and at ``next_due_ms``.
         """
         self._grants.forget_ended(now_ms)
         self._queue.forget_idle()
         self._fleet.review(self._estimate, now_ms)
         for grant_id in self._grants.past_deadline(now_ms - LOST_GRANT_MS):
-            self._lose(grant_id, now_ms)
-        return self._drain(now_ms)
+            self._drop_grant(grant_id, now_ms)
+        return self._decide_everywhere(now_ms)
 
     def next_due_ms(self):
-        """Return when ``tick`` next has a decision to make, or None."""
+        """Return the time at which ``tick`` next has a decision to make, or None."""
         return self._queue.next_due_ms()
 
     def _admit(self, request, now_ms):
-        is_retry = self._returns.take(request, now_ms)
-        code = self._refusal(request, is_retry, now_ms)
+        is_retry = self._client_retries.take(request, now_ms)
+        code = self._refusal_code(request, is_retry, now_ms)
         if code is ResultCode.OVERLOADED:
             return self._shedder.shed(request, code, now_ms)
         if code is not None:
@@ -284,7 +284,7 @@
         decisions = self._shedder.make_room(request, now_ms)
         if any(item.request is request for item in decisions):
             return decisions
-        self._order += 1
+        self._arrival_count += 1
         cost_ms = self._estimate.hold_ms(request)
         wait_ms = slack_ms(request, self._estimate, now_ms)
         if is_retry:
@@ -292,19 +292,19 @@
         due_ms = int(now_ms + max(1, wait_ms))
         turn_ms = self._fleet.tracks.turn_ms(now_ms, cost_ms, due_ms)
         waiting = QueuedRequest(
-            request, cost_ms, turn_ms, self._order, is_retry=is_retry
+            request, cost_ms, turn_ms, self._arrival_count, is_retry=is_retry
         )
         self._queue.push(waiting, due_ms)
         return decisions
 
-    def _refusal(self, request, is_retry, now_ms):
+    def _refusal_code(self, request, is_retry, now_ms):
         if not self._fleet.table.serves(request.regions):
             return ResultCode.NO_UPSTREAM
         held = self._grants.of_customer(request.customer)
         held += self._queue.of_customer(request.customer)
         if held >= request.max_in_flight:
             return ResultCode.CUSTOMER_LIMIT
-        if self._queue.count_above(request.tier_rank) and self._passing.may_overtake(
+        if self._queue.count_above(request.tier_rank) and self._overtaking.may_overtake(
             request, now_ms
         ):
             return None
@@ -317,8 +317,8 @@
             request, self._queue, slots, self._estimate, now_ms
         )
 
-    def _drain(self, now_ms):
-        """Decide after a change that may have made room anywhere."""
+    def _decide_everywhere(self, now_ms):
+        """Decide after a change that may have freed slots at any upstream."""
         self._assigner.begin_round()
         return self._decide(now_ms)
 
@@ -327,15 +327,15 @@
         if not len(self._queue):
             return []
         if self._fleet.table.is_evacuated():
-            return self._refuse_waiting(now_ms)
+            return self._refuse_all(now_ms)
         decisions = self._assigner.assign(now_ms, changed)
-        return decisions + self._give_up(now_ms)
+        return decisions + self._refuse_due(now_ms)
 
-    def _refuse_waiting(self, now_ms):
-        """Refuse all that waits, the lowest tier first.
+    def _refuse_all(self, now_ms):
+        """Refuse all waiting requests, the lowest tier first.
 
-        Harm prevented: all failure domains of a pool are evacuated, and callers wait to
-        the end of their time for what will not come.
+        When all failure domains of a pool are evacuated, callers would otherwise wait
+        until their deadlines for a slot that does not become free.
         """
         decisions = []
         for rank in reversed(list(self._queue.ranks)):
@@ -345,18 +345,19 @@
                 decisions.append(self._shedder.reject(request, code, now_ms))
         return decisions
 
-    def _give_up(self, now_ms):
-        """Refuse the waiting requests whose time has come.
+    def _refuse_due(self, now_ms):
+        """Refuse the waiting requests whose due time has passed.
 
-        A request that is late for its first token waits on only while nobody else
-        wants its place, or while lower tiers are given places. With others of its
-        tier waiting, serving late ones makes every answer late in a saturation; and
-        refused while lower tiers are served, it would be shed before them.
+        A request that has missed its first token target stays queued only while no
+        other request of its tier waits, or while lower tiers are assigned slots.
+        Serving late requests ahead of others of their tier would make every answer
+        late under saturation; refusing them while lower tiers are served would shed a
+        higher tier before a lower one.
         """
         decisions = []
         for waiting in self._queue.take_due(now_ms):
             request = waiting.request
-            code = self._end_of_wait(request, now_ms)
+            code = self._due_refusal_code(request, now_ms)
             if code is None:
                 waiting.is_late = True
                 due_ms = latest_start_ms(request, self._estimate)
@@ -366,8 +367,8 @@
                 decisions += self._shedder.shed(request, code, now_ms)
         return decisions
 
-    def _end_of_wait(self, request, now_ms):
-        """Return why a request whose time has come is refused, or None."""
+    def _due_refusal_code(self, request, now_ms):
+        """Return the code with which a due request is refused, or None."""
         if request.deadline_ms <= now_ms:
             return ResultCode.DEADLINE_PASSED
         if latest_start_ms(request, self._estimate) <= now_ms:
@@ -377,14 +378,14 @@
             return None
         return ResultCode.OVERLOADED if self._queue.tier(rank).size else None
 
-    def _lose(self, grant_id, now_ms):
+    def _drop_grant(self, grant_id, now_ms):
         held = self._grants.get(grant_id)
         self._grants.remove(grant_id)
         if held is not None:
             self._fleet.tracks.forget(held, now_ms)
             self._policy.on_forget(held.request, held.grant.version, now_ms)
 
-    def _learn(self, held, outcome, now_ms):
+    def _record_outcome(self, held, outcome, now_ms):
         request = held.request
         hold_ms = now_ms - held.granted_ms
         predicted_ms = self._estimate.hold_ms(request)
@@ -401,9 +402,9 @@
     def _retry_after_ms(self, request, now_ms):
         slots = self._fleet.places(now_ms)
         hold_ms = self._fleet.tracks.hold_ms(request)
-        wait_ms = self._returns.wait_before_retry_ms(request, hold_ms, now_ms)
-        has_rest = slots or self._fleet.table.is_evacuated()
-        if has_rest and wait_ms is not None:
+        wait_ms = self._client_retries.wait_before_retry_ms(request, hold_ms, now_ms)
+        has_upstreams = slots or self._fleet.table.is_evacuated()
+        if has_upstreams and wait_ms is not None:
             return wait_ms
         return self._admission.retry_after_ms(
             request, self._queue, slots, self._estimate, now_ms
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
@@ -96,8 +96,8 @@
 class OutOfTurnTests(unittest.TestCase):
     SLOTS = 40
 
-    def allowed(self, turns, hold_ms=50.0, passed=((1, 900.0),), now_ms=1_000):
-        return turns.allows(2, hold_ms, passed, self.SLOTS, now_ms)
+    def allowed(self, turns, hold_ms=50.0, overtaken=((1, 900.0),), now_ms=1_000):
+        return turns.allows(2, hold_ms, overtaken, self.SLOTS, now_ms)
 
     def test_a_tier_that_is_refused_less_does_not_pass(self):
         """A higher tier is never shed before a lower one that passes it."""
