--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/builders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/builders.py
@@ -1,4 +1,4 @@
-"""Records with short names and defaults for the tests of the scheduler."""
+"""Builders of records with default values for the scheduler tests."""
 
 import itertools
 
@@ -41,7 +41,7 @@
 
 
 def scheduler(slots=1, count=1, tiers=3, max_queued=4, policy=None):
-    """Return a scheduler with ``count`` upstreams; violations raise."""
+    """Return a scheduler with ``count`` upstreams; invariant violations raise."""
     pool = Pool(
         name="assistant",
         kind=PoolKind.MODEL,
@@ -59,18 +59,18 @@
         for rank in range(tiers)
     ]
     log = InvariantLog(fatal=True)
-    made = PoolScheduler.from_config(pool, ranks, "i1", policy, log)
-    made.set_upstreams(upstreams(count), 0)
-    return made
+    built = PoolScheduler.from_config(pool, ranks, "i1", policy, log)
+    built.set_upstreams(upstreams(count), 0)
+    return built
 
 
 def granted(decisions):
-    """Return the request ids that were granted."""
+    """Return the ids of the granted requests."""
     return [d.request.request_id for d in decisions if isinstance(d, Granted)]
 
 
 def rejected(decisions):
-    """Return the request ids that were refused."""
+    """Return the ids of the refused requests."""
     return [d.request.request_id for d in decisions if isinstance(d, Rejected)]
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
@@ -15,69 +15,71 @@
 DOMAINS = "abcd"
 
 
-def offer(first_ms, is_local, risk_ms=0.0):
+def candidate(first_ms, is_local, risk_ms=0.0):
     return PlacementCandidate(
-        "near" if is_local else "far", first_ms, first_ms, risk_ms, is_local
+        "local" if is_local else "remote", first_ms, first_ms, risk_ms, is_local
     )
 
 
-class OffersTests(unittest.TestCase):
-    def taken(self, *offers, left_ms=LEFT_MS):
-        made = CandidateSelector()
-        for item in offers:
-            made.add(item)
-        return made.select(left_ms)
+class CandidateSelectorTests(unittest.TestCase):
+    def selected(self, *added, left_ms=LEFT_MS):
+        selector = CandidateSelector()
+        for item in added:
+            selector.add(item)
+        return selector.select(left_ms)
 
-    def test_request_stays_in_its_domain_where_that_costs_little_of_its_time(self):
-        """Three of four prompts cross between failure domains, for some milliseconds."""
+    def test_request_stays_in_its_domain_at_a_small_loss_of_time(self):
+        """The failure: three of four prompts changed domains to save milliseconds."""
         extra_ms = LOCALITY_FRACTION * LEFT_MS
-        near = self.taken(offer(50, False), offer(50 + extra_ms, True))
-        self.assertEqual(near, "near")
-        far = self.taken(offer(50, False), offer(51 + extra_ms, True))
-        self.assertEqual(far, "far")
+        local = self.selected(candidate(50, False), candidate(50 + extra_ms, True))
+        self.assertEqual(local, "local")
+        remote = self.selected(candidate(50, False), candidate(51 + extra_ms, True))
+        self.assertEqual(remote, "remote")
 
-    def test_request_leaves_its_domain_where_it_would_be_late_or_fail(self):
-        self.assertEqual(self.taken(offer(0, False), offer(99, True, 400.0)), "far")
-        late = self.taken(offer(10, False), offer(30, True), left_ms=20)
-        self.assertEqual(late, "far")
+    def test_request_leaves_its_domain_if_it_would_be_late_or_fail(self):
+        self.assertEqual(
+            self.selected(candidate(0, False), candidate(99, True, 400.0)), "remote"
+        )
+        late = self.selected(candidate(10, False), candidate(30, True), left_ms=20)
+        self.assertEqual(late, "remote")
 
-    def test_late_request_goes_where_it_is_served_first(self):
-        late = self.taken(offer(10, False), offer(12, True), left_ms=-5)
-        self.assertEqual(late, "far")
+    def test_late_request_goes_to_the_fastest_upstream(self):
+        late = self.selected(candidate(10, False), candidate(12, True), left_ms=-5)
+        self.assertEqual(late, "remote")
 
-    def test_domain_without_an_upstream_is_served_elsewhere(self):
-        self.assertEqual(self.taken(offer(10, False)), "far")
-        self.assertIsNone(self.taken())
+    def test_domain_without_an_upstream_is_served_by_another(self):
+        self.assertEqual(self.selected(candidate(10, False)), "remote")
+        self.assertIsNone(self.selected())
 
 
 class FailureRateTests(unittest.TestCase):
-    def excess(self, ends, usual=0.05):
-        made, now_ms = FailureRate(), 50 * len(ends)
-        for number, failed in enumerate(ends):
-            made.observe(failed, 50 * number)
-        failures, answers = made.counts(now_ms)
-        counts = (failures + usual * 100, answers + 100)
-        return made.excess(counts, now_ms)
-
-    def test_one_failure_among_many_answers_says_little(self):
-        """Each error that any upstream answers at times moves its requests away."""
+    def excess(self, failures_in_order, others_rate=0.05):
+        rate, now_ms = FailureRate(), 50 * len(failures_in_order)
+        for number, failed in enumerate(failures_in_order):
+            rate.observe(failed, 50 * number)
+        failures, answers = rate.counts(now_ms)
+        counts = (failures + others_rate * 100, answers + 100)
+        return rate.excess(counts, now_ms)
+
+    def test_one_failure_among_many_answers_is_ignored(self):
+        """An occasional error must not move requests away from an upstream."""
         self.assertEqual(self.excess([False] * 40 + [True]), 0.0)
 
-    def test_failures_in_a_row_say_much(self):
+    def test_consecutive_failures_raise_the_rate(self):
         self.assertGreater(self.excess([False] * 20 + [True] * 6), 0.1)
-        self.assertGreater(self.excess([True] * 3, usual=0.0), 0.3)
+        self.assertGreater(self.excess([True] * 3, others_rate=0.0), 0.3)
 
-    def test_upstream_that_has_not_answered_yet_is_as_usual(self):
+    def test_upstream_without_answers_has_no_excess(self):
         self.assertEqual(self.excess([]), 0.0)
 
 
 class DomainTests(unittest.TestCase):
-    """A plain service with one upstream in each domain, far from full."""
+    """A plain service under low load, with one upstream in each failure domain."""
 
     WORK_MS = 25
 
-    def play(self, error_every=0, count=1_200):
-        """Return how many of the answers came from another domain."""
+    def run_calls(self, error_every=0, count=1_200):
+        """Return the fraction of answers that came from another domain."""
         pool = Pool(name="halls", kind=PoolKind.SERVICE, stable_version="")
         sched = PoolScheduler.from_config(pool, (), "i1", tracks=DeclaredTracks())
         upstreams = [
@@ -92,11 +94,11 @@
             for name in DOMAINS
         ]
         sched.set_upstreams(upstreams, 0)
-        crossed, under_way = 0, []
+        cross_domain_count, in_flight = 0, []
         for number in range(count):
             now_ms = 20 * number
-            while under_way and under_way[0][0] <= now_ms:
-                end_ms, grant_id, kind = under_way.pop(0)
+            while in_flight and in_flight[0][0] <= now_ms:
+                end_ms, grant_id, kind = in_flight.pop(0)
                 total_ms = self.WORK_MS + end_ms % 9
                 outcome = Outcome(kind=kind, total_ms=total_ms)
                 sched.release(grant_id, outcome, end_ms)
@@ -110,17 +112,17 @@
             )
             (granted,) = sched.submit(request, now_ms)
             self.assertIsInstance(granted, Granted)
-            crossed += granted.grant.upstream_id != domain
+            cross_domain_count += granted.grant.upstream_id != domain
             is_bad = error_every and number % error_every == 0
             kind = OutcomeKind.FAILED if is_bad else OutcomeKind.SUCCESS
             end_ms = now_ms + self.WORK_MS
-            under_way.append((end_ms, granted.grant.grant_id, kind))
-        return crossed / count
+            in_flight.append((end_ms, granted.grant.grant_id, kind))
+        return cross_domain_count / count
 
     def test_calls_stay_in_their_domain(self):
-        """Three of four calls cross between failure domains, though all are free."""
-        self.assertLess(self.play(), 0.02)
+        """The failure: three of four calls changed domains, though all were free."""
+        self.assertLess(self.run_calls(), 0.02)
 
-    def test_usual_errors_move_no_calls(self):
-        """Some calls fail wherever they are sent, and each moved the next ones away."""
-        self.assertLess(self.play(error_every=17), 0.1)
+    def test_typical_errors_move_no_calls(self):
+        """The failure: each call that fails anywhere moved the next ones away."""
+        self.assertLess(self.run_calls(error_every=17), 0.1)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
@@ -6,7 +6,7 @@
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.decisions.scheduling.tests.test_bursts import simulate_burst
 
-HINTS = {
+OPTIONAL_FIELDS = {
     "failure_domain": "coast-a",
     "request_id": "r1",
     "leaves_ms": 900,
@@ -17,19 +17,19 @@
 
 
 class ExperimentsTests(unittest.TestCase):
-    def test_nothing_is_left_out_by_default(self):
-        request = b.request(**HINTS)
+    def test_no_mechanism_is_disabled_by_default(self):
+        request = b.request(**OPTIONAL_FIELDS)
         self.assertIs(Experiments().mask(request), request)
         self.assertEqual(Experiments.from_text(" ").disabled, frozenset())
 
-    def test_wrong_name_is_told_with_those_that_are_known(self):
+    def test_unknown_name_is_reported_with_the_known_ones(self):
         with self.assertRaises(SettingError) as caught:
             Experiments.from_text("returns,retries")
         self.assertIn("retries", caught.exception.message)
         for mechanism in Mechanism:
             self.assertIn(mechanism.value, caught.exception.message)
 
-    def test_each_mechanism_that_a_request_tells_of_can_be_left_out(self):
+    def test_mechanisms_that_use_request_fields_are_disabled_by_masking(self):
         cases = {
             Mechanism.CALLER_WAIT_LIMIT: {"leaves_ms": None},
             Mechanism.TOKEN_GAPS: {"max_gap_ms": 0},
@@ -38,22 +38,24 @@
         }
         for mechanism, fields in cases.items():
             with self.subTest(mechanism):
-                found = Experiments([mechanism]).mask(b.request(**HINTS))
-                self.assertEqual(found, b.request(**{**HINTS, **fields}))
+                found = Experiments([mechanism]).mask(b.request(**OPTIONAL_FIELDS))
+                self.assertEqual(found, b.request(**{**OPTIONAL_FIELDS, **fields}))
 
-    def test_each_mechanism_of_a_burst_changes_what_callers_get(self):
-        """An ablation tells nothing where its switch does nothing."""
-        usual = simulate_burst()
-        names = {
+    def test_disabling_a_mechanism_changes_the_outcomes_of_a_burst(self):
+        """A switch without effect would make the ablation meaningless."""
+        reference = simulate_burst()
+        affected = {
             Mechanism.DEFERRAL: "bulletin",
             Mechanism.OVERTAKING: "tag",
             Mechanism.CALLER_WAIT_LIMIT: "notice",
             Mechanism.CLIENT_RETRIES: "notice",
         }
-        for mechanism, kind in names.items():
+        for mechanism, class_name in affected.items():
             with self.subTest(mechanism):
-                play = simulate_burst(experiments=Experiments([mechanism]))
-                self.assertNotEqual(play.ends[kind], usual.ends[kind])
+                simulation = simulate_burst(experiments=Experiments([mechanism]))
+                self.assertNotEqual(
+                    simulation.outcomes[class_name], reference.outcomes[class_name]
+                )
 
     def test_examples(self):
         self.assertEqual(doctest.testmod(experiments).failed, 0)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_scheduler.py
@@ -9,8 +9,8 @@
 
 
 class TierOrderTests(unittest.TestCase):
-    def test_a_free_place_goes_to_the_highest_tier(self):
-        """Of two waiting requests the higher tier's is granted, though it came last."""
+    def test_a_free_slot_goes_to_the_highest_tier(self):
+        """Of two waiting requests, the newer one of the higher tier is granted."""
         sched = b.scheduler()
         first = sched.submit(b.request(), 0)
         low, high = b.request(rank=2), b.request(rank=0)
@@ -20,7 +20,7 @@
         self.assertEqual(b.granted(after), [high.request_id])
 
     def test_a_full_queue_displaces_the_lowest_tier(self):
-        """A caller of the top tier waits; the lowest tier is told to come back."""
+        """A top tier request is queued; one of the lowest tier is refused for it."""
         sched = b.scheduler(max_queued=1)
         sched.submit(b.request(), 0)
         low = b.request(rank=2)
@@ -32,7 +32,7 @@
         self.assertGreater(decisions[0].retry_after_ms, 0)
 
     def test_a_lower_tier_never_displaces_a_higher_one(self):
-        """With the queue full of the top tier, a lower arrival is refused itself."""
+        """With the queue full of higher tiers, a lower arrival is refused itself."""
         sched = b.scheduler(max_queued=1)
         sched.submit(b.request(), 0)
         sched.submit(b.request(rank=0), 1)
@@ -44,9 +44,9 @@
 
     def test_lower_tiers_are_refused_while_a_higher_one_is(self):
         """
-        A burst of the top tier overruns its queue and is partly refused. A caller of
-        the lowest tier asks a moment later. Were it queued, it could be served after
-        a top tier caller was turned away.
+        A burst of the top tier overflows its queue and is partly refused. A request of
+        the lowest tier arrives a moment later. If it were queued, it could be served
+        after a top tier request was refused.
         """
         sched = b.scheduler(max_queued=1)
         sched.submit(b.request(), 0)
@@ -56,8 +56,8 @@
         self.assertEqual(b.rejected(sched.submit(late, 3)), [late.request_id])
 
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 3)), max_size=60))
-    def test_any_load_keeps_the_order_and_answers_once(self, steps):
-        """Every request has at most one decision, and no check of order fails."""
+    def test_any_load_keeps_tier_order_and_decides_once(self, steps):
+        """Every request gets at most one decision, and no tier order check fails."""
         sched = b.scheduler(slots=2, count=2, max_queued=3)
         open_grants, decided, now_ms = [], [], 0
         for rank, action in steps:
@@ -74,11 +74,11 @@
 
 
 class RefusalTests(unittest.TestCase):
-    def test_a_hopeless_request_is_refused_at_once(self):
+    def test_a_request_that_would_be_late_is_refused_at_once(self):
         """
-        Places are held for 10 s each and several requests wait. A caller whose first
-        token is wanted within 2 s asks. Were it queued, it would be told only after
-        its time; it is refused at arrival, with the time the queue needs.
+        Slots are held for 10 s each and several requests wait. A request arrives with a
+        first token target of 2 s. If it were queued, it would be refused only after its
+        target; it is refused at arrival, with the time that the queue needs.
         """
         sched = b.scheduler(slots=1, max_queued=50)
         grant = sched.submit(b.request(), 0)[0].grant
@@ -86,14 +86,14 @@
         grant = sched.release(grant.grant_id, b.SUCCESS, 10_000)[0].grant
         waiting = b.request(now_ms=10_000, first_token_by_ms=39_000)
         sched.submit(waiting, 10_001)
-        hopeless = b.request(now_ms=10_002)
-        decisions = sched.submit(hopeless, 10_002)
-        self.assertEqual(b.rejected(decisions), [hopeless.request_id])
+        unservable = b.request(now_ms=10_002)
+        decisions = sched.submit(unservable, 10_002)
+        self.assertEqual(b.rejected(decisions), [unservable.request_id])
         self.assertEqual(b.codes(decisions), [ResultCode.OVERLOADED])
         self.assertGreater(decisions[0].retry_after_ms, 5_000)
 
-    def test_a_late_request_gives_way_to_one_in_time(self):
-        """A waiting request past its first token target is refused at that moment."""
+    def test_a_late_request_is_refused_when_another_waits(self):
+        """A waiting request is refused when its first token target passes."""
         sched = b.scheduler()
         sched.submit(b.request(), 0)
         late, fresh = b.request(), b.request(now_ms=1_500)
@@ -105,8 +105,8 @@
     def test_a_late_request_is_not_refused_while_lower_tiers_are_served(self):
         """
         A pool is nearly full. A top tier request waits longer than its first token
-        target, beside another of its tier. A lower tier was given a place a moment
-        before. Refused now, the top tier would be shed before the lower one.
+        target, beside another of its tier. A lower tier was assigned a slot a moment
+        before. Refusing now would shed the top tier before the lower one.
         """
         sched = b.scheduler(slots=2)
         sched.submit(b.request(), 0)
@@ -124,8 +124,8 @@
         self.assertEqual(refused, [late.request_id, later.request_id])
         self.assertEqual(sched.queued, 1)
 
-    def test_an_expired_request_is_answered_at_its_deadline(self):
-        """Alone in the queue, a request waits until its deadline and no longer."""
+    def test_a_request_is_refused_at_its_deadline(self):
+        """Alone in the queue, a request waits until its deadline and not longer."""
         sched = b.scheduler()
         sched.submit(b.request(deadline_ms=90_000), 0)
         alone = b.request()
@@ -133,7 +133,7 @@
         self.assertEqual(b.rejected(sched.tick(29_999)), [])
         self.assertEqual(b.codes(sched.tick(30_000)), [ResultCode.DEADLINE_PASSED])
 
-    def test_a_customer_at_its_limit_is_told_so(self):
+    def test_a_customer_at_its_limit_is_refused(self):
         """One customer's limit neither blocks nor delays another customer."""
         sched = b.scheduler(slots=8)
         sched.submit(b.request(max_in_flight=1), 0)
@@ -143,7 +143,7 @@
         self.assertEqual(len(b.granted(other)), 1)
 
     def test_a_pool_without_upstreams_refuses_at_once(self):
-        """All upstreams leave: a caller is told now, not at its deadline."""
+        """When all upstreams leave, a request is refused now, not at its deadline."""
         sched = b.scheduler()
         leaving = b.upstreams(1, state=UpstreamState.LEAVING)
         sched.set_upstreams(leaving, 0)
@@ -171,7 +171,7 @@
         self.assertEqual(self._serve(sched, grant, 4).count("light"), 2)
 
     def test_weight_sets_the_share(self):
-        """A customer of weight 3 gets three times the places of one of weight 1."""
+        """A customer of weight 3 gets three times the slots of one of weight 1."""
         sched = b.scheduler(max_queued=100)
         grant = sched.submit(b.request(), 0)[0].grant
         for _ in range(20):
@@ -180,10 +180,10 @@
         served = self._serve(sched, grant, 16)
         self.assertAlmostEqual(served.count("large"), 12, delta=1)
 
-    def test_a_burst_of_one_customer_gives_way_in_a_full_queue(self):
+    def test_a_burst_of_one_customer_is_displaced_in_a_full_queue(self):
         """
-        One customer fills the whole tier's queue. Another's first request arrives. It
-        takes the place of the last one of the customer that filled the queue.
+        One customer fills the whole queue of the tier. The first request of another
+        customer displaces the last one of the customer that filled the queue.
         """
         sched = b.scheduler(max_queued=4)
         sched.submit(b.request(), 0)
@@ -193,8 +193,8 @@
         decisions = sched.submit(b.request(customer="light"), 2)
         self.assertEqual(b.rejected(decisions), [burst[-1].request_id])
 
-    def test_short_requests_pass_long_ones_and_do_not_starve_them(self):
-        """A short question passes a cold-chain log; the log is served in its turn."""
+    def test_short_requests_overtake_long_ones_without_starving_them(self):
+        """Short requests overtake a long one, which is still served eventually."""
         sched = b.scheduler(max_queued=100)
         grant = sched.submit(b.request(deadline_ms=900_000), 0)[0].grant
         far = {"deadline_ms": 900_000, "first_token_by_ms": 800_000}
@@ -212,10 +212,10 @@
 
 
 class LeavingTests(unittest.TestCase):
-    def test_an_upstream_that_says_it_leaves_gets_no_work(self):
+    def test_an_upstream_that_reports_leaving_gets_no_work(self):
         """
-        An engine begins its graceful stop and says so in its load report. The list
-        still shows it live for seconds. Work sent to it meanwhile would be cut.
+        An engine begins its graceful stop and reports so in its load report. The list
+        shows it live for some more seconds. Requests sent to it meanwhile would be cut.
         """
         sched = b.scheduler(slots=4, count=2)
         report = LoadReport(
@@ -225,8 +225,8 @@
         decisions = [sched.submit(b.request(), t)[0] for t in range(4)]
         self.assertEqual({d.grant.upstream_id for d in decisions}, {"u1"})
 
-    def test_an_older_report_does_not_undo_leaving(self):
-        """A report that was measured before the upstream said it leaves is ignored."""
+    def test_an_older_report_does_not_revert_leaving(self):
+        """A report measured before the upstream reported that it leaves is ignored."""
         sched = b.scheduler()
         leaving = LoadReport(
             upstream_id="u0", in_flight=0, queued=0, state=UpstreamState.LEAVING
@@ -237,16 +237,16 @@
         decisions = sched.submit(b.request(), 5_200)
         self.assertEqual(b.codes(decisions), [ResultCode.NO_UPSTREAM])
 
-    def test_an_empty_list_is_not_taken(self):
-        """The list's service answers with nothing; callers go on being served."""
+    def test_an_empty_upstream_list_is_ignored(self):
+        """If the list service returns an empty list, requests are still granted."""
         sched = b.scheduler()
         sched.set_upstreams([], 0)
         self.assertEqual(len(b.granted(sched.submit(b.request(), 1))), 1)
 
 
 class RepeatedMessageTests(unittest.TestCase):
-    def test_a_repeated_submit_takes_no_second_place(self):
-        """The same request id gets the same grant again, and counts once."""
+    def test_a_repeated_submit_takes_no_second_slot(self):
+        """The same request id gets the same grant and is counted once."""
         sched = b.scheduler(slots=4)
         item = b.request()
         first = sched.submit(item, 0)
@@ -254,7 +254,7 @@
         self.assertEqual(sched.in_flight, 1)
 
     def test_a_submit_that_arrives_after_the_end_is_dropped(self):
-        """A delayed copy of a request that was answered gets no grant."""
+        """A delayed copy of an answered request gets no grant."""
         sched = b.scheduler()
         item = b.request()
         grant = sched.submit(item, 0)[0].grant
@@ -262,7 +262,7 @@
         self.assertEqual(sched.submit(item, 101), [])
 
     def test_a_request_that_was_not_sent_may_be_submitted_again(self):
-        """After a failed connect the same request may get another grant."""
+        """After a failed connection attempt the same request may get another grant."""
         sched = b.scheduler()
         item = b.request()
         grant = sched.submit(item, 0)[0].grant
@@ -270,8 +270,8 @@
         sched.release(grant.grant_id, failed, 100)
         self.assertEqual(b.granted(sched.submit(item, 101)), [item.request_id])
 
-    def test_a_repeated_release_frees_one_place(self):
-        """Giving the same grant back twice does not admit two requests."""
+    def test_a_repeated_release_frees_one_slot(self):
+        """Releasing the same grant twice does not admit two requests."""
         sched = b.scheduler()
         grant = sched.submit(b.request(), 0)[0].grant
         sched.submit(b.request(), 1)
