--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -14,8 +14,8 @@
 # Time constant of the measured rate of granted work by tier.
 RATE_WINDOW_MS = 5_000
 # A tier is assumed to get at least this fraction of the slots. The measured load of
-# the tiers above it is short-lived, and clients of a tier with an unbounded Retry-After
-# would not retry when that load falls.
+# the tiers above it is short-lived, and clients that are told never to retry would not
+# do so when that load falls.
 MIN_SLOT_FRACTION = 0.05
 # Where even an idle pool cannot meet the first token target, only the deadline counts:
 # this fraction of the time to the deadline may be spent waiting.
@@ -28,8 +28,8 @@
 # requests of a burst were refused ten seconds after its beginning, and lower tiers
 # were served as it ended.
 LATE_REVIEW_MS = 10_000
-# A prediction may be wrong by half: a request can still be answered in time unless its
-# deadline is nearer than this fraction of the predicted time.
+# A prediction may be wrong by half: a request is treated as answerable in time unless
+# its deadline is nearer than this fraction of the predicted time.
 MIN_HOLD_FRACTION = 0.5
 # The last free slot is often at a slow engine with prompts ahead of the request: its
 # first token is allowed this multiple of the usual time.
@@ -77,7 +77,7 @@
     after which the queue will have room, so that its client can go elsewhere.
     """
 
-    __slots__ = ("_granted_ms", "_max_queued", "_load", "_shedding_ranks")
+    __slots__ = ("_granted_ms", "_load", "_max_queued", "_shedding_ranks")
 
     def __init__(self, max_queued):
         self._granted_ms = {}
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
@@ -43,13 +43,13 @@
         "_grants",
         "_incarnation",
         "_invariants",
+        "_overtaking_budget",
         "_overtaking_check",
         "_policy",
         "_pool",
         "_queue",
         "_round_number",
         "_sequence",
-        "_overtaking_budget",
     )
 
     def __init__(
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/limits.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/limits.py
@@ -89,10 +89,10 @@
         "_changed_ms",
         "_congested_fraction",
         "_excess_ratio",
-        "_mean_in_flight",
+        "_is_slow_start",
         "_limit",
         "_max",
-        "_is_slow_start",
+        "_mean_in_flight",
         "_samples",
     )
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
@@ -11,7 +11,7 @@
     overtaking_budget : OvertakingBudget
     """
 
-    __slots__ = ("_fleet", "_queue", "_overtaking_budget")
+    __slots__ = ("_fleet", "_overtaking_budget", "_queue")
 
     def __init__(self, queue, fleet, overtaking_budget):
         self._queue = queue
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
@@ -58,13 +58,13 @@
         return hold_ms <= self.max_hold_ms(rank, overtaken, slots, now_ms)
 
     def max_hold_ms(self, rank, overtaken, slots, now_ms):
-        """Return for how long a request of a tier may hold a slot to be let overtake.
+        """Return for how long a request of a tier may hold a slot and still overtake.
 
         Parameters
         ==========
         rank : int
         overtaken : iterable of (int, float)
-        places, now_ms : int
+        slots, now_ms : int
             As for ``allows``.
 
         Returns
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
@@ -38,9 +38,9 @@
         "cost_ms",
         "is_late",
         "is_retry",
+        "request",
         "skipped_round",
         "sort_key",
-        "request",
     )
 
     def __init__(
@@ -157,7 +157,7 @@
     def is_displaced_by(self, waiting, request):
         """Return whether a waiting request is displaced by a new one.
 
-        It is where its customer's backlog over weight exceeds that of the customer of
+        It is if its customer's backlog over weight exceeds that of the customer of
         ``request``, counted with one more request of the same cost.
         """
         theirs = _backlog_over_weight(self._customers[waiting.request.customer])
@@ -215,7 +215,7 @@
     and precedes the other late ones, as its client does not retry a second time.
     """
 
-    __slots__ = ("_on_time", "_late", "_retried")
+    __slots__ = ("_late", "_on_time", "_retried")
 
     def __init__(self):
         self._retried = FairQueue()
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -35,16 +35,16 @@
 
     __slots__ = (
         "_admission",
+        "_arrival_count",
+        "_assigner",
+        "_client_retries",
         "_estimate",
         "_experiments",
         "_fleet",
-        "_assigner",
         "_grants",
-        "_arrival_count",
         "_overtaking",
         "_policy",
         "_queue",
-        "_client_retries",
         "_shedder",
     )
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/shedding.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/shedding.py
@@ -31,12 +31,12 @@
 
     __slots__ = (
         "_admission",
+        "_client_retries",
         "_invariants",
+        "_overtaking_budget",
         "_predicate_at",
         "_queue",
         "_retry_after_ms",
-        "_client_retries",
-        "_overtaking_budget",
     )
 
     def __init__(
