--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -157,7 +157,7 @@
         left_ms = request.deadline_ms - now_ms
         if left_ms <= 0:
             return ResultCode.DEADLINE_PASSED
-        if not estimate.known:
+        if not estimate.has_samples:
             return None
         longest_ms = latest_start_ms(request, estimate) - now_ms
         if longest_ms < 0:
@@ -185,7 +185,7 @@
     Failure: in a burst, requests were queued for slots that they got after their
     callers had disconnected; they ended unanswered instead of with a retry time.
     """
-    hold_ms = estimate.hold_ms(request) if estimate.known else 0.0
+    hold_ms = estimate.hold_ms(request) if estimate.has_samples else 0.0
     by_deadline_ms = request.deadline_ms - MIN_HOLD_FRACTION * hold_ms
     if request.leaves_ms is None:
         return int(by_deadline_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
@@ -96,7 +96,7 @@
         =======
         list of Granted
         """
-        free = self._fleet.free(now_ms)
+        free = self._fleet.free_upstreams(now_ms)
         decisions = self._grant_overtaking(free, changed, now_ms)
         skipped = []
         for rank in self._queue.ranks:
@@ -116,7 +116,7 @@
                     continue
                 self._check_tier_order(waiting.request)
                 decisions.append(self._grant(waiting, upstream, now_ms))
-                if not self._fleet.has_place(upstream, now_ms):
+                if not self._fleet.has_free_slot(upstream, now_ms):
                     free.remove(upstream)
         for waiting, due_ms in skipped:
             self._queue.push(waiting, due_ms)
@@ -148,10 +148,10 @@
                     self._queue.push(waiting, due_ms)
                     break
                 self._overtaking_budget.charge(
-                    self._fleet.tracks.hold_ms(waiting.request)
+                    self._fleet.tracker.hold_ms(waiting.request)
                 )
                 decisions.append(self._grant(waiting, upstream, now_ms))
-                if not self._fleet.has_place(upstream, now_ms):
+                if not self._fleet.has_free_slot(upstream, now_ms):
                     free.remove(upstream)
         return decisions
 
@@ -162,7 +162,7 @@
         for version in self._policy.candidates(request, versions, now_ms):
             choices = [item for item in free if item.version == version]
             choices = _untried(request, _in_allowed_regions(request, choices))
-            upstream = self._fleet.tracks.choose(
+            upstream = self._fleet.tracker.choose(
                 request, choices, self._grants.in_flight, now_ms, ahead
             )
             if upstream is not None:
@@ -183,7 +183,7 @@
             address=upstream.address,
             version=upstream.version,
             expires_ms=now_ms + GRANT_TTL_MS,
-            is_cold=self._fleet.tracks.is_cold(upstream.upstream_id, now_ms),
+            is_cold=self._fleet.tracker.is_cold(upstream.upstream_id, now_ms),
         )
         held = InFlightGrant(request, grant, now_ms, waiting.cost_ms)
         self._grants.add(held)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
@@ -107,31 +107,31 @@
     return local.first_ms - best.first_ms <= LOCALITY_FRACTION * max(0.0, left_ms)
 
 
-def cost_ms(work, track, first_ms, held, now_ms):
+def cost_ms(work, tracked, first_ms, held, now_ms):
     """Return the cost of a request at an upstream, as time of its caller.
 
     Engines differ several times in speed: a slow one is as good as any for a short
     prompt, and unsuitable for a long one.
     """
-    token_ms = track.pace.token_ms
-    batch_tokens = held * work.base_tokens / max(1, track.limit.slots)
+    token_ms = tracked.pace.token_ms
+    batch_tokens = held * work.base_cost / max(1, tracked.limit.slots)
     total_ms = first_ms + token_ms * (
         DECODE_FRACTION * work.output_tokens + batch_tokens
     )
-    if not track.ends_within(work, first_ms, now_ms):
+    if not tracked.meets_deadline(work, first_ms, now_ms):
         total_ms += FAILED_ANSWER_COST_MS
-    if work.failure_domain != track.failure_domain:
+    if work.failure_domain != tracked.failure_domain:
         total_ms += CROSS_DOMAIN_COST_MS
-    return total_ms + RECENT_ANSWER_COST_MS * track.failures.counts(now_ms)[1]
+    return total_ms + RECENT_ANSWER_COST_MS * tracked.failures.counts(now_ms)[1]
 
 
-def risk_ms(work, track, held, counts, max_prompt_ms, now_ms):
+def risk_ms(work, tracked, held, counts, max_prompt_ms, now_ms):
     """Return the expected cost of an upstream's failures, stalls and long gaps.
 
     Parameters
     ==========
     work : Work
-    track : DeclaredTrack
+    tracked : DeclaredSlotsUpstream
     held : int
         Requests in flight at the upstream.
     counts : tuple of float
@@ -140,17 +140,17 @@
         How long an upstream may compute prompts before a gap becomes too long.
     now_ms : int
     """
-    total_ms = STALL_COST_MS * track.stalled
-    total_ms += FAILED_ANSWER_COST_MS * track.failures.excess(counts, now_ms)
-    if track.prompts_ms(work) > max_prompt_ms:
+    total_ms = STALL_COST_MS * tracked.stalled
+    total_ms += FAILED_ANSWER_COST_MS * tracked.failures.excess(counts, now_ms)
+    if tracked.prompts_ms(work) > max_prompt_ms:
         total_ms += LONG_GAP_COST_MS * max(1, held)
     return total_ms
 
 
-def cache_saving_ms(track, cached_tokens):
+def cache_saving_ms(tracked, cached_tokens):
     """Return the time that cached prompt tokens save the answers at an upstream."""
     return (
-        CACHE_SAVING_FACTOR * track.pace.prompt_ms(cached_tokens)
+        CACHE_SAVING_FACTOR * tracked.pace.prompt_ms(cached_tokens)
         if cached_tokens
         else 0.0
     )
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -6,7 +6,9 @@
 
 from hemlockhoist.base import SettingError
 from hemlockhoist.decisions.scheduling.client_retries import ClientRetries
-from hemlockhoist.decisions.scheduling.declared import DeclaredTracks
+from hemlockhoist.decisions.scheduling.declared_slots_tracker import (
+    DeclaredSlotsTracker,
+)
 from hemlockhoist.decisions.scheduling.overtaking_budget import OvertakingBudget
 
 
@@ -91,11 +93,11 @@
             else ClientRetries()
         )
 
-    def declared_tracks(self, cache_tokens=0, warmup=None):
-        """Return the tracks for upstreams that declare their slots."""
+    def declared_slots_tracker(self, cache_tokens=0, warmup=None):
+        """Return the tracker for upstreams that declare their slots."""
         if Mechanism.DEFERRAL in self.disabled:
-            return NoDeferralTracks(cache_tokens, warmup)
-        return DeclaredTracks(cache_tokens, warmup)
+            return NoDeferralTracker(cache_tokens, warmup)
+        return DeclaredSlotsTracker(cache_tokens, warmup)
 
 
 class NoOvertaking(OvertakingBudget):
@@ -121,10 +123,10 @@
         return
 
 
-class NoDeferralTracks(DeclaredTracks):
+class NoDeferralTracker(DeclaredSlotsTracker):
     """Selects the best free upstream, and never defers to wait for a better one."""
 
     __slots__ = ()
 
-    def _is_better_later(self, work, best, most_ms, ahead, now_ms):
+    def _should_wait(self, work, best, most_ms, ahead, now_ms):
         return False
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
@@ -33,21 +33,21 @@
         callable
             ``may_overtake(request)``.
         """
-        tracks = self._fleet.tracks
+        tracker = self._fleet.tracker
         max_hold_ms = {}
 
         def may_overtake(request):
             rank = request.tier_rank
             if rank not in max_hold_ms:
                 max_hold_ms[rank] = self._max_hold_ms(rank, now_ms)
-            hold_ms = tracks.hold_ms(request)
+            hold_ms = tracker.hold_ms(request)
             return hold_ms is not None and hold_ms <= max_hold_ms[rank]
 
         return may_overtake
 
     def _max_hold_ms(self, rank, now_ms):
-        tracks = self._fleet.tracks
+        tracker = self._fleet.tracker
         above = [item.request for item in self._queue.first_above(rank)]
-        overtaken = [(item.tier_rank, tracks.hold_ms(item) or 0.0) for item in above]
-        slots = self._fleet.places(now_ms)
+        overtaken = [(item.tier_rank, tracker.hold_ms(item) or 0.0) for item in above]
+        slots = self._fleet.slots(now_ms)
         return self._overtaking_budget.max_hold_ms(rank, overtaken, slots, now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
@@ -19,7 +19,7 @@
     request : hemlockhoist.decisions.WorkRequest
     cost_ms : float
         Predicted time for which it will hold a slot.
-    order_ms : float
+    sort_key_ms : float
         Within one customer, the request with the lowest value is served first.
     sequence : int
         Breaks ties: increases with each arrival.
@@ -44,14 +44,14 @@
     )
 
     def __init__(
-        self, request, cost_ms, order_ms, sequence, is_late=False, is_retry=False
+        self, request, cost_ms, sort_key_ms, sequence, is_late=False, is_retry=False
     ):
         self.is_retry = is_retry
         self.skipped_round = None
         self.request = request
         self.cost_ms = cost_ms
         self.is_late = is_late
-        self.sort_key = (order_ms, sequence)
+        self.sort_key = (sort_key_ms, sequence)
 
 
 def short_first_ms(arrived_ms, cost_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
@@ -2,7 +2,7 @@
 import unittest
 import unittest.mock
 
-from hemlockhoist.decisions.scheduling import declared, overtaking_budget
+from hemlockhoist.decisions.scheduling import declared_slots_tracker, overtaking_budget
 from hemlockhoist.decisions.scheduling.client_retries import (
     ClientRetries,
     longest_retry_wait_ms,
@@ -88,9 +88,12 @@
         )
         for request_class, every_ms in ((BULLETIN, 6.4), (NOTICE, 2.8), (TAG, 3.2)):
             simulation.send_at_rate(request_class, every_ms, 0, 3_000)
-        choose = declared.DeclaredTracks.choose
+        choose = declared_slots_tracker.DeclaredSlotsTracker.choose
         with unittest.mock.patch.object(
-            declared.DeclaredTracks, "choose", autospec=True, side_effect=choose
+            declared_slots_tracker.DeclaredSlotsTracker,
+            "choose",
+            autospec=True,
+            side_effect=choose,
         ) as choose_mock:
             simulation.run(8_000)
         arrived = sum(
@@ -176,4 +179,6 @@
         assigned = simulation.assigned["bulletin"]
         self.assertLess(assigned["slow"], 0.02 * sum(assigned.values()))
         prompt_ms = 0.0075 * BULLETIN.prompt_tokens * PACES_MS["slow"]
-        self.assertGreater(prompt_ms, declared.PROMPT_PART * BULLETIN.max_gap_ms)
+        self.assertGreater(
+            prompt_ms, declared_slots_tracker.PROMPT_GAP_FRACTION * BULLETIN.max_gap_ms
+        )
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
@@ -1,13 +1,13 @@
 import unittest
 
 from hemlockhoist.decisions import Granted, Outcome, OutcomeKind, Upstream
-from hemlockhoist.decisions.scheduling import DeclaredTracks, PoolScheduler
+from hemlockhoist.decisions.scheduling import DeclaredSlotsTracker, PoolScheduler
 from hemlockhoist.decisions.scheduling.candidates import (
     LOCALITY_FRACTION,
     CandidateSelector,
     PlacementCandidate,
 )
-from hemlockhoist.decisions.scheduling.reach import FailureRate
+from hemlockhoist.decisions.scheduling.reliability import FailureRate
 from hemlockhoist.decisions.scheduling.tests import builders as b
 from hemlockhoist.declarations import Pool, PoolKind
 
@@ -81,7 +81,9 @@
     def run_calls(self, error_every=0, count=1_200):
         """Return the fraction of answers that came from another domain."""
         pool = Pool(name="halls", kind=PoolKind.SERVICE, stable_version="")
-        sched = PoolScheduler.from_config(pool, (), "i1", tracks=DeclaredTracks())
+        sched = PoolScheduler.from_config(
+            pool, (), "i1", tracker=DeclaredSlotsTracker()
+        )
         upstreams = [
             Upstream(
                 upstream_id=name,
