--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -106,7 +106,7 @@
     __slots__ = ()
 
     def max_hold_ms(self, rank, overtaken, slots, now_ms):
-        """Return a negative time: none may overtake."""
+        """Return a time below 0, as no request may overtake."""
         return -1.0
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
@@ -70,7 +70,7 @@
         Returns
         =======
         float
-            Negative if none may overtake.
+            Below 0 if none may overtake.
         """
         self._accrue(slots, now_ms)
         own = self._refusal_rates.rate(rank, now_ms)
