--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -67,7 +67,7 @@
             return request
         fields = {}
         if Mechanism.CALLER_WAIT_LIMIT in self.disabled:
-            fields["leaves_ms"] = None
+            fields["waits_until_ms"] = None
         if Mechanism.TOKEN_GAPS in self.disabled:
             fields["max_gap_ms"] = 0
         if Mechanism.PREFIX_BLOCKS in self.disabled:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/scheduler_simulation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/scheduler_simulation.py
@@ -179,13 +179,17 @@
             output_tokens=request_class.output_tokens,
             deadline_ms=caller.at_ms + request_class.deadline_ms,
             first_token_by_ms=now_ms + request_class.target_ms,
-            leaves_ms=now_ms + request_class.max_wait_ms,
+            waits_until_ms=now_ms + request_class.max_wait_ms,
             max_gap_ms=request_class.max_gap_ms,
         )
         self._callers[request.request_id] = caller
-        leaves_ms = min(request.leaves_ms, request.deadline_ms)
+        waits_until_ms = min(request.waits_until_ms, request.deadline_ms)
         self._schedule(
-            leaves_ms, self._disconnect, caller, request.request_id, caller.attempts
+            waits_until_ms,
+            self._disconnect,
+            caller,
+            request.request_id,
+            caller.attempts,
         )
         self._handle(self.scheduler.submit(request, now_ms), now_ms)
 
