--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -94,7 +94,7 @@
         )
 
     def declared_slots_tracker(self, cache_tokens=0, warmup=None):
-        """Return the tracker for upstreams that declare their slots."""
+        """Return a tracker of upstreams that declare their slots."""
         if Mechanism.DEFERRAL in self.disabled:
             return NoDeferralTracker(cache_tokens, warmup)
         return DeclaredSlotsTracker(cache_tokens, warmup)
