--- a/libs/entry/src/hemlockhoist/entry/__init__.py
+++ b/libs/entry/src/hemlockhoist/entry/__init__.py
@@ -7,15 +7,15 @@
 from hemlockhoist.entry.wire import (
     AnswerHead,
     CallerCall,
-    DirectoryQuestion,
-    UpstreamOrder,
+    DirectoryQuery,
+    UpstreamDirectives,
     WireFormat,
 )
 
 __all__ = [
     "AnswerHead",
     "CallerCall",
-    "DirectoryQuestion",
+    "DirectoryQuery",
     "DomainOrder",
     "EntrySettings",
     "Experiments",
@@ -23,6 +23,6 @@
     "MoveOrder",
     "OrderState",
     "Platform",
-    "UpstreamOrder",
+    "UpstreamDirectives",
     "WireFormat",
 ]
--- a/libs/entry/src/hemlockhoist/entry/admission.py
+++ b/libs/entry/src/hemlockhoist/entry/admission.py
@@ -8,11 +8,11 @@
 from hemlockhoist.entry.wire import CallerCall
 
 # Ranks of customers go before those of routes: the two make one order.
-RANKS_OF_ROUTES = 1_000
+ROUTE_RANKS = 1_000
 # What a request is taken to generate where its caller gives no estimate, as a part of
 # the most that it asked for.
-OUTPUT_PART = 0.15
-DEFAULT_PATIENCE_MS = 30_000
+OUTPUT_FRACTION = 0.15
+DEFAULT_MAX_WAIT_MS = 30_000
 
 
 class AdmittedCall(msgspec.Struct, frozen=True, kw_only=True):
@@ -39,13 +39,13 @@
     arrived_ms: int
     deadline_ms: int
     target_by_ms: int
-    leaves_ms: int
+    waits_until_ms: int
     prefix_hashes: tuple[int, ...] = ()
 
     @property
     def prefix_tokens(self):
         """The tokens of each part of its prompt."""
-        return tuple(count for _, count in self.call.prompt_parts)
+        return tuple(count for _, count in self.call.prefix_blocks)
 
     @property
     def regions(self):
@@ -57,7 +57,7 @@
     def rank(self):
         """Its place in the order of tiers; 0 is the highest."""
         customer_rank = self.customer.rank if self.customer else 0
-        return customer_rank * RANKS_OF_ROUTES + self.route.rank
+        return customer_rank * ROUTE_RANKS + self.route.rank
 
     @property
     def tier(self):
@@ -81,7 +81,7 @@
         hinted = self.call.expected_output_tokens
         if hinted:
             return min(hinted, self.call.max_output_tokens or hinted)
-        return int(OUTPUT_PART * self.call.max_output_tokens)
+        return int(OUTPUT_FRACTION * self.call.max_output_tokens)
 
 
 def common_regions(first, second):
@@ -108,14 +108,14 @@
 
     Parameters
     ==========
-    knowledge : Knowledge
+    store_view : Knowledge
     chooser : PoolChooser
     """
 
-    __slots__ = ("_chooser", "_knowledge")
+    __slots__ = ("_chooser", "_store_view")
 
-    def __init__(self, knowledge, chooser):
-        self._knowledge = knowledge
+    def __init__(self, store_view, chooser):
+        self._store_view = store_view
         self._chooser = chooser
 
     def admit(self, call, arrived_ms):
@@ -128,21 +128,21 @@
         Refused
             This host can not tell, as it knows too little or nothing fresh.
         """
-        self._knowledge.check_complete()
-        table = self._knowledge.routes
+        self._store_view.check_complete()
+        table = self._store_view.routes
         route = table.match(call.host, call.path)
         if route is None:
             self._refuse_for_good("no route", ResultCode.NOT_FOUND)
         customer = None
         if table.asks_for_keys and not route.is_open:
             customer = self.customer_of(call)
-        patience_ms = call.patience_ms
-        if patience_ms is None:
-            patience_ms = DEFAULT_PATIENCE_MS
-        deadline_ms = arrived_ms + min(patience_ms, route.timeout_ms)
-        leaves_ms = deadline_ms
+        max_wait_ms = call.max_wait_ms
+        if max_wait_ms is None:
+            max_wait_ms = DEFAULT_MAX_WAIT_MS
+        deadline_ms = arrived_ms + min(max_wait_ms, route.timeout_ms)
+        waits_until_ms = deadline_ms
         if route.caller_patience_ms:
-            leaves_ms = min(leaves_ms, arrived_ms + route.caller_patience_ms)
+            waits_until_ms = min(waits_until_ms, arrived_ms + route.caller_patience_ms)
         return AdmittedCall(
             call=call,
             route=route,
@@ -151,8 +151,8 @@
             arrived_ms=arrived_ms,
             deadline_ms=deadline_ms,
             target_by_ms=arrived_ms + route.target_ms,
-            leaves_ms=leaves_ms,
-            prefix_hashes=chained_hashes(name for name, _ in call.prompt_parts),
+            waits_until_ms=waits_until_ms,
+            prefix_hashes=chained_hashes(name for name, _ in call.prefix_blocks),
         )
 
     def customer_of(self, call):
@@ -162,10 +162,10 @@
         ======
         BadRequest, Refused
         """
-        customer = self._knowledge.routes.customer_of(call.key) if call.key else None
+        customer = self._store_view.routes.customer_of(call.key) if call.key else None
         if customer is None:
             self._refuse_for_good("", ResultCode.UNKNOWN_KEY)
-        self._knowledge.check_fresh()
+        self._store_view.check_fresh()
         return customer
 
     def _refuse_for_good(self, text, code):
@@ -175,5 +175,5 @@
         would send callers away for good with what all other hosts serve. So where the
         routes are not proven fresh, they are told to come back.
         """
-        self._knowledge.check_fresh()
+        self._store_view.check_fresh()
         raise BadRequest(text, code)
--- a/libs/entry/src/hemlockhoist/entry/attempt.py
+++ b/libs/entry/src/hemlockhoist/entry/attempt.py
@@ -26,12 +26,12 @@
     __slots__ = (
         "first_ms",
         "guard",
-        "has_left",
+        "grant_outdated",
         "hold",
         "is_misdirected",
         "kind",
         "longest_gap_ms",
-        "may_connect",
+        "is_reachable",
         "output_tokens",
         "reason",
         "token_us",
@@ -44,8 +44,8 @@
         self.waited_ms = waited_ms
         # What a request that its caller left ends as; every other end says its own.
         self.kind = OutcomeKind.CANCELLED
-        self.may_connect = True
-        self.has_left = False
+        self.is_reachable = True
+        self.grant_outdated = False
         self.is_misdirected = False
         self.first_ms = None
         self.output_tokens = 0
@@ -53,7 +53,7 @@
         self.token_us = -1
         self.reason = ""
 
-    def note_end(self, end):
+    def record_end(self, end):
         """Take how it ended; None stands for an answer."""
         self.kind = OutcomeKind.SUCCESS if end is None else _OUTCOMES[end]
 
@@ -62,7 +62,7 @@
         sent_ms = self.guard.opened_ms
         if sent_ms is None or self.is_misdirected:
             kind = OutcomeKind.NOT_SENT
-            if not self.may_connect:
+            if not self.is_reachable:
                 kind = OutcomeKind.CONNECT_FAILED
             return Outcome(kind=kind)
         return Outcome(
--- a/libs/entry/src/hemlockhoist/entry/context.py
+++ b/libs/entry/src/hemlockhoist/entry/context.py
@@ -19,7 +19,7 @@
     fleet : Fleet
     declarations : Declarations
         The pools of the route table, as homes see them.
-    knowledge : Knowledge
+    store_view : Knowledge
         The routes, the upstreams, and how fresh they are.
     gate : FleetGate
     homes : HomeService
@@ -29,7 +29,7 @@
     register : DispatchRegister
     leaving : bool
         Whether a graceful shutdown has begun.
-    refuses : bool
+    refuses_requests : bool
         Whether new requests are turned away, as it is about to end.
     open_requests : int
     """
@@ -46,13 +46,13 @@
         "homes",
         "identity",
         "invariants",
-        "knowledge",
+        "store_view",
         "leaving",
         "metrics",
         "moves",
         "open_requests",
         "platform",
-        "refuses",
+        "refuses_requests",
         "register",
         "settings",
         "traces",
@@ -66,5 +66,5 @@
         self.boot_clock = boot_clock
         self.invariants = invariants
         self.leaving = False
-        self.refuses = False
+        self.refuses_requests = False
         self.open_requests = 0
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -27,10 +27,10 @@
 from hemlockhoist.decisions import OutcomeKind
 from hemlockhoist.decisions.entry import AttemptEnd, Step, next_step
 from hemlockhoist.declarations import CallKind
-from hemlockhoist.entry.answers import whole_answer
 from hemlockhoist.entry.attempt import Attempt
+from hemlockhoist.entry.responses import upstream_response
 from hemlockhoist.entry.stream import StreamRelay
-from hemlockhoist.entry.wire import UpstreamOrder
+from hemlockhoist.entry.wire import UpstreamDirectives
 from hemlockhoist.messages import RequestBrief
 from hemlockhoist.upstreams import SendGuard, UpstreamCall
 
@@ -42,7 +42,7 @@
 _OK = 200
 _SERVER_ERROR = 500
 # Enough of an incarnation to tell the hosts of one fleet apart.
-RUN_DIGITS = 6
+INCARNATION_DIGITS = 6
 # Where an answer never came, this is told as the time to come back.
 RETRY_AFTER_MS = 300
 
@@ -102,7 +102,7 @@
                 admitted,
                 context.clock,
                 is_leaving=lambda: context.leaving,
-                may_go_on=lambda: not context.grants.is_refusing,
+                may_resume=lambda: not context.grants.is_refusing,
             )
 
     async def run(self):
@@ -175,7 +175,7 @@
             output_tokens=admitted.output_tokens,
             deadline_in_ms=admitted.deadline_ms - now_ms,
             first_token_in_ms=admitted.target_by_ms - now_ms,
-            leaves_in_ms=admitted.leaves_ms - now_ms,
+            leaves_in_ms=admitted.waits_until_ms - now_ms,
             max_gap_ms=admitted.route.max_gap_ms,
             failure_domain=self._context.identity.failure_domain,
             trace=self._context.traces.text_for_peer(),
@@ -196,7 +196,7 @@
         It begins with the caller's id, so that one search finds all lines of a request
         on all hosts, and stays unique where a caller uses its id twice.
         """
-        run = self._context.identity.incarnation[:RUN_DIGITS]
+        run = self._context.identity.incarnation[:INCARNATION_DIGITS]
         return f"{self.request_id}/{run}{self._number:x}.{self._attempts}"
 
     # One attempt.
@@ -207,7 +207,7 @@
         try:
             with self._context.traces.span(Hop.UPSTREAM, upstream=hold.upstream_id):
                 answer, end = await self._send(attempt)
-            attempt.note_end(end)
+            attempt.record_end(end)
             if end is None:
                 self._count_whole(attempt)
             self._note_failed(attempt, end)
@@ -256,8 +256,8 @@
         """
         if self._admitted.customer is not None:
             self._admission.customer_of(self._admitted.call)
-        self._context.knowledge.check_upstream(hold.upstream_id, hold.is_cold)
-        self._context.knowledge.check_region(hold.upstream_id, self._admitted.regions)
+        self._context.store_view.check_upstream(hold.upstream_id, hold.is_cold)
+        self._context.store_view.check_region(hold.upstream_id, self._admitted.regions)
         self._context.moves.check_version(hold.pool, hold.version)
         self._context.invariants.check(
             Property.NON_IDEMPOTENT_RUNS_AT_MOST_ONCE,
@@ -271,7 +271,7 @@
         self._reason = attempt.reason
         if end is None:
             return
-        is_reached = attempt.may_connect and not attempt.has_left
+        is_reached = attempt.is_reachable and not attempt.grant_outdated
         if end is not AttemptEnd.NOT_SENT or not is_reached:
             self._failed_upstreams.append(attempt.hold.upstream_id)
 
@@ -290,7 +290,7 @@
                 answer, end = await self._take(answer, attempt)
         except GrantOutdated as error:
             attempt.reason = error.message
-            attempt.has_left = True
+            attempt.grant_outdated = True
             self._context.grants.report_outdated(attempt.hold, error)
             self._context.metrics.count(GRANTS_OUTDATED, error.cause)
             return None, AttemptEnd.NOT_SENT
@@ -298,7 +298,7 @@
             if error.code is ResultCode.CONFIGURATION_STALE:
                 raise
             attempt.reason = error.message
-            attempt.may_connect = error.code is not ResultCode.CONNECT_FAILED
+            attempt.is_reachable = error.code is not ResultCode.CONNECT_FAILED
             return None, AttemptEnd.NOT_SENT
         except DispatchError as error:
             attempt.reason = error.message
@@ -313,14 +313,14 @@
 
     def _call(self, attempt):
         admitted = self._admitted
-        left_ms = max(1, admitted.deadline_ms - self._context.clock.now_ms())
+        remaining_ms = max(1, admitted.deadline_ms - self._context.clock.now_ms())
         last = admitted.call.last_event_id
         if self._relay is not None:
             last = self._relay.last_event_id
-        order = UpstreamOrder(
+        directives = UpstreamDirectives(
             upstream_id=attempt.hold.upstream_id,
             customer=admitted.customer.name if admitted.customer else "",
-            left_ms=left_ms,
+            remaining_ms=remaining_ms,
             last_event_id=last,
         )
         wire = self._context.platform.wire
@@ -328,10 +328,10 @@
             address=attempt.hold.address,
             method=admitted.call.method,
             path=admitted.call.target,
-            headers=wire.upstream_headers(admitted.call, order),
+            headers=wire.upstream_headers(admitted.call, directives),
             body=self._body,
             request_id=admitted.call.request_id,
-            idle_timeout_ms=left_ms,
+            idle_timeout_ms=remaining_ms,
         )
 
     async def _take(self, answer, attempt):
@@ -341,7 +341,7 @@
             # The run that the list names is not there any more: like a connection
             # that is refused, and as harmless to try elsewhere.
             attempt.is_misdirected = True
-            attempt.may_connect = False
+            attempt.is_reachable = False
             attempt.reason = "another run answers at the address"
         if head.is_not_run:
             attempt.reason = attempt.reason or "it did not run the request"
@@ -361,7 +361,7 @@
         attempt.first_ms = self._context.clock.now_ms()
         if self._relay is not None and self._relay.started:
             return None, AttemptEnd.FAILED_ANSWER
-        response = whole_answer(head, body)
+        response = upstream_response(head, body)
         if head.status < _SERVER_ERROR:
             return response, None
         self._failed_answer = response
@@ -376,17 +376,17 @@
             first_ms = attempt.first_ms - attempt.guard.opened_ms
             grants.report_first_token(attempt.hold, first_ms)
 
-        before = self._relay.events
+        before = self._relay.event_count
         try:
             response = await self._relay.relay(answer, head, on_first)
         finally:
-            pool = self._context.knowledge.routes.pool(self._admitted.pool)
+            pool = self._context.store_view.routes.pool(self._admitted.pool)
             engine = pool.engine if pool is not None else None
             tokens_per_event = engine.tokens_per_event if engine else 1
-            events = self._relay.events - before
+            events = self._relay.event_count - before
             attempt.output_tokens = events * tokens_per_event
             attempt.longest_gap_ms = self._relay.longest_gap_ms
-            event_us = self._relay.usual_event_us()
+            event_us = self._relay.median_event_us()
             if event_us > 0:
                 attempt.token_us = event_us // tokens_per_event
         return response, None
@@ -425,7 +425,7 @@
 
     def _cut(self, reason):
         _log.warning("stream_cut", request=self.request_id, reason=reason)
-        return self._relay.cut()
+        return self._relay.abort()
 
     @property
     def _is_over(self):
--- a/libs/entry/src/hemlockhoist/entry/feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/feeds.py
@@ -263,7 +263,7 @@
 
     # As a host that others ask.
 
-    def on_question(self, sender, message):
+    def on_query(self, sender, message):
         """Answer at once where there is news, else at the next reading."""
         copy = self._copies.get(message.table)
         if copy is None or not self._is_sound():
@@ -283,7 +283,7 @@
         """Return whether this host's copies are those of the store."""
         if not self.is_reader:
             return False
-        age_ms = self._context.knowledge.proof_age_ms()
+        age_ms = self._context.store_view.proof_age_ms()
         return age_ms is not None and age_ms < MAX_READER_PROOF_MS
 
     def _answer_waiting(self, table):
@@ -319,6 +319,6 @@
                 ),
                 version=copy.version,
                 store_ms=copy.store_ms,
-                clock_ms=self._context.knowledge.store_now_ms(),
+                clock_ms=self._context.store_view.store_now_ms(),
             )
         self._context.bus.send(sender, answer)
--- a/libs/entry/src/hemlockhoist/entry/gate.py
+++ b/libs/entry/src/hemlockhoist/entry/gate.py
@@ -14,7 +14,7 @@
 RETRY_REFUSED_MS = 300
 
 
-class FleetGate(OpenGate):
+class QuotaGate(OpenGate):
     """Holds customers to their allowances, and retries to their bound.
 
     Parameters
@@ -32,7 +32,7 @@
         "_history",
         "_retries",
         "_share",
-        "allowances",
+        "quotas",
         "on_takeover_begun",
     )
 
@@ -42,11 +42,11 @@
         self._bounds = bounds
         self._retries = {}
         self._share = 1.0
-        self.allowances = QuotaTracker(
+        self.quotas = QuotaTracker(
             QuotaBounds(
-                bounds.allowance_window_ms,
-                bounds.allowance_overshoot,
-                bounds.allowance_tolerance,
+                bounds.quota_window_ms,
+                bounds.quota_overshoot_ratio,
+                bounds.quota_tolerance_units,
             )
         )
 
@@ -60,23 +60,23 @@
             return GateRefusal(ResultCode.RETRIES_EXHAUSTED, RETRY_REFUSED_MS, reason)
         if request.is_new:
             window.count_request(now_ms)
-        wait_ms = self.allowances.acquire(request.customer, request.units, now_ms)
+        wait_ms = self.quotas.acquire(request.customer, request.units, now_ms)
         if not wait_ms:
             return None
-        left = self.allowances.units_left(request.customer, now_ms)
+        left = self.quotas.units_left(request.customer, now_ms)
         reason = f"{request.customer} asks for {request.units} units of {left} left"
         return GateRefusal(ResultCode.ALLOWANCE_SPENT, wait_ms, reason)
 
     def set_share(self, share):
         """Take the part of all bounds that this host gives out."""
-        self.allowances.set_share(share)
+        self.quotas.set_share(share)
         for window in self._retries.values():
             window.share = share
         self._share = share
 
     def on_takeover(self, hosts, now_ms):
         """Presume the bounds spent until the hosts have told what was."""
-        window_ms = self._bounds.allowance_window_ms
+        window_ms = self._bounds.quota_window_ms
         if self._history is None or not self._history.is_same_takeover(now_ms):
             self._history = UsageCoverage(window_ms, now_ms)
         self._history.record_queried(hosts)
@@ -85,13 +85,13 @@
 
     def on_spent(self, host, held, now_ms):
         """Count what was spent under a home before this one."""
-        self.allowances.add_reported((held.run, held.pool), held.spent, now_ms)
+        self.quotas.add_reported((held.run, held.pool), held.spent, now_ms)
         if self._history is not None:
             self._history.record_report(host, held.up_ms)
             self._note_past()
 
     @property
-    def lacks_past(self):
+    def has_unknown_usage(self):
         """Whether any host could not tell what was spent before a takeover.
 
         Failure: a sixth of the hosts lose their power, the home among them. What their
@@ -108,14 +108,14 @@
 
     def _note_past(self):
         past = self._history.unknown()
-        self.allowances.set_unknown_usage(past)
+        self.quotas.set_unknown_usage(past)
         for window in self._retries.values():
             window.unknown_usage = past
 
     def on_not_run(self, request, now_ms):
         """Give back what a refused request had taken of its customer's allowance."""
         if request.units:
-            self.allowances.refund(request.customer, request.units, now_ms)
+            self.quotas.refund(request.customer, request.units, now_ms)
 
     def on_waited(self, request, since_ms, now_ms):
         """Count what a request takes of its customer's allowance from when it runs.
@@ -125,7 +125,7 @@
         more than its bound in one window.
         """
         if request.units:
-            self.allowances.retime(request.customer, request.units, since_ms, now_ms)
+            self.quotas.retime(request.customer, request.units, since_ms, now_ms)
 
     def _window(self, pool):
         window = self._retries.get(pool)
--- a/libs/entry/src/hemlockhoist/entry/roster.py
+++ b/libs/entry/src/hemlockhoist/entry/host_registry.py
@@ -43,7 +43,7 @@
     processor_millicores: int = 0
 
 
-class Roster:
+class HostRegistry:
     """Keeps this host's row, and tells the fleet of all rows and seeds.
 
     A row may outlive its host; the fleet's probes find that out.
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -35,14 +35,14 @@
 RETRY_MS = 500
 # Part of an order's time by which all requests are to be on the new version. In the
 # rest the old version's last answers end and the operators are told.
-MOVED_PART = 0.85
+MOVED_FRACTION = 0.85
 # Parts of that time: while the bound on the trial holds for all routes, and before
 # which a move does not end. The rest is for the evidence under the whole load.
-TRIAL_UNTIL_PART = 0.75
-TRIAL_END_PART = 0.9
+TRIAL_UNTIL_FRACTION = 0.75
+TRIAL_END_FRACTION = 0.9
 # Of the declared bound on an unproven version, what is used: hosts that decide alone
 # give out a little besides, and answers under way when it is halted count too.
-TRIAL_PART = 0.6
+TRIAL_FRACTION = 0.6
 AUTHOR = "hemlockhoist"
 # Of the lease on a pool's moves: an order has to be over in seconds, and the next home
 # widens nothing before its predecessor's lease has ended.
@@ -58,14 +58,14 @@
     bounds : FleetBounds
     """
     return TrialBound(
-        share_permille=int(1_000 * TRIAL_PART * bounds.trial_share),
-        requests=int(TRIAL_PART * bounds.trial_tolerance),
-        until_fraction=TRIAL_UNTIL_PART,
-        min_end_fraction=TRIAL_END_PART,
+        share_permille=int(1_000 * TRIAL_FRACTION * bounds.trial_share),
+        requests=int(TRIAL_FRACTION * bounds.trial_tolerance),
+        until_fraction=TRIAL_UNTIL_FRACTION,
+        min_end_fraction=TRIAL_END_FRACTION,
     )
 
 
-class OrderedMoves(MoveService):
+class OrderedMoveService(MoveService):
     """Carries out the operators' orders at the pools' home.
 
     Parameters
@@ -100,7 +100,7 @@
         await self._task.close()
         await super().close()
 
-    def take_order(self, order):
+    def receive_order(self, order):
         """Take an operator's order, or its repetition by a reading."""
         former = self._orders.get(order.pool)
         if former is not None and former.order_id == order.order_id:
@@ -164,7 +164,7 @@
         )
 
     def _shared_ms(self):
-        return self._context.knowledge.store_now_ms()
+        return self._context.store_view.store_now_ms()
 
     def _is_watched(self, pool):
         order = self._orders.get(pool)
@@ -257,7 +257,7 @@
                 row = None
         now_ms = self._shared_ms()
         waited_ms = self._context.clock.now_ms() - self._received_ms[order.pool]
-        left_ms = max(1, int(MOVED_PART * order.duration_ms) - waited_ms)
+        left_ms = max(1, int(MOVED_FRACTION * order.duration_ms) - waited_ms)
         request = MoveRequest(
             move_id=order.order_id,
             pool=order.pool,
--- a/libs/entry/src/hemlockhoist/entry/platform.py
+++ b/libs/entry/src/hemlockhoist/entry/platform.py
@@ -16,7 +16,7 @@
     upstream_table : str
     host_table : str
         Where hosts enter themselves; their own.
-    spending_table : str
+    usage_table : str
         Where homes keep what customers have spent; their own.
     readiness_path, directory_path : str
     """
@@ -60,8 +60,8 @@
         """
 
     @abc.abstractmethod
-    def read_directory_question(self, query):
-        """Return the ``DirectoryQuestion`` of a question's query."""
+    def parse_directory_query(self, query):
+        """Return the ``DirectoryQuery`` of a question's query."""
 
     @abc.abstractmethod
     def directory_body(self, addresses, ttl_ms):
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -41,16 +41,16 @@
 from hemlockhoist.declarations import Declarations, Pool, PoolKind, VersionRules
 from hemlockhoist.entry.context import EntryContext
 from hemlockhoist.entry.feeds import FeedStore
-from hemlockhoist.entry.gate import FleetGate
-from hemlockhoist.entry.knowledge import Knowledge
-from hemlockhoist.entry.moves import OrderedMoves
-from hemlockhoist.entry.roster import Roster
-from hemlockhoist.entry.spending import SpendingRecord
-from hemlockhoist.entry.surface import (
+from hemlockhoist.entry.gate import QuotaGate
+from hemlockhoist.entry.host_registry import HostRegistry
+from hemlockhoist.entry.moves import OrderedMoveService
+from hemlockhoist.entry.servers import (
     LEAVING_RETRY_MS,
-    CallerSurface,
-    StatusSurface,
+    CallerServer,
+    StatusServer,
 )
+from hemlockhoist.entry.store_view import StoreView
+from hemlockhoist.entry.usage_recorder import UsageRecorder
 from hemlockhoist.host.fleet import Fleet
 from hemlockhoist.host.grants import GrantClient
 from hemlockhoist.host.homes import HomeService
@@ -68,15 +68,15 @@
 # Entries of upstreams come by themselves when they change. A connection that has gone
 # silent ends by its probes, and a store that was silent shows in the routes' calls.
 UPSTREAMS_WAIT_MS = 20_000
-HOME_TICK_MS = 50
+HOME_TICK_INTERVAL_MS = 50
 # While this host decides for no pool: in a fleet of 59 hosts the wake-ups of idle ones
 # were a sixth of all processor time.
 IDLE_TICK_MS = 250
 # The part of the bounds that a host gives out follows the fleet: it is in touch or not
-# for ``HEARD_MS``, and counting that takes longer the more hosts there are.
-SHARE_MS = 250
-HELD_REPORT_MS = 10_000
-GAUGE_MS = 1_000
+# for ``RESPONSIVE_WINDOW_MS``, and counting that takes longer the more hosts there are.
+SHARE_UPDATE_INTERVAL_MS = 250
+HELD_REPORT_INTERVAL_MS = 10_000
+GAUGE_INTERVAL_MS = 1_000
 # Of an upstream that is well, a connection is there within a few milliseconds.
 CONNECT_TIMEOUT_MS = 250
 # Callers hold an address for its time to live, some of them for three times that. The
@@ -84,29 +84,29 @@
 # before the process is killed at the end of the declared stop, 8 s on today's sites;
 # who comes later is sent elsewhere at once.
 LISTEN_AFTER_STOP_MS = 2_700
-STOP_REST_MS = 700
+STOP_RESERVE_MS = 700
 # Part of the declared stop after which requests that still wait for a place are sent
 # elsewhere: an answer that begins later may not end before the process does.
-QUEUE_PART_OF_STOP = 0.6
-DRAIN_CHECK_MS = 50
-FLUSH_MS = 300
-THREADS = 2
-LEFT_OUT_REPORT_MS = 1_000
+QUEUE_DRAIN_FRACTION = 0.6
+DRAIN_CHECK_INTERVAL_MS = 50
+FLUSH_TIMEOUT_MS = 300
+THREAD_POOL_SIZE = 2
+DROPPED_REPORT_INTERVAL_MS = 1_000
 PEER_KEY_VARIABLE = "HEMLOCKHOIST_PEER_KEY"
 TEST_VARIABLE = "HEMLOCKHOIST_TEST"
 # All pools of today's fleets have one home, so that a customer's allowance and the
 # bound on retries are exact in one place.
-ONLY_CELL = "cell"
+SINGLE_HOME_KEY = "cell"
 # Orders on the platform are to be over in some ten seconds: a share of a few in a
 # hundred would not give the answers that prove a version. What an unproven version may
-# get over all routes is bounded besides, see ``OrderedMoves``.
+# get over all routes is bounded besides, see ``OrderedMoveService``.
 MOVE_RULES = VersionRules(first_share_permille=100, unproven_share_permille=300)
 # A host that was lost may be cut off and go on serving for this long; after it, its
 # proof of the routes is long too old.
 LOST_HOST_MS = 15_000
 # Under a load at which allowances bind, a host that is in touch is heard from several
 # times in this time.
-HEARD_MS = 1_000
+RESPONSIVE_WINDOW_MS = 1_000
 
 
 class EntryProcess:
@@ -132,7 +132,7 @@
         self._closers = contextlib.AsyncExitStack()
         self._callers = None
         self._drain_task = None
-        self._roster = None
+        self._host_registry = None
         self._watches = ()
         self._store_failed = False
         self._share_due_ms = 0
@@ -158,12 +158,12 @@
         await self._open(context.fleet)
         await self._open_watches(context)
         await self._open(context.moves)
-        await self._open(SpendingRecord(context))
-        self.status = await self._open(StatusSurface(context))
-        self._callers = await self._open(CallerSurface(context, self._listener))
+        await self._open(UsageRecorder(context))
+        self.status = await self._open(StatusServer(context))
+        self._callers = await self._open(CallerServer(context, self._listener))
         await self._open(PeriodicTask(self._tick_ms, self._tick))
-        await self._open(PeriodicTask(HELD_REPORT_MS, self._report_held))
-        await self._open(PeriodicTask(GAUGE_MS, self._report_gauges))
+        await self._open(PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held))
+        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
         _log.info(
             "host_started", host=self.settings.name, address=context.identity.address
         )
@@ -191,11 +191,11 @@
 
     def _build(self, context):
         context.declarations = Declarations()
-        context.gate = FleetGate(self.settings.bounds)
-        context.moves = OrderedMoves(
+        context.gate = QuotaGate(self.settings.bounds)
+        context.moves = OrderedMoveService(
             context, TypedRows(self._platform.store), context.bus.send
         )
-        context.knowledge = Knowledge(
+        context.store_view = StoreView(
             self._platform,
             self.settings.bounds,
             context.clock,
@@ -203,13 +203,13 @@
             context.invariants,
             self._on_routes,
             self._on_upstreams,
-            context.moves.take_order,
+            context.moves.receive_order,
         )
         context.homes = HomeService(
             context,
             context.bus.send,
             context.gate,
-            cell_of=lambda pool: ONLY_CELL,
+            cell_of=lambda pool: SINGLE_HOME_KEY,
             new_tracker=self._new_tracker,
             experiments=self.settings.experiments,
         )
@@ -220,7 +220,7 @@
             self._on_silent,
             context.bus.renew,
             lambda: context.identity.host_id,
-            UsageLog(self.settings.bounds.allowance_window_ms),
+            UsageLog(self.settings.bounds.quota_window_ms),
             context.identity.incarnation,
         )
         context.register = DispatchRegister(context.invariants)
@@ -235,12 +235,12 @@
         context.fleet = Fleet.from_context(context, self.settings.processor_millicores)
 
     async def _open_watches(self, context):
-        platform, knowledge = self._platform, context.knowledge
+        platform, store_view = self._platform, context.store_view
         routes = TableWatch(
             context.feeds,
             platform.config_table,
             ROUTES_WAIT_MS,
-            knowledge.take_config_rows,
+            store_view.apply_config_rows,
             self._on_reading,
             self._on_store_failure,
         )
@@ -248,12 +248,12 @@
             context.feeds,
             platform.upstream_table,
             UPSTREAMS_WAIT_MS,
-            knowledge.take_upstream_rows,
+            store_view.apply_upstream_rows,
             pace=PATIENT,
         )
-        self._roster = Roster(context)
-        self._watches = (upstreams, self._roster)
-        for part in (routes, upstreams, self._roster):
+        self._host_registry = HostRegistry(context)
+        self._watches = (upstreams, self._host_registry)
+        for part in (routes, upstreams, self._host_registry):
             await self._open(part)
 
     async def _open(self, part):
@@ -268,7 +268,7 @@
     def _on_reading(self, reading):
         if reading.clock_ms is None:
             self.context.metrics.count(STORE_CALLS, self._platform.config_table)
-        self.context.knowledge.take_reading(reading)
+        self.context.store_view.record_reading(reading)
         if self._store_failed:
             self._store_failed = False
             for watch in self._watches:
@@ -282,12 +282,12 @@
         """Put newer routes in force."""
         context = self.context
         context.declarations = declarations_of(table)
-        context.gate.allowances.declare(table.customers)
+        context.gate.quotas.declare(table.customers)
         context.homes.redeclare()
 
     def _new_tracker(self, name):
         """Return what is kept of the upstreams of a pool."""
-        routes = self.context.knowledge.routes
+        routes = self.context.store_view.routes
         pool = routes.pool(name) if routes is not None else None
         experiments = self.settings.experiments
         cache_tokens = 0
@@ -298,7 +298,7 @@
 
     def _cold_start_limit(self, name):
         """Return what is declared at present of the cold upstreams of a pool."""
-        routes, bounds = self.context.knowledge.routes, self.settings.bounds
+        routes, bounds = self.context.store_view.routes, self.settings.bounds
         pool = routes.pool(name) if routes is not None else None
         if pool is None:
             return ColdStartLimit()
@@ -310,20 +310,20 @@
 
     def _on_upstreams(self):
         context = self.context
-        context.homes.set_upstreams(context.knowledge.usable())
+        context.homes.set_upstreams(context.store_view.usable())
 
     def _on_silent(self, host_id):
         self.context.fleet.on_silent(host_id)
 
     def _tick_ms(self):
-        return HOME_TICK_MS if self.context.homes.is_deciding else IDLE_TICK_MS
+        return HOME_TICK_INTERVAL_MS if self.context.homes.is_deciding else IDLE_TICK_MS
 
     def _tick(self):
         context = self.context
         if context.clock.now_ms() >= self._share_due_ms:
-            self._share_due_ms = context.clock.now_ms() + SHARE_MS
+            self._share_due_ms = context.clock.now_ms() + SHARE_UPDATE_INTERVAL_MS
             self._share_allowances()
-        due_ms = context.knowledge.listing.next_change_ms()
+        due_ms = context.store_view.listing.next_change_ms()
         if due_ms is not None and due_ms <= context.clock.now_ms():
             self._on_upstreams()
         context.homes.tick()
@@ -333,7 +333,7 @@
         context = self.context
         is_home = context.homes.home_of("") == context.identity.host_id
         known = context.fleet.count_known(LOST_HOST_MS)
-        heard = context.fleet.count_in_touch(HEARD_MS) if is_home else 1
+        heard = context.fleet.count_in_touch(RESPONSIVE_WINDOW_MS) if is_home else 1
         share = partition_share(heard, known, is_home)
         context.gate.set_share(share)
         context.homes.set_share(share)
@@ -346,13 +346,13 @@
         context, metrics = self.context, self.context.metrics
         metrics.gauge(REQUESTS_OPEN, context.open_requests)
         metrics.gauge(HOSTS_LIVE, len(context.fleet.live_hosts()))
-        if context.knowledge.routes is not None:
-            metrics.gauge(DECLARATIONS_VERSION, context.knowledge.routes.version)
-        if context.knowledge.proof_age_ms() is not None:
-            metrics.gauge(PROOF_AGE_MS, context.knowledge.proof_age_ms())
-        evacuated = context.knowledge.evacuated.names()
+        if context.store_view.routes is not None:
+            metrics.gauge(DECLARATIONS_VERSION, context.store_view.routes.version)
+        if context.store_view.proof_age_ms() is not None:
+            metrics.gauge(PROOF_AGE_MS, context.store_view.proof_age_ms())
+        evacuated = context.store_view.evacuated.names()
         metrics.gauge(DOMAINS_EVACUATED, len(evacuated))
-        for pool, count in context.knowledge.count_live().items():
+        for pool, count in context.store_view.count_live().items():
             metrics.gauge(UPSTREAMS_LISTED, count, pool)
         for prop, count in context.invariants.violations.items():
             metrics.gauge(VIOLATIONS, count, prop.name)
@@ -373,20 +373,20 @@
         _log.info("drain_begun", open_requests=context.open_requests)
         stop_ms = self.settings.bounds.stop_ms
         begun_ms = context.clock.now_ms()
-        end_ms = begun_ms + stop_ms - STOP_REST_MS
-        queue_end_ms = begun_ms + int(QUEUE_PART_OF_STOP * stop_ms)
+        end_ms = begun_ms + stop_ms - STOP_RESERVE_MS
+        queue_end_ms = begun_ms + int(QUEUE_DRAIN_FRACTION * stop_ms)
         context.leaving = True
         context.fleet.leave()
         context.homes.close()
-        await self._roster.leave()
+        await self._host_registry.leave()
         await asyncio.sleep(LISTEN_AFTER_STOP_MS / MS_PER_S)
         await self._callers.stop_listening()
-        context.refuses = True
+        context.refuses_requests = True
         while context.open_requests and context.clock.now_ms() < end_ms:
             if context.clock.now_ms() >= queue_end_ms:
                 context.grants.stop_waiting(ResultCode.LEAVING, LEAVING_RETRY_MS)
-            await asyncio.sleep(DRAIN_CHECK_MS / MS_PER_S)
-        await context.bus.flush(FLUSH_MS)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_MS / MS_PER_S)
+        await context.bus.flush(FLUSH_TIMEOUT_MS)
         _log.info("drain_ended", open_requests=context.open_requests)
         self.finished.set()
 
@@ -418,7 +418,7 @@
     try:
         await host.start()
         report = PeriodicTask(
-            LEFT_OUT_REPORT_MS,
+            DROPPED_REPORT_INTERVAL_MS,
             lambda: _tell_left_out(limit, writer, host.context.metrics),
         )
         await report.start()
@@ -450,7 +450,7 @@
     writer = LineWriter(sys.stdout)
     writer.start()
     try:
-        with aiomisc.entrypoint(pool_size=THREADS, log_config=False) as loop:
+        with aiomisc.entrypoint(pool_size=THREAD_POOL_SIZE, log_config=False) as loop:
             loop.run_until_complete(_main(settings, make_platform, listener, writer))
     finally:
         writer.close()
--- a/libs/entry/src/hemlockhoist/entry/answers.py
+++ b/libs/entry/src/hemlockhoist/entry/responses.py
@@ -14,7 +14,7 @@
 DEFAULT_RETRY_AFTER_MS = 500
 
 
-def whole_answer(head, body):
+def upstream_response(head, body):
     """Return an upstream's whole answer as it came.
 
     Parameters
@@ -36,7 +36,7 @@
             response.headers.add(name, value)
 
 
-def own_answer(wire, call, error):
+def error_response(wire, call, error):
     """Return the system's own answer to a request.
 
     A status that promises "not run" (503, 429) is given where the code says so, and
--- a/libs/entry/src/hemlockhoist/entry/surface.py
+++ b/libs/entry/src/hemlockhoist/entry/servers.py
@@ -24,8 +24,8 @@
 from hemlockhoist.decisions.entry import PoolChooser, nearby_members
 from hemlockhoist.declarations import RequestLimits
 from hemlockhoist.entry.admission import Admission
-from hemlockhoist.entry.answers import CODE_HEADER, own_answer
 from hemlockhoist.entry.exchange import Exchange
+from hemlockhoist.entry.responses import CODE_HEADER, error_response
 from hemlockhoist.host.body import read_body
 
 _log = get_logger("entry.surface")
@@ -49,13 +49,13 @@
 # Told to callers that come to a host about to end: any other host takes them at once.
 LEAVING_RETRY_MS = 1
 # By custom, for a caller that closed its connection; never sent.
-CALLER_LEFT_STATUS = 499
+CLIENT_CLOSED_STATUS = 499
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 # Until the declared ones are known.
 _DEFAULT_LIMITS = RequestLimits()
 
 
-class CallerSurface:
+class CallerServer:
     """Answers callers' requests.
 
     Parameters
@@ -70,7 +70,7 @@
     def __init__(self, context, listener=None):
         self._context = context
         self._listener = listener
-        self._admission = Admission(context.knowledge, PoolChooser())
+        self._admission = Admission(context.store_view, PoolChooser())
         self._runner = None
 
     async def start(self):
@@ -100,7 +100,7 @@
 
     @property
     def _limits(self):
-        routes = self._context.knowledge.routes
+        routes = self._context.store_view.routes
         return routes.limits if routes is not None else _DEFAULT_LIMITS
 
     async def _handle(self, request):
@@ -130,7 +130,7 @@
             return await self._serve(request, call)
         except HemlockhoistError as error:
             self._log_refused(call, request, error)
-            return own_answer(wire, call, error)
+            return error_response(wire, call, error)
         except OSError as error:
             # Failure: the caller closed its connection while its answer was written.
             # Passed on, the server writes a traceback for each, past the bound on the
@@ -138,19 +138,19 @@
             _log.info(
                 "caller_left", request=call and call.request_id, reason=repr(error)
             )
-            return web.Response(status=CALLER_LEFT_STATUS)
+            return web.Response(status=CLIENT_CLOSED_STATUS)
         except Exception as error:
             # A fault of this program: the caller must not read "not run" into it.
             _log.error(
                 "request_failed", request=call and call.request_id, exc_info=True
             )
             failure = HemlockhoistError(repr(error), ResultCode.INTERNAL_ERROR)
-            return own_answer(wire, call, failure)
+            return error_response(wire, call, failure)
 
     async def _serve(self, request, call):
         arrived_ms = self._context.clock.now_ms()
         self._check_staying()
-        await self._context.knowledge.wait_complete(START_WAIT_MS)
+        await self._context.store_view.wait_complete(START_WAIT_MS)
         admitted = self._admission.admit(call, arrived_ms)
         self._context.metrics.count(REQUESTS_ARRIVED, admitted.tier)
         self._log_admitted(admitted)
@@ -190,7 +190,7 @@
         ======
         Refused
         """
-        if self._context.refuses:
+        if self._context.refuses_requests:
             raise Refused("", ResultCode.LEAVING, LEAVING_RETRY_MS)
 
     async def _read_body(self, request):
@@ -200,7 +200,7 @@
         return await read_body(request, limits.max_body_bytes, limits.header_timeout_ms)
 
     def _log_admitted(self, admitted):
-        knowledge = self._context.knowledge
+        store_view = self._context.store_view
         _log.info(
             "request_admitted",
             request=admitted.call.request_id,
@@ -211,8 +211,8 @@
             units=admitted.units,
             prompt_tokens=admitted.call.prompt_tokens,
             left_ms=admitted.deadline_ms - admitted.arrived_ms,
-            routes_version=knowledge.routes.version,
-            proof_age_ms=knowledge.proof_age_ms(),
+            routes_version=store_view.routes.version,
+            proof_age_ms=store_view.proof_age_ms(),
         )
 
     def _log_ended(self, exchange, response, arrived_ms):
@@ -235,7 +235,7 @@
         )
 
 
-class StatusSurface:
+class StatusServer:
     """Answers questions for readiness, and for which hosts to use.
 
     Parameters
@@ -278,20 +278,20 @@
         if request.path == platform.readiness_path:
             return web.Response(status=200 if self.is_ready() else 503)
         if request.path == platform.directory_path:
-            return self._directory(platform.read_directory_question(request.query))
+            return self._directory(platform.parse_directory_query(request.query))
         if request.path == METRICS_PATH:
             body = exposition(self._context.metrics)
             return web.Response(body=body, headers={"Content-Type": METRICS_TYPE})
         error = BadRequest("", ResultCode.NOT_FOUND)
-        return own_answer(platform.wire, None, error)
+        return error_response(platform.wire, None, error)
 
     def is_ready(self):
         """Return whether this host serves callers."""
         context = self._context
-        if context.leaving or not context.knowledge.is_complete:
+        if context.leaving or not context.store_view.is_complete:
             return False
-        routes = context.knowledge.routes
-        return not routes.asks_for_keys or context.knowledge.is_fresh()
+        routes = context.store_view.routes
+        return not routes.asks_for_keys or context.store_view.is_fresh()
 
     def _directory(self, question):
         context = self._context
@@ -299,7 +299,7 @@
             context.fleet.advertised_members(),
             context.settings.regions_by_domain,
             question.region,
-            context.knowledge.regions_of(question.host),
+            context.store_view.regions_of(question.host),
         )
         addresses = [member.caller_address for member in members]
         own = self._context.identity.address
--- a/libs/entry/src/hemlockhoist/entry/settings.py
+++ b/libs/entry/src/hemlockhoist/entry/settings.py
@@ -20,7 +20,7 @@
         Sends beyond the first, over all hosts, in each window: for each request, and
         beside that.
     retry_window_ms : int
-    allowance_window_ms : int
+    quota_window_ms : int
     allowance_overshoot, allowance_tolerance : float
         By how much a customer may be over its allowance in a window: as a part, and
         in its units.
@@ -39,9 +39,9 @@
     retry_ratio: float = 0.2
     retry_base: float = 50.0
     retry_window_ms: int = 10_000
-    allowance_window_ms: int = 8_000
-    allowance_overshoot: float = 0.1
-    allowance_tolerance: float = 0.0
+    quota_window_ms: int = 8_000
+    quota_overshoot_ratio: float = 0.1
+    quota_tolerance_units: float = 0.0
     trial_share: float = 0.1
     trial_tolerance: float = 50.0
     cold_overshoot: float = 1.0
--- a/libs/entry/src/hemlockhoist/entry/knowledge.py
+++ b/libs/entry/src/hemlockhoist/entry/store_view.py
@@ -33,7 +33,7 @@
 NOT_READY_RETRY_MS = 300
 
 
-class Knowledge:
+class StoreView:
     """The newest routes and upstreams, and the proof of their freshness.
 
     Parameters
@@ -155,7 +155,7 @@
         if not self.is_complete:
             raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_MS)
 
-    def take_config_rows(self, reading, is_whole):
+    def apply_config_rows(self, reading, is_whole):
         """Take rows of the table that holds the routes and the operators' orders."""
         self._take_domain_orders(reading, is_whole)
         for row in reading.rows:
@@ -219,7 +219,7 @@
         self._on_routes(table)
         self._note_complete()
 
-    def take_reading(self, reading):
+    def record_reading(self, reading):
         """Take a successful reading of the routes' table as proof."""
         sent_ms, store_ms = reading.sent_ms, reading.store_ms
         if reading.clock_ms is None:
@@ -227,7 +227,7 @@
         else:
             self.freshness.record_relayed(sent_ms, store_ms, reading.clock_ms)
 
-    def take_upstream_rows(self, reading, is_whole):
+    def apply_upstream_rows(self, reading, is_whole):
         """Take rows of the list of upstreams."""
         now_ms = self._clock.now_ms()
         self.has_upstreams = True
--- a/libs/entry/src/hemlockhoist/entry/stream.py
+++ b/libs/entry/src/hemlockhoist/entry/stream.py
@@ -6,8 +6,8 @@
 from aiohttp import web
 
 from hemlockhoist.base import MS_PER_S, DispatchError, ResultCode
-from hemlockhoist.entry.answers import add_headers
 from hemlockhoist.entry.events import EventReader
+from hemlockhoist.entry.responses import add_headers
 
 US_PER_MS = 1_000
 # A stream that may go on elsewhere is given up at an upstream after this silence. Made
@@ -23,7 +23,7 @@
 SLOWEST_TOKENS_PER_MS = 8
 
 
-class StallWatch:
+class StallWatchdog:
     """Closes an upstream's answer that has been silent for too long.
 
     Failure: this host was suspended. On waking, the time limit has passed, and the
@@ -36,7 +36,7 @@
     limit_ms : int or None
         None watches nothing.
     clock : Clock
-    may_go_on : callable, optional
+    may_resume : callable, optional
         Whether the stream could go on elsewhere. Where it can not, the answer is waited
         for: it may still come, and nothing is won by ending it.
     """
@@ -51,8 +51,8 @@
         "_warned",
     )
 
-    def __init__(self, answer, limit_ms, clock, may_go_on=lambda: True):
-        self._may_go_on = may_go_on
+    def __init__(self, answer, limit_ms, clock, may_resume=lambda: True):
+        self._may_go_on = may_resume
         self._answer = answer
         self._limit_ms = limit_ms
         self._clock = clock
@@ -77,7 +77,7 @@
             self._due_ms = self._clock.now_ms() + limit_ms
             self._warned = False
 
-    def explain(self, error):
+    def classify_error(self, error):
         """Return the error to raise for a read that has failed."""
         if not self._warned or self._clock.now_ms() < self._due_ms:
             return error
@@ -111,7 +111,7 @@
     clock : Clock
     is_leaving : callable, optional
         Whether this host is about to close its callers' connections.
-    may_go_on : callable, optional
+    may_resume : callable, optional
         Whether the stream would be given another upstream.
     """
 
@@ -126,7 +126,7 @@
         "_reader",
         "_request",
         "_response",
-        "events",
+        "event_count",
     )
 
     def __init__(
@@ -135,10 +135,10 @@
         admitted,
         clock,
         is_leaving=lambda: False,
-        may_go_on=lambda: True,
+        may_resume=lambda: True,
     ):
         self._is_leaving = is_leaving
-        self._may_go_on = may_go_on
+        self._may_go_on = may_resume
         self._request = request
         self._admitted = admitted
         self._clock = clock
@@ -147,7 +147,7 @@
         self._event_times_us = []
         self._last_event_ms = None
         self._longest_gap_ms = 0
-        self.events = 0
+        self.event_count = 0
 
     @property
     def started(self):
@@ -185,7 +185,7 @@
         self._longest_gap_ms = 0
         first = True
         limit_ms = self._stall_limit_ms(True)
-        watch = StallWatch(answer, limit_ms, self._clock, self._may_go_on)
+        watch = StallWatchdog(answer, limit_ms, self._clock, self._may_go_on)
         watch.start()
         try:
             async for chunk in answer.chunks():
@@ -197,7 +197,7 @@
                 if self._reader.error is not None:
                     raise self._reader.error
         except DispatchError as error:
-            raise watch.explain(error) from error
+            raise watch.classify_error(error) from error
         finally:
             watch.close()
         if not self._reader.is_between_events:
@@ -225,7 +225,7 @@
         if self._response is None:
             await self._start(head)
         await self._response.write(b"".join(event.raw for event in events))
-        self.events += len(events)
+        self.event_count += len(events)
         self._note_times(len(events))
 
     def _note_times(self, count):
@@ -241,7 +241,7 @@
         """The longest pause between this upstream's events; 0 before the second."""
         return self._longest_gap_ms
 
-    def usual_event_us(self):
+    def median_event_us(self):
         """Return the median time between this upstream's events, or -1.
 
         The median, as an answer's pauses are those of prompts computed beside it, and
@@ -265,7 +265,7 @@
         await self._response.write_eof()
         return self._response
 
-    def cut(self):
+    def abort(self):
         """End an answer that can not be finished, so that it does not look complete.
 
         The last chunk is left out and the connection closed: the caller sees that the
--- a/libs/entry/src/hemlockhoist/entry/tests/builders.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/builders.py
@@ -11,8 +11,8 @@
     RoutedPool,
     RouteTable,
 )
-from hemlockhoist.entry.knowledge import Knowledge
 from hemlockhoist.entry.settings import FleetBounds
+from hemlockhoist.entry.store_view import StoreView
 from hemlockhoist.entry.wire import CallerCall
 from hemlockhoist.store import Reading, StoreRow
 
@@ -92,12 +92,12 @@
         return None if row.key.startswith("evacuate/") else row.value
 
 
-class KnowingHost:
+class HostFixture:
     """A host's knowledge on clocks that tests set.
 
     Attributes
     ==========
-    knowledge : Knowledge
+    store_view : Knowledge
     boot_ms : int
         The clock that counts suspensions.
     """
@@ -107,7 +107,7 @@
         self.clock = Clock.from_running_loop()
         self.tables = []
         self.orders = []
-        self.knowledge = Knowledge(
+        self.store_view = StoreView(
             TablePlatform(),
             FleetBounds(),
             self.clock,
@@ -121,22 +121,22 @@
     def take_routes(self, routes, version=1):
         """Give the knowledge a row of routes."""
         row = StoreRow(key="config", value=routes, version=version)
-        self.knowledge.take_config_rows(reading([row], version), False)
+        self.store_view.apply_config_rows(reading([row], version), False)
 
     def take_evacuation(self, domain, version, is_evacuated=True):
         """Give the knowledge an operator's order on a failure domain, or its end."""
         value = "evacuated" if is_evacuated else None
         row = StoreRow(key=f"evacuate/{domain}", value=value, version=version)
-        self.knowledge.take_config_rows(reading([row], version), False)
+        self.store_view.apply_config_rows(reading([row], version), False)
 
     def take_proof(self):
         """Give the knowledge a reading of now."""
-        self.knowledge.take_reading(reading((), 1, self.boot_ms))
+        self.store_view.record_reading(reading((), 1, self.boot_ms))
 
     def take_upstreams(self, *upstreams):
         """Give the knowledge a whole list."""
         rows = [StoreRow(key=u.upstream_id, value=u, version=1) for u in upstreams]
-        self.knowledge.take_upstream_rows(reading(rows, 1), True)
+        self.store_view.apply_upstream_rows(reading(rows, 1), True)
 
     def know_all(self, routes=None):
         """Read routes and upstreams once."""
--- a/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
@@ -3,7 +3,7 @@
 from hemlockhoist.decisions.entry import PoolChooser
 from hemlockhoist.entry.admission import Admission
 from hemlockhoist.entry.tests.builders import (
-    KnowingHost,
+    HostFixture,
     call,
     customer,
     route,
@@ -13,8 +13,8 @@
 
 class AdmissionTests(PausedTestCase):
     async def asyncSetUp(self):
-        self.host = KnowingHost()
-        self.admission = Admission(self.host.knowledge, PoolChooser())
+        self.host = HostFixture()
+        self.admission = Admission(self.host.store_view, PoolChooser())
 
     def refused(self, made, kind):
         with self.assertRaises(kind) as caught:
@@ -26,10 +26,10 @@
 
     async def test_times_of_an_admitted_request(self):
         self.host.know_all(table(routes=[route(timeout_ms=1_000, target_ms=300)]))
-        patient = self.admission.admit(call(patience_ms=5_000), 50)
+        patient = self.admission.admit(call(max_wait_ms=5_000), 50)
         self.assertEqual(patient.deadline_ms, 1_050)
         self.assertEqual(patient.target_by_ms, 350)
-        hasty = self.admission.admit(call(patience_ms=200), 50)
+        hasty = self.admission.admit(call(max_wait_ms=200), 50)
         self.assertEqual(hasty.deadline_ms, 250)
 
     async def test_customers_rank_goes_before_the_routes(self):
--- a/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
@@ -5,7 +5,7 @@
 from hemlockhoist.base.testing import PausedTestCase
 from hemlockhoist.decisions.entry import Freshness
 from hemlockhoist.entry.feeds import RELAYED_WAIT_MS, FeedStore
-from hemlockhoist.entry.tests.test_roster import MemoryStore
+from hemlockhoist.entry.tests.test_host_registry import MemoryStore
 from hemlockhoist.messages import FeedAnswer, FeedQuestion, Member
 from hemlockhoist.store import RowChange, TableWatch
 
@@ -57,7 +57,7 @@
     def _deliver(self, sender, address, message):
         feeds = self.feeds[address]
         if isinstance(message, FeedQuestion):
-            feeds.on_question(sender, message)
+            feeds.on_query(sender, message)
         elif isinstance(message, FeedAnswer):
             feeds.on_answer(message)
 
@@ -87,7 +87,7 @@
                 is_high_capacity=False,
                 wait_introduced=wait_nothing,
             ),
-            knowledge=types.SimpleNamespace(
+            store_view=types.SimpleNamespace(
                 proof_age_ms=self.proof_age_ms,
                 store_now_ms=lambda: self.freshness.store_ms(self.boot_clock.now_ms()),
             ),
@@ -101,7 +101,7 @@
         self.feeds = FeedStore(context, self.store, (TABLE,))
         network.feeds[member.address] = self.feeds
         self.watch = TableWatch(
-            self.feeds, TABLE, 2_400, self.take_rows, self.take_reading
+            self.feeds, TABLE, 2_400, self.take_rows, self.record_reading
         )
 
     def proof_age_ms(self):
@@ -110,7 +110,7 @@
     def take_rows(self, reading, is_whole):
         self.rows.update({row.key: row.value for row in reading.rows})
 
-    def take_reading(self, reading):
+    def record_reading(self, reading):
         if reading.clock_ms is None:
             self.freshness.record(reading.sent_ms, reading.store_ms)
         else:
--- a/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
@@ -3,15 +3,15 @@
 from hemlockhoist.base import ResultCode
 from hemlockhoist.decisions.limits import quotas, retry_limiter
 from hemlockhoist.decisions.work import WorkRequest
-from hemlockhoist.entry.gate import FleetGate
+from hemlockhoist.entry.gate import QuotaGate
 from hemlockhoist.entry.settings import FleetBounds
 from hemlockhoist.entry.tests.builders import customer
 
 BOUNDS = FleetBounds(
     retry_ratio=0.2,
     retry_base=2.0,
-    allowance_window_ms=1_000,
-    allowance_overshoot=0.0,
+    quota_window_ms=1_000,
+    quota_overshoot_ratio=0.0,
 )
 # Ten in the window's second and ten at once, of which a part is given out.
 WHOLE_WINDOW = int(quotas.USED_SHARE * 20)
@@ -30,14 +30,14 @@
 
 class GateTests(unittest.TestCase):
     def setUp(self):
-        self.gate = FleetGate(BOUNDS)
+        self.gate = QuotaGate(BOUNDS)
 
     def refuse_count(self, count, **fields):
         found = [self.gate.refusal("halls", request(**fields), 0) for _ in range(count)]
         return [item.code for item in found if item]
 
     def test_customer_is_held_to_its_allowance_and_told_when_to_come_back(self):
-        self.gate.allowances.declare([customer(units_per_s=10)])
+        self.gate.quotas.declare([customer(units_per_s=10)])
         found = [self.gate.refusal("halls", request(), 0) for _ in range(40)]
         refused = [item for item in found if item]
         self.assertEqual(len(refused), 40 - WHOLE_WINDOW)
@@ -46,7 +46,7 @@
         self.assertEqual(refused[0].reason, "aulas asks for 1 units of 0 left")
 
     def test_refused_request_gives_its_units_back(self):
-        self.gate.allowances.declare([customer(units_per_s=10)])
+        self.gate.quotas.declare([customer(units_per_s=10)])
         self.assertEqual(self.refuse_count(WHOLE_WINDOW), [])
         self.gate.on_not_run(request(), 0)
         self.assertIsNone(self.gate.refusal("halls", request(), 0))
@@ -71,6 +71,6 @@
         self.assertEqual(len(refused), 10 - allowed)
 
     def test_host_alone_gives_out_its_part_only(self):
-        self.gate.allowances.declare([customer(units_per_s=10)])
+        self.gate.quotas.declare([customer(units_per_s=10)])
         self.gate.set_share(0.5)
         self.assertEqual(len(self.refuse_count(40)), 40 - WHOLE_WINDOW // 2)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_roster.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_host_registry.py
@@ -3,7 +3,7 @@
 
 from hemlockhoist.base import Clock, PlatformError, StoreConflict
 from hemlockhoist.base.testing import PausedTestCase
-from hemlockhoist.entry.roster import Roster
+from hemlockhoist.entry.host_registry import HostRegistry
 from hemlockhoist.store import Reading, RowStore, StoreRow
 
 HOUR_S = 3_600
@@ -95,11 +95,11 @@
             fleet=FakeFleet(name),
             leaving=False,
         )
-        roster = Roster(context)
-        await roster.start()
-        self.addAsyncCleanup(roster.close)
+        host_registry = HostRegistry(context)
+        await host_registry.start()
+        self.addAsyncCleanup(host_registry.close)
         await asyncio.sleep(0.1)
-        return roster, context
+        return host_registry, context
 
     async def test_host_enters_itself_and_finds_others_and_seeds(self):
         await self.start("h1")
@@ -136,8 +136,8 @@
         self.assertGreater(version, 2)
 
     async def test_leaving_host_drops_its_entry_for_good(self):
-        roster, context = await self.start("h1")
+        host_registry, context = await self.start("h1")
         context.leaving = True
-        await roster.leave()
+        await host_registry.leave()
         await asyncio.sleep(10)
         self.assertEqual(self.store.names(), [])
--- a/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
@@ -14,7 +14,7 @@
     start_move,
 )
 from hemlockhoist.declarations import Pool, PoolKind
-from hemlockhoist.entry.moves import MOVED_PART, trial_bound
+from hemlockhoist.entry.moves import MOVED_FRACTION, trial_bound
 from hemlockhoist.entry.process import MOVE_RULES
 from hemlockhoist.entry.settings import FleetBounds
 
@@ -57,8 +57,8 @@
         Requests that the new version got, and all.
     """
 
-    def __init__(self, answers, seed):
-        self._answers = answers
+    def __init__(self, responses, seed):
+        self._answers = responses
         self._rng = random.Random(seed)
         self._events = []
         self._numbers = itertools.count()
@@ -74,7 +74,7 @@
             pool="engines",
             from_version="v1",
             to_version="v2",
-            moved_by_unix_ms=int(MOVED_PART * ORDER_MS),
+            moved_by_unix_ms=int(MOVED_FRACTION * ORDER_MS),
             reason="ordered",
             author="operator",
         )
--- a/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
@@ -4,7 +4,7 @@
 from hemlockhoist.base import PlatformError, Refused, SuspendAwareClock
 from hemlockhoist.decisions.entry import MoveOrder, OrderState
 from hemlockhoist.decisions.versions import Move, MoveState
-from hemlockhoist.entry.moves import OrderedMoves
+from hemlockhoist.entry.moves import OrderedMoveService
 from hemlockhoist.messages import VersionHalted
 
 
@@ -25,20 +25,20 @@
 class HaltTests(unittest.TestCase):
     def setUp(self):
         context = types.SimpleNamespace(clock=SuspendAwareClock(lambda: 0))
-        self.moves = OrderedMoves(context, rows=None, send=None)
+        self.moves = OrderedMoveService(context, rows=None, send=None)
 
     def test_old_halt_shared_after_the_next_order_does_not_stop_it(self):
         """A mended version, ordered again at once, is rolled back untried."""
-        self.moves.take_order(order(8))
-        self.moves.take_order(order(14))
+        self.moves.receive_order(order(8))
+        self.moves.receive_order(order(14))
         self.moves._share_halt("halls", "halls@8", "v2")
         self.moves.check_version("halls", "v2")
 
     def test_halt_of_an_order_not_heard_of_yet_stops_it(self):
         """A host goes on to send to a halted version until the next halt."""
-        self.moves.take_order(order(8))
+        self.moves.receive_order(order(8))
         self.moves._revoke(halt(14))
-        self.moves.take_order(order(14))
+        self.moves.receive_order(order(14))
         with self.assertRaises(Refused):
             self.moves.check_version("halls", "v2")
 
@@ -96,12 +96,12 @@
         )
         context = types.SimpleNamespace(
             clock=SuspendAwareClock(lambda: 0),
-            knowledge=types.SimpleNamespace(store_now_ms=lambda: 0),
+            store_view=types.SimpleNamespace(store_now_ms=lambda: 0),
             homes=types.SimpleNamespace(find=lambda pool: None),
             platform=platform,
         )
-        self.moves = OrderedMoves(context, self.rows, send=None)
-        self.moves.take_order(order(1))
+        self.moves = OrderedMoveService(context, self.rows, send=None)
+        self.moves.receive_order(order(1))
         self.heir = KnowingController(move(MoveState.RUNNING))
 
     async def test_heir_of_a_home_does_not_take_the_end_of_a_move_back(self):
--- a/libs/entry/src/hemlockhoist/entry/tests/test_answers.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_responses.py
@@ -1,7 +1,7 @@
 import unittest
 
 from hemlockhoist.base import RESULTS, HemlockhoistError, Ran
-from hemlockhoist.entry.answers import CODE_HEADER, own_answer
+from hemlockhoist.entry.responses import CODE_HEADER, error_response
 from hemlockhoist.entry.tests.builders import call
 
 
@@ -29,7 +29,7 @@
         """
         for code in CODES:
             row = RESULTS[code]
-            answer = own_answer(FakeWire(), call(), HemlockhoistError("", code))
+            answer = error_response(FakeWire(), call(), HemlockhoistError("", code))
             if answer.status in PROMISES:
                 self.assertIs(row.ran, Ran.NO, code)
             if row.ran is not Ran.NO:
@@ -38,7 +38,7 @@
     def test_every_refusal_that_may_be_repeated_says_when(self):
         for code in CODES:
             row = RESULTS[code]
-            answer = own_answer(FakeWire(), call(), HemlockhoistError("", code))
+            answer = error_response(FakeWire(), call(), HemlockhoistError("", code))
             if row.ran is Ran.NO and row.retryable:
                 self.assertGreater(int(answer.headers["Come-Back-Ms"]), 0, code)
             self.assertEqual(answer.headers[CODE_HEADER], str(int(code)))
@@ -46,5 +46,5 @@
 
     def test_request_that_can_not_be_read_gets_an_answer_too(self):
         for code in CODES:
-            answer = own_answer(FakeWire(), None, HemlockhoistError("", code))
+            answer = error_response(FakeWire(), None, HemlockhoistError("", code))
             self.assertGreaterEqual(answer.status, 400)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_stream.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_stream.py
@@ -2,7 +2,7 @@
 
 from hemlockhoist.base import Clock, DispatchError, ResultCode
 from hemlockhoist.base.testing import PausedTestCase
-from hemlockhoist.entry.stream import READ_GRACE_MS, StallWatch
+from hemlockhoist.entry.stream import READ_GRACE_MS, StallWatchdog
 
 
 class FakeAnswer:
@@ -17,7 +17,7 @@
 class StallWatchTests(PausedTestCase):
     async def asyncSetUp(self):
         self.answer = FakeAnswer()
-        self.watch = StallWatch(self.answer, 1_000, Clock.from_running_loop())
+        self.watch = StallWatchdog(self.answer, 1_000, Clock.from_running_loop())
         self.watch.start()
         self.addCleanup(self.watch.close)
 
@@ -28,7 +28,7 @@
         await asyncio.sleep(0.2)
         self.assertTrue(self.answer.closed)
         broken = DispatchError("closed", ResultCode.UPSTREAM_BROKE_OFF)
-        error = self.watch.explain(broken)
+        error = self.watch.classify_error(broken)
         self.assertIs(error.code, ResultCode.UPSTREAM_TIMEOUT)
 
     async def test_progress_moves_the_limit(self):
@@ -50,11 +50,11 @@
 
     async def test_break_before_the_limit_is_told_as_a_break(self):
         broken = DispatchError("reset", ResultCode.UPSTREAM_BROKE_OFF)
-        self.assertIs(self.watch.explain(broken), broken)
+        self.assertIs(self.watch.classify_error(broken), broken)
 
     async def test_no_limit_watches_nothing(self):
         answer = FakeAnswer()
-        watch = StallWatch(answer, None, Clock.from_running_loop())
+        watch = StallWatchdog(answer, None, Clock.from_running_loop())
         watch.start()
         await asyncio.sleep(3_600)
         self.assertFalse(answer.closed)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_spending.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_usage_recorder.py
@@ -4,14 +4,14 @@
 from hemlockhoist.base import Clock
 from hemlockhoist.base.testing import PausedTestCase
 from hemlockhoist.decisions.work import WorkRequest
-from hemlockhoist.entry.gate import FleetGate
+from hemlockhoist.entry.gate import QuotaGate
 from hemlockhoist.entry.settings import FleetBounds
-from hemlockhoist.entry.spending import SpendingRecord
 from hemlockhoist.entry.tests.builders import customer
 from hemlockhoist.entry.tests.test_feeds import ClockedStore, wait_nothing
+from hemlockhoist.entry.usage_recorder import UsageRecorder
 from hemlockhoist.messages import HeldGrants
 
-BOUNDS = FleetBounds(allowance_window_ms=8_000, allowance_overshoot=0.0)
+BOUNDS = FleetBounds(quota_window_ms=8_000, quota_overshoot_ratio=0.0)
 BOUND = 9_000
 HOSTS = ("h1", "h2", "h3")
 
@@ -26,10 +26,10 @@
 
     def __init__(self, store):
         self.clock = Clock.from_running_loop()
-        self.gate = FleetGate(BOUNDS)
-        self.gate.allowances.declare([customer(units_per_s=1_000)])
+        self.gate = QuotaGate(BOUNDS)
+        self.gate.quotas.declare([customer(units_per_s=1_000)])
         self.taken = []
-        platform = types.SimpleNamespace(store=store, spending_table="spent")
+        platform = types.SimpleNamespace(store=store, usage_table="spent")
         context = types.SimpleNamespace(
             clock=self.clock,
             gate=self.gate,
@@ -39,9 +39,9 @@
                 is_high_capacity=True, wait_introduced=wait_nothing
             ),
             identity=types.SimpleNamespace(host_id="h1"),
-            knowledge=types.SimpleNamespace(store_now_ms=self.clock.now_ms),
+            store_view=types.SimpleNamespace(store_now_ms=self.clock.now_ms),
         )
-        self.record = SpendingRecord(context)
+        self.record = UsageRecorder(context)
 
     def send(self, units):
         """Let the customer send a request of some units."""
--- a/libs/entry/src/hemlockhoist/entry/spending.py
+++ b/libs/entry/src/hemlockhoist/entry/usage_recorder.py
@@ -28,7 +28,7 @@
 IDLE_MS = 500
 
 
-class SpendingRow(msgspec.Struct, frozen=True):
+class UsageRow(msgspec.Struct, frozen=True):
     """The row of one home; its key is the home's address for peers.
 
     Parameters
@@ -43,7 +43,7 @@
     spent: tuple[tuple[str, tuple[tuple[int, int], ...]], ...]
 
 
-class SpendingRecord:
+class UsageRecorder:
     """Writes down which customers are near their bounds, and reads it after a loss.
 
     Failure: all hosts are killed or lose their power while a customer is at its bound.
@@ -135,7 +135,7 @@
         """Read the record once after each takeover that knows too little."""
         gate = self._context.gate
         takeover = gate.takeover
-        if takeover is self._read_for or not gate.lacks_past:
+        if takeover is self._read_for or not gate.has_unknown_usage:
             return
         reading = await self._read()
         self._read_for = takeover
@@ -143,7 +143,7 @@
 
     async def _read(self):
         platform = self._context.platform
-        return await platform.store.read_table(platform.spending_table)
+        return await platform.store.read_table(platform.usage_table)
 
     def _count(self, reading, read_ago_ms):
         gate = self._context.gate
@@ -153,9 +153,7 @@
             if record is None:
                 continue
             passed_ms = max(0, reading.store_ms - record.store_ms) + read_ago_ms
-            gate.allowances.add_recorded(
-                row.key, record.spent, now_ms - passed_ms, now_ms
-            )
+            gate.quotas.add_recorded(row.key, record.spent, now_ms - passed_ms, now_ms)
             _log.info(
                 "spending_read",
                 home=row.key,
@@ -165,16 +163,16 @@
 
     async def _write(self):
         now_ms = self._context.clock.now_ms()
-        allowances = self._context.gate.allowances
-        spent = allowances.usage_to_record(now_ms)
-        counted = {name: allowances.counted(name) for name, _ in spent}
+        quotas = self._context.gate.quotas
+        spent = quotas.usage_to_record(now_ms)
+        counted = {name: quotas.counted(name) for name, _ in spent}
         if not self._is_due(counted):
             return
         platform = self._context.platform
-        record = SpendingRow(self._context.knowledge.store_now_ms(), spent)
+        record = UsageRow(self._context.store_view.store_now_ms(), spent)
         value = msgspec.json.encode(record) if spent else None
         change = RowChange(
-            table=platform.spending_table,
+            table=platform.usage_table,
             key=self._context.identity.host_id,
             value=value,
         )
@@ -201,7 +199,7 @@
     if row.value is None:
         return None
     try:
-        return msgspec.json.decode(row.value, type=SpendingRow)
+        return msgspec.json.decode(row.value, type=UsageRow)
     except msgspec.MsgspecError as error:
         _log.warning("spending_unreadable", row=row.key, reason=str(error))
         return None
--- a/libs/entry/src/hemlockhoist/entry/wire.py
+++ b/libs/entry/src/hemlockhoist/entry/wire.py
@@ -24,7 +24,7 @@
         What is passed on to the upstream.
     key : str
         The caller's key; empty for none.
-    patience_ms : int or None
+    max_wait_ms : int or None
         How long the caller will wait; None where it does not say.
     prompt_tokens, max_output_tokens : int
         0 where the request states none.
@@ -34,7 +34,7 @@
         The caller's estimate; 0 for none.
     last_event_id : int or None
         Where the caller goes on reading a stream.
-    prompt_parts : tuple of (str, int)
+    prefix_blocks : tuple of (str, int)
         The parts of its prompt in order, as it names them, and their tokens.
     """
 
@@ -44,13 +44,13 @@
     host: str
     headers: tuple[tuple[str, str], ...] = ()
     key: str = ""
-    patience_ms: int | None = None
+    max_wait_ms: int | None = None
     prompt_tokens: int = 0
     max_output_tokens: int = 0
     states_tokens: bool = False
     expected_output_tokens: int = 0
     last_event_id: int | None = None
-    prompt_parts: tuple[tuple[str, int], ...] = ()
+    prefix_blocks: tuple[tuple[str, int], ...] = ()
 
     @property
     def path(self):
@@ -58,7 +58,7 @@
         return self.target.partition("?")[0]
 
 
-class DirectoryQuestion(msgspec.Struct, frozen=True, kw_only=True):
+class DirectoryQuery(msgspec.Struct, frozen=True, kw_only=True):
     """A caller's question which hosts to use.
 
     Parameters
@@ -73,7 +73,7 @@
     region: str = ""
 
 
-class UpstreamOrder(msgspec.Struct, frozen=True, kw_only=True):
+class UpstreamDirectives(msgspec.Struct, frozen=True, kw_only=True):
     """What the system itself tells the upstream with a request.
 
     Parameters
@@ -82,7 +82,7 @@
         The only run that may take the request.
     customer : str
         Empty for none.
-    left_ms : int
+    remaining_ms : int
         How long the answer is still wanted.
     last_event_id : int or None
         The last event that the caller has.
@@ -90,7 +90,7 @@
 
     upstream_id: str
     customer: str
-    left_ms: int
+    remaining_ms: int
     last_event_id: int | None = None
 
 
@@ -140,13 +140,13 @@
         """
 
     @abc.abstractmethod
-    def upstream_headers(self, call, order):
+    def upstream_headers(self, call, directives):
         """Return the headers of the request to the upstream.
 
         Parameters
         ==========
         call : CallerCall
-        order : UpstreamOrder
+        directives : UpstreamOrder
         """
 
     @abc.abstractmethod
--- a/libs/host/src/hemlockhoist/host/inbound.py
+++ b/libs/host/src/hemlockhoist/host/inbound.py
@@ -142,7 +142,7 @@
 
 @_handle.register
 def _(message: FeedQuestion, context, sender, late_ms):
-    context.feeds.on_question(sender, message)
+    context.feeds.on_query(sender, message)
 
 
 @_handle.register
@@ -152,18 +152,18 @@
 
 @_handle.register
 def _(message: LeftUpstream, context, sender, late_ms):
-    context.knowledge.on_upstream_left(message.upstream_id, message.version)
+    context.store_view.on_upstream_left(message.upstream_id, message.version)
 
 
 @_handle.register
 def _(message: EvacuatedDomain, context, sender, late_ms):
-    context.knowledge.on_domain_evacuated(message.failure_domain, message.version)
+    context.store_view.on_domain_evacuated(message.failure_domain, message.version)
 
 
 @_handle.register
 def _(message: ColdUpstream, context, sender, late_ms):
     cold_ms = max(0, message.cold_ms - late_ms)
-    context.knowledge.on_upstream_cold(message.upstream_id, message.version, cold_ms)
+    context.store_view.on_upstream_cold(message.upstream_id, message.version, cold_ms)
 
 
 @_handle.register
--- a/libs/standins/src/hemlockhoist/standins/published/site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/site.py
@@ -189,10 +189,10 @@
                 await asyncio.sleep(0.01)
 
     def _is_ready(self, host):
-        knowledge = host.context.knowledge
+        store_view = host.context.store_view
         live = len(host.context.fleet.live_hosts())
         return (
-            knowledge.is_complete and knowledge.is_fresh() and live >= len(self.hosts)
+            store_view.is_complete and store_view.is_fresh() and live >= len(self.hosts)
         )
 
     def url(self, path, host=0):
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_domains.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_domains.py
@@ -71,12 +71,12 @@
         home_id = contexts[0].homes.home_of("reservas")
         home = next(c for c in contexts if c.identity.host_id == home_id)
         other = next(c for c in contexts if c is not home)
-        other.knowledge.on_domain_evacuated("a", 10_000)
+        other.store_view.on_domain_evacuated("a", 10_000)
         before = self.ran()
         statuses = await look_up(self.site, 8, contexts.index(other))
         self.assertEqual(set(statuses), {200})
         self.assertEqual(self.ran(), before)
-        self.assertEqual(home.knowledge.evacuated.names(), ("a",))
+        self.assertEqual(home.store_view.evacuated.names(), ("a",))
 
     async def test_callers_are_told_when_all_zones_are_evacuated(self):
         await self.site.evacuate("a")
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
@@ -190,7 +190,7 @@
             hosts, key=lambda context: context.identity.host_id != home
         )
         self.number = hosts.index(self.other)
-        listed = self.other.knowledge.listing.get("gone", 0)
+        listed = self.other.store_view.listing.get("gone", 0)
         self.row = StoreRow(key="gone", value=None, version=listed.listed_version + 50)
 
     async def test_caller_is_served_and_the_home_believes_the_newer_list(self):
@@ -198,13 +198,13 @@
         reading = Reading(
             rows=(self.row,), version=self.row.version, store_ms=0, sent_ms=0
         )
-        self.other.knowledge.take_upstream_rows(reading, False)
+        self.other.store_view.apply_upstream_rows(reading, False)
         for number in range(6):
             call = self.site.call(f"/check-free/{number}", host=self.number)
             async with call as answer:
                 self.assertEqual(answer.status, 200)
         self.assertEqual(len(self.replicas["reservas"][0].ran), 0)
-        self.assertIsNone(self.home.knowledge.listing.get("gone", 0))
+        self.assertIsNone(self.home.store_view.listing.get("gone", 0))
 
     async def test_home_that_knows_better_goes_on_granting(self):
         """A host that is behind the list takes a new upstream for one that left."""
@@ -213,11 +213,11 @@
             while not self._is_relisted():
                 await asyncio.sleep(0.01)
         version = self.row.version - 50
-        self.home.knowledge.on_upstream_left("gone", version)
-        self.assertIsNotNone(self.home.knowledge.listing.get("gone", 0))
+        self.home.store_view.on_upstream_left("gone", version)
+        self.assertIsNotNone(self.home.store_view.listing.get("gone", 0))
 
     def _is_relisted(self):
-        listed = self.home.knowledge.listing.get("gone", 0)
+        listed = self.home.store_view.listing.get("gone", 0)
         return listed is not None and listed.listed_version > self.row.version - 50
 
 
@@ -368,7 +368,7 @@
                 async with site.call("/conflict-report/1", method="POST") as answer:
                     await answer.read()
                 site.hosts[0].begin_drain()
-                while not site.hosts[0].context.refuses:
+                while not site.hosts[0].context.refuses_requests:
                     await asyncio.sleep(0.02)
                 async with site.call("/conflict-report/2", method="POST") as late:
                     self.assertEqual(late.status, 503)
@@ -416,7 +416,7 @@
         )
         with (
             unittest.mock.patch.object(process, "LISTEN_AFTER_STOP_MS", 50),
-            unittest.mock.patch.object(process, "QUEUE_PART_OF_STOP", 0.01),
+            unittest.mock.patch.object(process, "QUEUE_DRAIN_FRACTION", 0.01),
             unittest.mock.patch.object(stream, "MIN_FIRST_STALL_MS", 300),
             unittest.mock.patch.object(stream, "MIN_STALL_MS", 300),
             unittest.mock.patch.object(stream, "GAP_FACTOR", 0),
@@ -446,7 +446,7 @@
                     await answer.content.readuntil(b"\n\n")
                     site.hosts[0].begin_drain()
                     await site.hosts[0].finished.wait()
-                    async with asyncio.timeout(process.STOP_REST_MS / 1_000 / 2):
+                    async with asyncio.timeout(process.STOP_RESERVE_MS / 1_000 / 2):
                         await site.hosts[0].close()
                     with self.assertRaises(aiohttp.ClientPayloadError):
                         await answer.read()
