--- a/libs/decisions/src/hemlockhoist/decisions/limits/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Bounds over all hosts: customers' allowances and retries."""
+"""Fleet-wide limits: quotas of customers, and retries."""
 
 from hemlockhoist.decisions.limits.coverage import UnknownUsage, UsageCoverage
 from hemlockhoist.decisions.limits.partitions import partition_share
--- a/libs/decisions/src/hemlockhoist/decisions/limits/partitions.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/partitions.py
@@ -1,41 +1,42 @@
-"""Which part of the fleet's bounds a host gives out while others may be cut off."""
+"""Share of the fleet's bounds that a host grants during a network partition."""
 
-# What one host that decides alone gives out, of its part of the fleet. A host that is
-# cut off serves a part of the callers, and only until its proof of the routes is too
-# old; the home beside it notices only after a while that it is not heard any more.
-ALONE_PART = 0.5
+# Fraction of its part of the fleet's bounds that an isolated host grants. An isolated
+# host serves only some of the callers, and only until its proof of the routes is too
+# old; the home notices only after a while that the host is no longer reachable.
+ISOLATED_FRACTION = 0.5
 
 
-def partition_share(heard, known, is_home):
-    """Return the part of all bounds that a host gives out.
+def partition_share(reachable, known, is_home):
+    """Return the share of all bounds that a host grants.
 
-    Failure: hosts are cut off from one another, and each side gives a customer its
-    whole allowance. The side with more than half of the hosts gives out what is left
-    beside all others, each taken to decide alone; any other host gives out its own
-    part. So the sum over all sides is never more than the whole.
+    Without it, each partition of a cut network grants a customer its whole quota. The
+    partition with more than half of the hosts grants what remains after the shares of
+    all others, each assumed to be isolated; a home of a smaller partition grants the
+    shares of the hosts it reaches, any other host its own. So the sum over all
+    partitions never exceeds the whole.
 
     Parameters
     ==========
-    heard : int
-        Hosts that this one is in touch with, itself included.
+    reachable : int
+        Number of hosts that this one can reach, including itself.
     known : int
-        Hosts of the fleet, lost ones included that may be cut off.
+        Number of hosts in the fleet, including lost ones that may be cut off.
     is_home : bool
-        Whether this host decides for all that it is in touch with.
+        Whether this host decides for all hosts that it can reach.
 
     Examples
     ========
     >>> from hemlockhoist.decisions.limits import partition_share
-    >>> partition_share(heard=8, known=8, is_home=True)
+    >>> partition_share(reachable=8, known=8, is_home=True)
     1.0
-    >>> partition_share(heard=6, known=8, is_home=True)
+    >>> partition_share(reachable=6, known=8, is_home=True)
     0.875
-    >>> partition_share(heard=1, known=8, is_home=True)
+    >>> partition_share(reachable=1, known=8, is_home=True)
     0.0625
     """
-    alone = ALONE_PART / max(1, known)
+    isolated_share = ISOLATED_FRACTION / max(1, known)
     if not is_home:
-        return alone
-    if 2 * heard > known:
-        return 1.0 - (known - heard) * alone
-    return heard * alone
+        return isolated_share
+    if 2 * reachable > known:
+        return 1.0 - (known - reachable) * isolated_share
+    return reachable * isolated_share
--- a/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
@@ -1,34 +1,34 @@
-"""Customers' allowances, counted over a sliding window."""
+"""Customers' quotas, counted over a sliding window."""
 
 from hemlockhoist.decisions.limits.coverage import UnknownUsage
 from hemlockhoist.decisions.limits.usage import (
-    Account,
     CustomerUsage,
+    UsageReport,
     UsageWindow,
 )
 
 FULL_SHARE = 1.0
-# Of the declared bound, what is given out. The rest is for what other hosts count and
-# this one does not know: requests whose host has died, and the part of a window that a
-# home had counted and its successor was not told.
-USED_SHARE = 0.88
-# Of the declared bound: a customer that has spent more is put on record in the store,
-# and one without a record is taken to have spent this much in a window of which nothing
-# is known. A usual customer spends 0.3 to 0.4 of its bound, and has the rest of
-# ``USED_SHARE`` left for the window after a restart.
-RECORDED_SHARE = 0.3
+# Fraction of the declared bound that is granted. The rest covers usage that only other
+# hosts have counted: requests of hosts that have died, and usage counted by a home that
+# was not reported to its successor.
+USED_FRACTION = 0.88
+# Fraction of the declared bound. The usage of a customer above it is recorded in the
+# store; a customer without a record is assumed to have used this much in a window of
+# unknown usage. A typical customer uses 0.3 to 0.4 of its bound, so that the rest of
+# ``USED_FRACTION`` suffices for the window after a restart.
+RECORDED_FRACTION = 0.3
 
 
 class QuotaBounds:
-    """The window in which customers are held to their allowances, and its tolerance.
+    """The window over which quotas are enforced, and the tolerance.
 
     Parameters
     ==========
     window_ms : int
     overshoot : float
-        By which part of its allowance a customer may be over it.
+        Fraction of its quota by which a customer may exceed it.
     tolerance : float
-        By how many units it may be over it besides.
+        Units by which it may exceed it in addition.
     """
 
     __slots__ = ("overshoot", "tolerance", "window_ms")
@@ -39,136 +39,136 @@
         self.tolerance = tolerance
 
     def units(self, allowance):
-        """Return the most that a customer may have run in one window."""
+        """Return the maximum units that a customer may run in one window."""
         declared = allowance.units_per_s * self.window_ms / 1_000
         declared += allowance.burst_units
         return declared * (1.0 + self.overshoot) + self.tolerance
 
 
 class QuotaTracker:
-    """What each customer has spent, and may still send.
+    """Tracks the usage of each customer and enforces its quota.
 
-    Load: one customer sends several times its usual, and others theirs. Harm without
-    it: the engines fill with that customer's requests, and all others' are late. Rate,
-    burst and tolerance are the operator's. A customer is refused only what goes beyond
-    all of them: a stricter count would refuse what the operator grants.
+    Without quotas, one customer that sends several times its usual load fills the
+    engines, and the requests of all others are late. Rate, burst and tolerance are set
+    by the operator. A customer is refused only units beyond all of them: a stricter
+    count would refuse what the operator grants.
 
     Parameters
     ==========
-    bounds : AllowanceBounds
+    bounds : QuotaBounds
 
     Examples
     ========
     >>> from hemlockhoist.declarations import Allowance, KeyedCustomer
     >>> from hemlockhoist.decisions.limits import QuotaTracker, QuotaBounds
-    >>> book = QuotaTracker(QuotaBounds(window_ms=8_000))
+    >>> tracker = QuotaTracker(QuotaBounds(window_ms=8_000))
     >>> allowance = Allowance(units_per_s=10, burst_units=20)
-    >>> book.declare([KeyedCustomer(name="port", allowance=allowance)])
-    >>> book.acquire("port", 90, now_ms=0), book.acquire("port", 5, now_ms=0)
+    >>> tracker.declare([KeyedCustomer(name="port", allowance=allowance)])
+    >>> tracker.acquire("port", 90, now_ms=0), tracker.acquire("port", 5, now_ms=0)
     (0, 8500)
-    >>> book.acquire("port", 5, now_ms=9_000)
+    >>> tracker.acquire("port", 5, now_ms=9_000)
     0
     """
 
-    __slots__ = ("_bounds", "_past", "_share", "_spending")
+    __slots__ = ("_bounds", "_share", "_unknown_usage", "_usage")
 
     def __init__(self, bounds):
         self._bounds = bounds
-        self._past = UnknownUsage()
-        self._spending = {}
+        self._unknown_usage = UnknownUsage()
+        self._usage = {}
         self._share = FULL_SHARE
 
     def declare(self, customers):
-        """Take the declared customers; what they have spent is kept.
+        """Set the declared customers; the usage of those that stay is kept.
 
         Parameters
         ==========
         customers : iterable of KeyedCustomer
         """
-        former = self._spending
-        self._spending = {}
+        previous = self._usage
+        self._usage = {}
         for customer in customers:
             if customer.allowance is None:
                 continue
-            spending = former.get(customer.name)
-            if spending is None:
-                spending = CustomerUsage(self._bounds.window_ms)
-            spending.allowance = customer.allowance
-            self._spending[customer.name] = spending
+            usage = previous.get(customer.name)
+            if usage is None:
+                usage = CustomerUsage(self._bounds.window_ms)
+            usage.allowance = customer.allowance
+            self._usage[customer.name] = usage
 
     def set_share(self, share):
-        """Take the part of all allowances that is given out here.
+        """Set the share of all quotas that this host grants.
 
         Parameters
         ==========
         share : float
-            Less than 1 while other hosts give out the rest.
+            Less than 1 while other hosts grant the rest.
         """
         self._share = share
 
-    def set_unknown_usage(self, past):
-        """Take how much of what was spent lately is not known.
+    def set_unknown_usage(self, unknown):
+        """Set how much of the recent usage is unknown.
 
         Parameters
         ==========
-        past : UnknownPast
+        unknown : UnknownUsage
         """
-        self._past = past
+        self._unknown_usage = unknown
 
     def acquire(self, customer, units, now_ms):
-        """Take units of a customer's allowance.
+        """Acquire units of a customer's quota.
 
         Returns
         =======
         int
-            0 when they were taken, else after how many milliseconds to come back.
+            0 if they were acquired, else the time to wait before a retry, in
+            milliseconds.
         """
-        spending = self._spending.get(customer)
-        if spending is None:
+        usage = self._usage.get(customer)
+        if usage is None:
             return 0
-        spending.forget(now_ms)
-        over = spending.total + units - self._bound(spending, now_ms)
-        # A request that is larger than the whole bound runs when nothing else does; it
-        # could never run otherwise.
-        if over > 0 and spending.total > 0:
-            return spending.wait_ms(over, now_ms)
-        spending.add(units, now_ms)
+        usage.expire(now_ms)
+        over = usage.total + units - self._bound(usage, now_ms)
+        # A request larger than the whole bound is admitted while the window is empty:
+        # it could never run otherwise.
+        if over > 0 and usage.total > 0:
+            return usage.wait_ms(over, now_ms)
+        usage.add(units, now_ms)
         return 0
 
     def refund(self, customer, units, now_ms):
-        """Put back what was taken for a request that did not run."""
-        spending = self._spending.get(customer)
-        if spending is not None:
-            spending.forget(now_ms)
-            spending.subtract(units)
+        """Return the units of a request that did not run."""
+        usage = self._usage.get(customer)
+        if usage is not None:
+            usage.expire(now_ms)
+            usage.subtract(units)
 
     def retime(self, customer, units, from_ms, now_ms):
-        """Count units that were taken earlier from now on."""
-        spending = self._spending.get(customer)
-        if spending is not None:
-            spending.forget(now_ms)
-            spending.retime(units, from_ms, now_ms)
+        """Count units acquired earlier as used now."""
+        usage = self._usage.get(customer)
+        if usage is not None:
+            usage.expire(now_ms)
+            usage.retime(units, from_ms, now_ms)
 
-    def add_reported(self, source, spent, now_ms):
-        """Count what an entry host says was spent under homes before this one.
+    def add_reported(self, source, usage_by_customer, now_ms):
+        """Count the usage that an entry host reports under previous homes.
 
         Parameters
         ==========
         source : tuple
-            The host's run and the pool; a later account takes the place of an earlier
-            one.
-        spent : iterable of (str, sequence of (int, int))
-            Customers, each with the age in milliseconds and the units of what it spent.
+            The host's incarnation and the pool; a later report replaces an earlier one.
+        usage_by_customer : iterable of (str, sequence of (int, int))
+            Customers, each with the age in milliseconds and the units of its usage.
         now_ms : int
         """
-        for customer, parts in spent:
-            spending = self._spending.get(customer)
-            if spending is not None:
-                account = _account(parts, now_ms)
-                spending.record_report(source, account, self._most(spending), now_ms)
+        for customer, buckets in usage_by_customer:
+            usage = self._usage.get(customer)
+            if usage is not None:
+                report = _usage_report(buckets, now_ms)
+                usage.record_report(source, report, self._max_units(usage), now_ms)
 
     def usage_to_record(self, now_ms):
-        """Return the customers that the next home has to know of, after a loss of all.
+        """Return the usage that must be stored to survive a loss of all hosts.
 
         Returns
         =======
@@ -176,111 +176,114 @@
             Of ``(customer, ((age_ms, units), …))``, as ``add_reported`` takes it.
         """
         found = []
-        for customer, spending in self._spending.items():
-            spending.forget(now_ms)
-            limit = RECORDED_SHARE * self._bounds.units(spending.allowance)
-            if spending.total > limit:
-                found.append((customer, spending.by_age(now_ms)))
+        for customer, usage in self._usage.items():
+            usage.expire(now_ms)
+            limit = RECORDED_FRACTION * self._bounds.units(usage.allowance)
+            if usage.total > limit:
+                found.append((customer, usage.by_age(now_ms)))
         return tuple(found)
 
-    def add_recorded(self, home, spent, written_ms, now_ms):
-        """Count what was on record beyond what hosts have told.
+    def add_recorded(self, home, usage_by_customer, written_ms, now_ms):
+        """Count recorded usage that no host has reported.
 
-        Failure: what this home gave out before it read the record was taken for told,
-        and as much less was counted. After a loss of all hosts the first wave of
-        callers is large, and a customer got that much over its bound.
+        Units that this home granted before it read the record must not be treated as
+        reported, which would reduce the count by as much. After a loss of all hosts the
+        first wave of callers is large, and a customer exceeded its bound by that much.
 
         Parameters
         ==========
         home : str
-            That wrote the record.
-        spent : iterable of (str, sequence of (int, int))
-            As ``usage_to_record`` gave it.
+            The home that wrote the record.
+        usage_by_customer : iterable of (str, sequence of (int, int))
+            As returned by ``usage_to_record``.
         written_ms : int
-            When, on this host's clock.
+            When the record was written, on this host's clock.
         now_ms : int
         """
-        for customer, parts in spent:
-            spending = self._spending.get(customer)
-            if spending is not None:
-                account = _account(parts, written_ms)
-                spending.add_home_record(home, account, self._most(spending), now_ms)
+        for customer, buckets in usage_by_customer:
+            usage = self._usage.get(customer)
+            if usage is not None:
+                report = _usage_report(buckets, written_ms)
+                usage.add_home_record(home, report, self._max_units(usage), now_ms)
 
     def counted(self, customer):
-        """Return all that was ever counted of a customer, as a part of its bound."""
-        spending = self._spending.get(customer)
-        if spending is None:
+        """Return all units ever counted for a customer, as a ratio to its bound."""
+        usage = self._usage.get(customer)
+        if usage is None:
             return 0.0
-        return spending.counted / max(1.0, self._bounds.units(spending.allowance))
+        return usage.counted / max(1.0, self._bounds.units(usage.allowance))
 
     def units_left(self, customer, now_ms):
-        """Return the units that a customer may still send, or None without a limit."""
-        spending = self._spending.get(customer)
-        if spending is None:
+        """Return the units that a customer has left, or None without a limit."""
+        usage = self._usage.get(customer)
+        if usage is None:
             return None
-        spending.forget(now_ms)
-        return int(self._bound(spending, now_ms) - spending.total)
+        usage.expire(now_ms)
+        return int(self._bound(usage, now_ms) - usage.total)
 
-    def _most(self, spending):
-        """Return the most that all homes together may have given out in a window."""
-        return int(USED_SHARE * self._bounds.units(spending.allowance))
+    def _max_units(self, usage):
+        """Return the maximum that all homes together may grant in a window."""
+        return int(USED_FRACTION * self._bounds.units(usage.allowance))
 
-    def _unknown(self, spending, now_ms):
-        recorded_ms = spending.recorded_ms
-        if recorded_ms is not None and recorded_ms >= self._past.since_ms:
+    def _unknown_fraction(self, usage, now_ms):
+        recorded_ms = usage.recorded_ms
+        if recorded_ms is not None and recorded_ms >= self._unknown_usage.since_ms:
             return 0.0
-        return self._past.fraction_at(self._bounds.window_ms, now_ms)
+        return self._unknown_usage.fraction_at(self._bounds.window_ms, now_ms)
 
-    def _bound(self, spending, now_ms):
-        part = USED_SHARE - RECORDED_SHARE * self._unknown(spending, now_ms)
-        return part * self._share * self._bounds.units(spending.allowance)
+    def _bound(self, usage, now_ms):
+        fraction = USED_FRACTION - RECORDED_FRACTION * self._unknown_fraction(
+            usage, now_ms
+        )
+        return fraction * self._share * self._bounds.units(usage.allowance)
 
 
 class UsageLog:
-    """What an entry host's requests have spent lately, for a home that takes over.
+    """Logs the recent usage of an entry host's requests, for a home that takes over.
 
-    Failure: the home dies while a customer is at its bound. The next one knows nothing
-    of what was spent, and gives the whole window's allowance once more.
+    Without it, a home that succeeds one that died while a customer was at its bound
+    starts with no usage counted, and grants the quota of the whole window again.
 
     Parameters
     ==========
     window_ms : int
     """
 
-    __slots__ = ("_spent", "_window_ms")
+    __slots__ = ("_window_ms", "_windows")
 
     def __init__(self, window_ms):
         self._window_ms = window_ms
-        self._spent = {}
+        self._windows = {}
 
-    def add(self, pool, home_run, customer, units, now_ms):
-        """Note that a run of a home gave a request a place."""
+    def add(self, pool, home_incarnation, customer, units, now_ms):
+        """Record that an incarnation of a home granted a request."""
         if not units:
             return
-        key = (pool, home_run, customer)
-        spending = self._spent.get(key)
-        if spending is None:
-            spending = self._spent[key] = UsageWindow(self._window_ms)
-        spending.forget(now_ms)
-        spending.add(units, now_ms)
+        key = (pool, home_incarnation, customer)
+        usage = self._windows.get(key)
+        if usage is None:
+            usage = self._windows[key] = UsageWindow(self._window_ms)
+        usage.expire(now_ms)
+        usage.add(units, now_ms)
 
-    def report(self, pool, asking_run, now_ms):
-        """Return ``(customer, ((age_ms, units), …))`` of the present window.
+    def report(self, pool, requesting_incarnation, now_ms):
+        """Return ``(customer, ((age_ms, units), …))`` of the current window.
 
-        Without what the run of the home that asks has counted itself.
+        Usage that the requesting incarnation has counted itself is left out.
         """
         found = []
-        for key, spending in list(self._spent.items()):
-            spending.forget(now_ms)
-            parts = spending.by_age(now_ms)
-            if not parts:
-                del self._spent[key]
-            elif key[0] == pool and key[1] != asking_run:
-                found.append((key[2], parts))
+        for key, usage in list(self._windows.items()):
+            usage.expire(now_ms)
+            buckets = usage.by_age(now_ms)
+            if not buckets:
+                del self._windows[key]
+            elif key[0] == pool and key[1] != requesting_incarnation:
+                found.append((key[2], buckets))
         return tuple(found)
 
 
-def _account(parts, told_ms):
-    return Account(
-        at_ms=told_ms, parts=tuple((told_ms - age, units) for age, units in parts)
+def _usage_report(buckets, reported_ms):
+    return UsageReport(
+        at_ms=reported_ms,
+        buckets=tuple((reported_ms - age, units) for age, units in buckets),
     )
--- a/libs/decisions/src/hemlockhoist/decisions/limits/usage.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/usage.py
@@ -1,15 +1,15 @@
-"""What one customer has spent in the present window, and who counted it."""
+"""Usage of one customer in the sliding window, by who counted it."""
 
 import collections
 
 import msgspec
 
-# The window is kept in this many parts; a part leaves it as a whole.
-PARTS = 16
+# The window is divided into this many buckets; each expires as a whole.
+BUCKET_COUNT = 16
 
 
 class UsageWindow:
-    """Units in the parts of a sliding window.
+    """Counts units in the buckets of a sliding window.
 
     Parameters
     ==========
@@ -21,126 +21,126 @@
     >>> window = UsageWindow(window_ms=8_000)
     >>> window.add(40, now_ms=0)
     >>> window.add(2, now_ms=4_000)
-    >>> window.forget(now_ms=9_000)
+    >>> window.expire(now_ms=9_000)
     >>> window.total
     2
     """
 
-    __slots__ = ("_part_ms", "_parts", "total")
+    __slots__ = ("_bucket_ms", "_buckets", "total")
 
     def __init__(self, window_ms):
         self.total = 0
-        self._part_ms = max(1, window_ms // PARTS)
-        self._parts = collections.deque()
+        self._bucket_ms = max(1, window_ms // BUCKET_COUNT)
+        self._buckets = collections.deque()
 
     def add(self, units, now_ms):
-        """Count units."""
-        number = now_ms // self._part_ms
+        """Count units as used at a moment."""
+        number = now_ms // self._bucket_ms
         self.total += units
-        for part in reversed(self._parts):
-            if part[0] == number:
-                part[1] += units
+        for bucket in reversed(self._buckets):
+            if bucket[0] == number:
+                bucket[1] += units
                 return
-            if part[0] < number:
+            if bucket[0] < number:
                 break
-        self._parts.append([number, units])
-        if len(self._parts) > 1 and self._parts[-2][0] > number:
-            self._parts = collections.deque(sorted(self._parts))
+        self._buckets.append([number, units])
+        if len(self._buckets) > 1 and self._buckets[-2][0] > number:
+            self._buckets = collections.deque(sorted(self._buckets))
 
     def subtract(self, units):
-        """Stop counting units, of what was counted last.
+        """Subtract units, beginning with the newest bucket.
 
-        Failure: units that were taken back later than they were counted made a later
-        part negative. It stood when the first had left the window, and a record of the
-        parts was read only as far as the negative one.
+        Units refunded later than they were counted must not make a later bucket
+        negative: that bucket would outlive the one it offsets, and readers of a stored
+        record stop at the first negative bucket.
         """
-        for part in reversed(self._parts):
-            taken = min(units, part[1])
-            part[1] -= taken
+        for bucket in reversed(self._buckets):
+            taken = min(units, bucket[1])
+            bucket[1] -= taken
             self.total -= taken
             units -= taken
             if not units:
                 return
 
     def retime(self, units, from_ms, now_ms):
-        """Count units from now on that were counted at an earlier time."""
-        number = from_ms // self._part_ms
-        for part in self._parts:
-            if part[0] == number:
-                taken = min(units, part[1])
-                part[1] -= taken
+        """Move units from the bucket in which they were counted to the current one."""
+        number = from_ms // self._bucket_ms
+        for bucket in self._buckets:
+            if bucket[0] == number:
+                taken = min(units, bucket[1])
+                bucket[1] -= taken
                 self.total -= taken
         self.add(units, now_ms)
 
-    def forget(self, now_ms):
-        """Drop the parts that have left the window."""
-        oldest = now_ms // self._part_ms - PARTS
-        while self._parts and self._parts[0][0] < oldest:
-            self.total -= self._parts.popleft()[1]
+    def expire(self, now_ms):
+        """Drop the buckets that have left the window."""
+        oldest = now_ms // self._bucket_ms - BUCKET_COUNT
+        while self._buckets and self._buckets[0][0] < oldest:
+            self.total -= self._buckets.popleft()[1]
 
-    def before(self, at_ms):
-        """Return the units of the parts that were over at a moment."""
-        number = at_ms // self._part_ms
-        return sum(units for part, units in self._parts if part < number)
+    def total_before(self, at_ms):
+        """Return the units of the buckets that ended before a moment."""
+        number = at_ms // self._bucket_ms
+        return sum(units for bucket, units in self._buckets if bucket < number)
 
-    def leaving(self):
-        """Return ``(leaves_ms, units)`` of the parts: when each leaves the window."""
+    def expirations(self):
+        """Return ``(expires_ms, units)`` of each bucket."""
         return [
-            ((number + PARTS + 1) * self._part_ms, units)
-            for number, units in self._parts
+            ((number + BUCKET_COUNT + 1) * self._bucket_ms, units)
+            for number, units in self._buckets
         ]
 
     def by_age(self, now_ms):
-        """Return ``(age_ms, units)`` of the window's parts, for another home."""
+        """Return ``(age_ms, units)`` of the window's buckets, for another home."""
         return tuple(
-            (max(0, now_ms - number * self._part_ms), units)
-            for number, units in self._parts
+            (max(0, now_ms - number * self._bucket_ms), units)
+            for number, units in self._buckets
             if units
         )
 
 
-class Account(msgspec.Struct, frozen=True):
-    """What somebody else says that a customer has spent.
+class UsageReport(msgspec.Struct, frozen=True):
+    """A customer's usage as counted by another host.
 
     Parameters
     ==========
     at_ms : int
-        When that was so; what was spent later is not in it.
-    parts : tuple of (int, int)
-        When units were spent, and how many.
+        When it was taken; later usage is not included.
+    buckets : tuple of (int, int)
+        Start of each bucket, and the units used in it.
     """
 
     at_ms: int
-    parts: tuple[tuple[int, int], ...]
+    buckets: tuple[tuple[int, int], ...]
 
-    def inside(self, since_ms):
-        """Return the units that were spent since a moment."""
-        return sum(units for at_ms, units in self.parts if at_ms >= since_ms)
+    def total_since(self, since_ms):
+        """Return the units used since a moment."""
+        return sum(units for at_ms, units in self.buckets if at_ms >= since_ms)
 
-    def between(self, since_ms, until_ms, part_ms):
-        """Return the units that were spent between two moments.
+    def total_between(self, since_ms, until_ms, bucket_ms):
+        """Return the units used between two moments.
 
-        A part tells when it began, and holds what was spent in ``part_ms`` from then;
-        of the part in which the time ends, as much counts as of its time.
+        A bucket covers ``bucket_ms`` from its start. The bucket that contains
+        ``until_ms`` counts in proportion to the time before it.
         """
         total = 0
-        for at_ms, units in self.parts:
+        for at_ms, units in self.buckets:
             if not since_ms <= at_ms < until_ms:
                 continue
-            end_ms = max(at_ms + 1, min(at_ms + part_ms, self.at_ms))
+            end_ms = max(at_ms + 1, min(at_ms + bucket_ms, self.at_ms))
             total += units * min(1.0, (until_ms - at_ms) / (end_ms - at_ms))
         return int(total)
 
 
 class CustomerUsage:
-    """What a customer has spent: counted here, told by hosts, and on record.
+    """Tracks a customer's usage: counted locally, reported by hosts, and recorded.
 
-    Failure: a host is home, hands over, and is home again within one window. What
-    hosts tell it then, and the record that the home between wrote, contain what it was
-    told before and what it has counted itself. Added up each time, a customer far
-    within its bound stood millions of units over it and was refused for seconds. So
-    each source's newest account takes the place of its former one, and a record counts
-    only for what neither this host counted by then nor any host has told.
+    A host may be home, hand over, and become home again within one window. The reports
+    it then receives, and the record written by the home in between, repeat earlier
+    reports and its own counts. Summing them put a customer far below its bound millions
+    of units above it, and it was refused for seconds. So the newest report of each
+    source replaces the previous one, and a record counts only for units that neither
+    this host had counted by then nor any host has reported.
 
     Parameters
     ==========
@@ -149,14 +149,14 @@
     Attributes
     ==========
     counted : int
-        All units that were ever counted, those that have left the window included.
+        All units ever counted, including those that have left the window.
     """
 
     __slots__ = (
-        "_elsewhere",
-        "_own",
+        "_local",
         "_records",
-        "_told",
+        "_remote",
+        "_reports",
         "_window_ms",
         "allowance",
         "counted",
@@ -165,115 +165,120 @@
 
     def __init__(self, window_ms):
         self.allowance = None
-        # When a record of a former home was taken into account, if ever.
+        # When a record of a previous home was last taken into account, if ever.
         self.recorded_ms = None
         self.counted = 0
         self._window_ms = window_ms
-        self._own = UsageWindow(window_ms)
-        self._elsewhere = UsageWindow(window_ms)
-        self._told = {}
+        self._local = UsageWindow(window_ms)
+        self._remote = UsageWindow(window_ms)
+        self._reports = {}
         self._records = {}
 
     @property
     def total(self):
-        """All units of the window."""
-        return self._own.total + self._elsewhere.total
+        """All units in the window, local and remote."""
+        return self._local.total + self._remote.total
 
     def add(self, units, now_ms):
-        """Count units that are given out here."""
-        self._own.add(units, now_ms)
+        """Count units granted by this host."""
+        self._local.add(units, now_ms)
         self.counted += units
 
     def subtract(self, units):
-        """Stop counting units of a request that did not run."""
-        self._own.subtract(units)
+        """Subtract the units of a request that did not run."""
+        self._local.subtract(units)
 
     def retime(self, units, from_ms, now_ms):
-        """Count units that were given out here from now on."""
-        self._own.retime(units, from_ms, now_ms)
+        """Count units granted earlier by this host as used now."""
+        self._local.retime(units, from_ms, now_ms)
 
-    def forget(self, now_ms):
-        """Drop what has left the window."""
-        self._own.forget(now_ms)
-        self._elsewhere.forget(now_ms)
+    def expire(self, now_ms):
+        """Drop usage that has left the window."""
+        self._local.expire(now_ms)
+        self._remote.expire(now_ms)
 
-    def record_report(self, source, account, most_units, now_ms):
-        """Take what a host says was spent there under other homes.
+    def record_report(self, source, report, max_units, now_ms):
+        """Record a host's report of usage granted by other homes.
 
         Parameters
         ==========
         source : tuple
-            The host's run and the pool.
-        account : Account
-        most_units : int
-            The most that the customer may have spent in a window.
+            The host's incarnation and the pool.
+        report : UsageReport
+        max_units : int
+            The most that the customer may have used in a window.
         now_ms : int
         """
-        self._told[source] = account
-        self._count_elsewhere(most_units, now_ms)
+        self._reports[source] = report
+        self._count_remote(max_units, now_ms)
 
-    def add_home_record(self, source, account, most_units, now_ms):
-        """Take what a home has put on record."""
+    def add_home_record(self, source, report, max_units, now_ms):
+        """Add the usage that a previous home has stored."""
         self.recorded_ms = now_ms
-        self._records[source] = account
-        self._count_elsewhere(most_units, now_ms)
+        self._records[source] = report
+        self._count_remote(max_units, now_ms)
 
-    def _count_elsewhere(self, most_units, now_ms):
-        """Count anew what was spent under other homes.
+    def _count_remote(self, max_units, now_ms):
+        """Recompute the usage under other homes.
 
-        The newest of it first, as what was spent last leaves the window last; and no
-        more than may have been given out, whatever the accounts add up to.
+        The newest units are counted first, as they leave the window last, and never
+        more than ``max_units``, whatever the sum of the reports is.
         """
         since_ms = now_ms - self._window_ms
-        parts = [
-            part
-            for account in self._told.values()
-            for part in account.parts
-            if part[0] >= since_ms
+        buckets = [
+            bucket
+            for report in self._reports.values()
+            for bucket in report.buckets
+            if bucket[0] >= since_ms
         ]
-        parts += self._untold(since_ms)
-        left = most_units
-        former = self._elsewhere.total
-        self._elsewhere = UsageWindow(self._window_ms)
-        for at_ms, units in sorted(parts, reverse=True):
+        buckets += self._unreported(since_ms)
+        left = max_units
+        previous = self._remote.total
+        self._remote = UsageWindow(self._window_ms)
+        for at_ms, units in sorted(buckets, reverse=True):
             counted = min(units, left)
             if counted <= 0:
                 break
-            self._elsewhere.add(counted, at_ms)
+            self._remote.add(counted, at_ms)
             left -= counted
-        self.counted += max(0, self._elsewhere.total - former)
+        self.counted += max(0, self._remote.total - previous)
 
-    def _untold(self, since_ms):
-        """Return the parts of the fullest record that are known from nobody else."""
+    def _unreported(self, since_ms):
+        """Return the units of the fullest record that no host has reported.
+
+        They are returned as the record's newest buckets.
+        """
         found, most = [], 0
-        part_ms = self._window_ms // PARTS
-        for account in self._records.values():
-            known = self._own.before(account.at_ms)
-            for told in self._told.values():
-                known += told.between(since_ms, account.at_ms, part_ms)
-            missing = account.inside(since_ms) - known
+        bucket_ms = self._window_ms // BUCKET_COUNT
+        for record in self._records.values():
+            known = self._local.total_before(record.at_ms)
+            for report in self._reports.values():
+                known += report.total_between(since_ms, record.at_ms, bucket_ms)
+            missing = record.total_since(since_ms) - known
             if missing > most:
-                found, most = _newest(account.parts, missing), missing
+                found, most = _newest(record.buckets, missing), missing
         return found
 
     def wait_ms(self, over, now_ms):
-        """Return after how long ``over`` units will have left the window."""
-        for leaves_ms, units in sorted(self._own.leaving() + self._elsewhere.leaving()):
+        """Return the time until ``over`` units will have left the window."""
+        for expires_ms, units in sorted(
+            self._local.expirations() + self._remote.expirations()
+        ):
             over -= units
             if over <= 0:
-                return max(1, leaves_ms - now_ms)
+                return max(1, expires_ms - now_ms)
         return self._window_ms
 
     def by_age(self, now_ms):
-        """Return ``(age_ms, units)`` of all that is known, for the record."""
-        return self._own.by_age(now_ms) + self._elsewhere.by_age(now_ms)
+        """Return ``(age_ms, units)`` of all known usage, to be stored."""
+        return self._local.by_age(now_ms) + self._remote.by_age(now_ms)
 
 
-def _newest(parts, units):
-    """Return the newest of some parts, up to a number of units."""
+def _newest(buckets, units):
+    """Return the newest buckets that add up to a number of units."""
     found = []
-    for at_ms, spent in sorted(parts, reverse=True):
-        counted = min(spent, units)
+    for at_ms, units_used in sorted(buckets, reverse=True):
+        counted = min(units_used, units)
         if counted <= 0:
             break
         found.append((at_ms, counted))
--- a/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
@@ -14,7 +14,7 @@
     allowance_overshoot=0.0,
 )
 # Ten in the window's second and ten at once, of which a part is given out.
-WHOLE_WINDOW = int(quotas.USED_SHARE * 20)
+WHOLE_WINDOW = int(quotas.USED_FRACTION * 20)
 
 
 def request(**fields):
@@ -60,13 +60,13 @@
         self.assertEqual(self.refuse_count(100), [])
         refused = self.refuse_count(60, attempt=2, is_new=False)
         # A fifth of 100 requests and two beside.
-        allowed = int(retry_limiter.USED_SHARE * 22)
+        allowed = int(retry_limiter.USED_FRACTION * 22)
         self.assertEqual(len(refused), 60 - allowed)
         self.assertIs(refused[0], ResultCode.RETRIES_EXHAUSTED)
 
     def test_request_that_asks_again_unsent_is_counted_once(self):
         self.refuse_count(100, is_new=False)
-        allowed = int(retry_limiter.USED_SHARE * 2)
+        allowed = int(retry_limiter.USED_FRACTION * 2)
         refused = self.refuse_count(10, attempt=2, is_new=False)
         self.assertEqual(len(refused), 10 - allowed)
 
