--- a/libs/decisions/src/hemlockhoist/decisions/entry/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/__init__.py
@@ -1,4 +1,4 @@
-"""What an entry host decides about one request, or about what it knows itself."""
+"""Decisions an entry host makes for a single request or from its own state."""
 
 from hemlockhoist.decisions.entry.attempts import AttemptEnd, Step, next_step
 from hemlockhoist.decisions.entry.copies import TableCopy
--- a/libs/decisions/src/hemlockhoist/decisions/entry/attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/attempts.py
@@ -1,4 +1,4 @@
-"""What follows when one attempt of a request has ended without its answer."""
+"""Next step after an attempt of a request has ended without a usable answer."""
 
 import enum
 
@@ -14,7 +14,7 @@
 
 
 class Step(enum.Enum):
-    """What to do next."""
+    """The next step of a request after an attempt has ended."""
 
     TRY_ANOTHER = "try another upstream"
     ANSWER = "pass the failed answer on"
@@ -22,17 +22,17 @@
     FAIL = "say that its outcome is not known"
 
 
-# Connecting again and again to what does not answer only keeps the caller waiting:
-# with one more than this the callers' own retry is sooner.
+# Further attempts to connect to upstreams that do not accept connections only delay the
+# caller: with one more than this, the caller's own retry would be sooner.
 MAX_UNSENT = 3
 
 
 def next_step(end, route, may_have_run, sends, unsent):
     """Return the ``Step`` after an attempt.
 
-    Harm prevented: a booking that may have run is sent once more, and a hall is booked
-    twice. So a request that must not be repeated goes to another upstream only while
-    nothing of it was sent, or the upstream said that it did not run.
+    A non-idempotent request is sent to another upstream only if nothing of it was sent
+    or the upstream reported that it did not run. Otherwise a booking that may have run
+    would be sent again, and a hall would be booked twice.
 
     Parameters
     ==========
@@ -41,9 +41,9 @@
     may_have_run : bool
         Whether any attempt so far may have run the request.
     sends : int
-        Attempts so far in which something was sent.
+        Number of attempts so far in which something was sent.
     unsent : int
-        Attempts so far in which nothing was sent.
+        Number of attempts so far in which nothing was sent.
     """
     if end is AttemptEnd.NOT_SENT:
         if unsent <= MAX_UNSENT:
--- a/libs/decisions/src/hemlockhoist/decisions/entry/copies.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/copies.py
@@ -1,14 +1,14 @@
-"""A copy of a table of the store, from which its changes can be told again."""
+"""A copy of a store table that can report its changes since a version."""
 
 import collections
 
-# Rows that were dropped, remembered so that others can be told of it. A fleet replaces
-# some upstreams a minute, and whoever follows asks every second.
-MAX_DROPPED = 1_024
+# Deleted rows that are kept, so that followers learn of the deletions. A fleet replaces
+# some upstreams per minute, and followers request changes every second.
+MAX_DELETED = 1_024
 
 
 class TableCopy:
-    """The rows of a table as of the newest reading.
+    """Holds the rows of a table as of the newest reading.
 
     Examples
     ========
@@ -26,35 +26,35 @@
     ['a']
     """
 
-    __slots__ = ("_dropped", "_oldest", "_rows", "store_ms", "version")
+    __slots__ = ("_deleted", "_oldest", "_rows", "store_ms", "version")
 
     def __init__(self):
         self._rows = {}
-        self._dropped = collections.OrderedDict()
+        self._deleted = collections.OrderedDict()
         self._oldest = 0
         self.version = 0
         self.store_ms = 0
 
     def replace(self, reading):
-        """Take a reading of all rows."""
+        """Replace all rows by those of a full reading."""
         self._rows = {row.key: row for row in reading.rows}
-        self._dropped.clear()
-        # What was dropped before this reading is not known.
+        self._deleted.clear()
+        # Deletions before this reading are not known.
         self._oldest = reading.version
         self._record(reading)
 
     def apply(self, reading):
-        """Take a reading of changes."""
+        """Apply a reading of changed rows."""
         for row in reading.rows:
             if row.value is None:
                 self._rows.pop(row.key, None)
-                self._dropped[row.key] = row
-                self._dropped.move_to_end(row.key)
+                self._deleted[row.key] = row
+                self._deleted.move_to_end(row.key)
             else:
-                self._dropped.pop(row.key, None)
+                self._deleted.pop(row.key, None)
                 self._rows[row.key] = row
-        while len(self._dropped) > MAX_DROPPED:
-            _, row = self._dropped.popitem(last=False)
+        while len(self._deleted) > MAX_DELETED:
+            _, row = self._deleted.popitem(last=False)
             self._oldest = max(self._oldest, row.version)
         self._record(reading)
 
@@ -63,17 +63,17 @@
         self.store_ms = max(self.store_ms, reading.store_ms)
 
     def changes(self, since_version):
-        """Return the rows changed since a version, or None where that is not known.
+        """Return the rows changed since a version, or None if they are not known.
 
         Parameters
         ==========
         since_version : int or None
-            None asks for all rows.
+            None requests all rows.
         """
         if since_version is None:
             return tuple(self._rows.values())
         if since_version < self._oldest:
             return None
-        rows = (*self._rows.values(), *self._dropped.values())
+        rows = (*self._rows.values(), *self._deleted.values())
         changed = (row for row in rows if row.version > since_version)
         return tuple(sorted(changed, key=lambda row: row.version))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/evacuation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/evacuation.py
@@ -4,16 +4,16 @@
 
 
 class DomainOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator's order on one failure domain, or its end.
+    """An operator's order to evacuate a failure domain, or to end the evacuation.
 
     Parameters
     ==========
     failure_domain : str
     is_evacuated : bool or None
-        Whether its upstreams are to get nothing; None where the order can not be read,
-        and what holds stays so.
+        Whether its upstreams get no requests; None if the order cannot be read, which
+        leaves the current state unchanged.
     version : int
-        Of the store; a newer one says more.
+        Version of the row in the store; the newest one is in force.
     """
 
     failure_domain: str
@@ -22,11 +22,11 @@
 
 
 class EvacuatedDomains:
-    """Which failure domains are evacuated, by the newest that is known of each.
+    """Tracks the evacuated failure domains by the newest known order of each.
 
-    Harm prevented: a host reads a list that is some seconds old, and sends requests
-    again to a domain that was evacuated meanwhile, or keeps one out of use that was
-    taken back. So an order gives way only to a newer one.
+    An order is replaced only by a newer one. Otherwise a host that reads a list some
+    seconds old would send requests again to a domain evacuated in the meantime, or keep
+    a domain out of use whose evacuation has ended.
 
     Examples
     ========
@@ -52,23 +52,23 @@
         self._orders = {}
 
     def apply(self, order):
-        """Take an order; return whether it changes anything."""
+        """Apply an order; return whether it changes the state of its domain."""
         if order.is_evacuated is None:
             return False
-        former = self._orders.get(order.failure_domain)
-        if former is not None and former.version >= order.version:
+        previous = self._orders.get(order.failure_domain)
+        if previous is not None and previous.version >= order.version:
             return False
         self._orders[order.failure_domain] = order
-        was_evacuated = former is not None and former.is_evacuated
+        was_evacuated = previous is not None and previous.is_evacuated
         return was_evacuated != order.is_evacuated
 
     def replace(self, orders, version):
-        """Take all orders that stand at a version; return the domains that changed."""
-        standing = {order.failure_domain for order in orders}
+        """Apply all orders in force at a version; return the domains that changed."""
+        current = {order.failure_domain for order in orders}
         ended = (
             DomainOrder(failure_domain=name, is_evacuated=False, version=version)
             for name in self.names()
-            if name not in standing
+            if name not in current
         )
         return tuple(
             order.failure_domain for order in (*orders, *ended) if self.apply(order)
@@ -80,6 +80,6 @@
         return order.version if order is not None and order.is_evacuated else None
 
     def names(self):
-        """Return the evacuated domains, in order of their names."""
+        """Return the names of the evacuated domains, sorted."""
         found = (key for key, item in self._orders.items() if item.is_evacuated)
         return tuple(sorted(found))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/freshness.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/freshness.py
@@ -1,21 +1,21 @@
-"""How old what a host knows of the store may be, at worst."""
+"""Upper bound on the age of a host's knowledge of the store."""
 
 
 class Freshness:
     """Bounds the age of the newest reading of the store.
 
-    A host that is cut off from the store goes on serving under what it last read; a
-    key that an operator takes away meanwhile must not open anything for longer than
-    declared. So each reading proves what held at one moment of the store's clock, and
-    that moment is placed on this host's clock never too late.
+    A host that is cut off from the store keeps serving from its last reading; a key
+    revoked by an operator in the meantime must not remain valid for longer than
+    declared. Each reading proves the state of the store at one time of the store's
+    clock, and that time is mapped to this host's clock, never too late.
 
-    The two clocks run at one speed. An answer's moment lies after its call left, so
-    each call gives a bound on the offset between the clocks, and the tightest of them
-    stays valid. A call that waited seconds for changes then proves the moment of its
-    answer, and not only that of its sending.
+    The two clocks run at the same rate. An answer is produced after its call was sent,
+    so each call gives a bound on the offset between the clocks, and the tightest bound
+    stays valid. A long poll that waited seconds for changes therefore proves the time
+    of its answer, and not only the time at which it was sent.
 
-    All times are on a clock that counts suspensions: after one, the proof is old by
-    itself.
+    All times are on a clock that includes suspensions: after one, the proof has aged
+    accordingly.
 
     Examples
     ========
@@ -36,52 +36,52 @@
         self._proven_ms = None
 
     def record(self, sent_ms, store_ms):
-        """Take a reading of this host's own.
+        """Record a reading by this host itself.
 
         Parameters
         ==========
         sent_ms : int
-            When the call left, on this host's clock.
+            When the call was sent, on this host's clock.
         store_ms : int
-            The moment of the answer, on the store's clock.
+            Time of the answer, on the store's clock.
         """
-        self._note_offset(sent_ms - store_ms)
-        self._note_proven(max(sent_ms, store_ms + self._offset_ms))
+        self._record_offset(sent_ms - store_ms)
+        self._record_proven(max(sent_ms, store_ms + self._offset_ms))
 
     def record_relayed(self, sent_ms, store_ms, clock_ms):
-        """Take another host's reading that was passed on to this one.
+        """Record a reading that another host relayed to this one.
 
-        The reading may be older than the question for it. The other host's account of
-        the store's clock is never late, so that it bounds the offset as an answer of
-        the store's own does: what is left is that it is early by the other's quickest
-        answer.
+        The reading may be older than the request for it. The other host's estimate of
+        the store's clock is never late, so it bounds the offset as an answer of the
+        store itself does. The remaining error is that the estimate is early by the
+        duration of the other host's fastest call.
 
         Parameters
         ==========
         sent_ms : int
-            When the question left, on this host's clock.
+            When the request was sent, on this host's clock.
         store_ms : int
-            The moment of the reading, on the store's clock.
+            Time of the reading, on the store's clock.
         clock_ms : int
-            The store's clock when the answer left the other host, or later.
+            Time of the store's clock when the other host replied, or later.
         """
-        self._note_offset(sent_ms - clock_ms)
-        self._note_proven(store_ms + self._offset_ms)
+        self._record_offset(sent_ms - clock_ms)
+        self._record_proven(store_ms + self._offset_ms)
 
-    def _note_offset(self, offset_ms):
+    def _record_offset(self, offset_ms):
         if self._offset_ms is None or offset_ms > self._offset_ms:
             self._offset_ms = offset_ms
 
-    def _note_proven(self, proven_ms):
+    def _record_proven(self, proven_ms):
         if self._proven_ms is None or proven_ms > self._proven_ms:
             self._proven_ms = proven_ms
 
     def age_ms(self, now_ms):
-        """Return the age of the newest proof at most, or None where there is none."""
+        """Return the maximum age of the newest proof, or None if there is none."""
         if self._proven_ms is None:
             return None
         return now_ms - self._proven_ms
 
     def store_ms(self, now_ms):
-        """Return the time of the store's clock, or 0 before the first reading."""
+        """Return the estimated store clock time, or 0 before the first reading."""
         return 0 if self._offset_ms is None else now_ms - self._offset_ms
--- a/libs/decisions/src/hemlockhoist/decisions/entry/halted.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/halted.py
@@ -1,11 +1,11 @@
-"""The versions that a host must not send to, by the orders that were halted."""
+"""Versions that must get no requests because their move orders were halted."""
 
 
 class HaltedVersions:
-    """Which versions were halted, and under which operators' orders.
+    """Tracks which versions were halted, and under which operators' orders.
 
-    A halt holds for its own order only. News of it may come after the next order for
-    the same version, which is to be tried again.
+    A halt applies to its own order only. It may be announced after the next order for
+    the same version has been given, and that order must still be carried out.
 
     Examples
     ========
@@ -22,7 +22,7 @@
         self._orders = {}
 
     def record(self, pool, version, order_id):
-        """Note that a version was halted under an order."""
+        """Record that a version was halted under an order."""
         self._orders.setdefault((pool, version), set()).add(order_id)
 
     def has(self, pool, version, order_id=None):
@@ -32,14 +32,14 @@
         ==========
         pool, version : str
         order_id : str, optional
-            The order in force; None where none is known here, and then the halt of
+            The order in force. If None, because no order is known here, a halt under
             any order counts.
         """
         orders = self._orders.get((pool, version), ())
         return bool(orders) if order_id is None else order_id in orders
 
     def keep_only(self, pool, version, order_id):
-        """Forget the halts of a version under all orders but one."""
+        """Drop the halts of a version under all orders but one."""
         orders = self._orders.get((pool, version))
         if orders is not None:
             orders &= {order_id}
--- a/libs/decisions/src/hemlockhoist/decisions/entry/locality.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/locality.py
@@ -1,26 +1,27 @@
-"""Which hosts a caller is told of."""
+"""Selection of the hosts that are advertised to a caller."""
 
 
 def nearby_members(members, regions_by_domain, caller_region, allowed):
     """Return the members that a caller should use.
 
-    Harm prevented: a body goes through a region where it may not be kept, because the
-    caller was told of a host there. Those of the caller's own region come first, then
-    those of the regions that its routes allow; where neither has a host, any.
+    These are the members in the caller's own region; if there are none, those in the
+    regions that its routes allow; if there are none either, all members. A host in
+    another region would make request bodies pass through a region where they must not
+    be kept.
 
     Parameters
     ==========
     members : sequence of Member
     regions_by_domain : mapping of str to str
     caller_region : str
-        Empty where it does not say.
+        Empty if the caller does not specify one.
     allowed : collection of str
-        Regions; empty for anywhere.
+        Allowed regions; empty if all are.
 
     Returns
     =======
     list of Member
-        In the order in which they came.
+        In the order of ``members``.
     """
 
     def within(regions):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/move_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/move_orders.py
@@ -1,4 +1,4 @@
-"""Version moves that operators order by a row of the store."""
+"""Version moves that operators order through a row of the store."""
 
 import collections
 import enum
@@ -16,10 +16,10 @@
     Parameters
     ==========
     order_id : str
-        Differs for each order of a pool, and is the same on all hosts.
+        Unique for each order of a pool, and the same on all hosts.
     pool, to_version : str
     duration_ms : int
-        Within which it is to be over.
+        Time within which the move must be complete.
     """
 
     order_id: str
@@ -29,7 +29,7 @@
 
 
 class OrderState(enum.Enum):
-    """What operators are told of an order."""
+    """The state of an order as reported to operators."""
 
     IN_PROGRESS = "in progress"
     COMPLETED = "completed"
@@ -37,9 +37,9 @@
 
 
 def live_versions(upstreams, pool):
-    """Return the versions of a pool's upstreams that stay, each with its count.
+    """Return the number of upstreams of each version of a pool, without leaving ones.
 
-    Those of an evacuated failure domain stay: their version has not gone.
+    Upstreams of an evacuated failure domain count: their version is still deployed.
 
     Parameters
     ==========
@@ -58,33 +58,33 @@
 
 
 def source_version(order, counts):
-    """Return the version that an order moves away from, or "" where there is none.
+    """Return the version that an order moves away from, or "" if there is none.
 
-    That of most live upstreams beside the ordered one: a few upstreams of a third
-    version are left over from a release.
+    This is the version of most upstreams besides the ordered one: a few upstreams of a
+    third version may be left over from a release.
 
     Parameters
     ==========
     order : MoveOrder
     counts : mapping of str to int
-        Of ``live_versions``.
+        As returned by ``live_versions``.
     """
     others = {name: n for name, n in counts.items() if name != order.to_version}
     return max(others, key=lambda name: (others[name], name), default="")
 
 
 def order_state(row, old_in_flight):
-    """Return what to tell operators of an order.
+    """Return the state of an order to report to operators.
 
-    Harm prevented: the old version's upstreams are stopped as soon as the order is
-    told to be completed, and the answers under way there are lost. So that is told
-    when the last of them has ended.
+    An order is reported as completed only when the last request on the old version has
+    ended: operators stop its upstreams on that report, and answers in progress there
+    would be lost.
 
     Parameters
     ==========
     row : hemlockhoist.decisions.versions.Move
     old_in_flight : int
-        Requests that the old version's upstreams still have.
+        Number of requests in flight on the old version's upstreams.
     """
     if row.state is MoveState.FINISHED:
         return OrderState.IN_PROGRESS if old_in_flight else OrderState.COMPLETED
@@ -94,20 +94,20 @@
 
 
 class WithheldVersionPolicy(VersionPolicy):
-    """Keeps a version back whose move has been ordered and has not begun.
+    """Withholds requests from a version whose move is ordered but has not begun.
 
-    Failure: the new version's upstreams are listed together with the order, and the
-    home needs some calls of the store before the move has begun; or a host decides
-    alone and has never heard of it. Without a move every version may serve, and a bad
-    one would get its full part of the requests.
+    The new version's upstreams are listed together with the order, while the home needs
+    some store calls before the move begins, and a host that decides alone may not have
+    learned of the order at all. Without a move in progress every version may serve, and
+    a bad one would get its full share of the requests.
 
     Parameters
     ==========
     controller : MoveController
     order_of : callable
-        ``order_of()`` gives the pool's present ``MoveOrder``, or None where there is
-        none or no other version is left: an order that was carried out long ago is
-        still to be read.
+        ``order_of()`` returns the pool's current ``MoveOrder``, or None if there is
+        none or no other version is left: the row of an order carried out long ago
+        remains in the store.
     """
 
     __slots__ = ("_order_of", "controller")
@@ -117,7 +117,7 @@
         self._order_of = order_of
 
     def candidates(self, request, versions, now_ms):
-        """Return the versions that may serve a request, preferred first."""
+        """Return the versions that may serve a request, in order of preference."""
         found = self.controller.candidates(request, versions, now_ms)
         order, row = self._order_of(), self.controller.row
         if order is None or (row is not None and row.move_id == order.order_id):
@@ -129,13 +129,13 @@
         self.controller.on_grant(request, version, now_ms, upstream_id)
 
     def on_adopt(self, request, version, now_ms, upstream_id=""):
-        """Count a grant of a former home that is still in flight."""
+        """Count a grant of a previous home that is still in flight."""
         self.controller.on_adopt(request, version, now_ms, upstream_id)
 
     def on_outcome(self, request, version, outcome, now_ms, upstream_id=""):
-        """Take the outcome of a granted request as evidence."""
+        """Record the outcome of a granted request as evidence."""
         self.controller.on_outcome(request, version, outcome, now_ms, upstream_id)
 
     def on_forget(self, request, version, now_ms):
-        """Stop counting a grant whose outcome nobody will report."""
+        """Stop counting a grant whose outcome will not be reported."""
         self.controller.on_forget(request, version, now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/entry/prefixes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/prefixes.py
@@ -1,17 +1,19 @@
-"""What the parts of a prompt are called between hosts."""
+"""Identification of prompt prefix blocks between hosts."""
 
 import xxhash
 
 
 def chained_hashes(names):
-    """Return a hash of each part of a prompt, chained to the parts before it.
+    """Return a hash of each prefix block of a prompt, chained to the preceding blocks.
 
-    The same on all hosts. A part is of use to an engine only behind the same parts, so
-    that two prompts share a hash where they share all up to it.
+    The hashes are the same on all hosts. An engine can reuse a cached block only behind
+    the same preceding blocks, so two prompts share a hash only if they share all blocks
+    up to it.
 
     Parameters
     ==========
     names : iterable of str
+        Names of the blocks, in order.
 
     Returns
     =======
--- a/libs/decisions/src/hemlockhoist/decisions/entry/readers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/readers.py
@@ -1,9 +1,9 @@
-"""Which hosts read the store, and pass its rows on to the others."""
+"""Selection of the hosts that read the store and relay its rows to the others."""
 
 from hemlockhoist.decisions.membership import high_capacity_members, rank_members
 
-# Up to this many hosts each read the store themselves. A host's feeds are some calls a
-# minute; at twelve hosts they cost less than what passing rows on would add in time.
+# Up to this number of hosts, each reads the store itself. A host's feeds are some calls
+# per minute; at twelve hosts they cost less than the latency that relaying would add.
 MAX_DIRECT_READERS = 12
 READER_RANK = "store readers"
 
@@ -11,20 +11,20 @@
 def find_readers(members):
     """Return the hosts that read the store: the first of each failure domain.
 
-    Load: each change of the store wakes every host that waits for it, and each host's
-    waiting calls are renewed all the time. 59 hosts made 6,042 calls in a minute in
-    which nothing went wrong. One reader in each failure domain keeps what it passes on
-    inside it, and the loss of one domain leaves the others theirs.
+    Each change of the store wakes every host that waits for it, and each host renews
+    its long polls continuously: 59 hosts made 6,042 calls in a minute without faults.
+    With one reader per failure domain, relayed rows stay inside the domain, and the
+    loss of one domain leaves the readers of the others in place.
 
     Parameters
     ==========
     members : sequence of Member
-        That are not gone.
+        Members that are not gone.
 
     Returns
     =======
     dict
-        Of failure domain to ``Member``; empty where all hosts read for themselves.
+        Maps failure domain to ``Member``; empty if each host reads the store itself.
     """
     members = list(members)
     if len(members) <= MAX_DIRECT_READERS:
@@ -36,24 +36,25 @@
 
 
 def reader_for(members, own, avoid=frozenset()):
-    """Return the host that reads the store for a host, or None for itself.
+    """Return the reader that a host uses, or None if it reads the store itself.
 
     Parameters
     ==========
     members : sequence of Member
     own : Member
     avoid : collection of str, optional
-        Addresses of readers that have failed lately; another domain's is asked then.
+        Addresses of readers that have recently failed; if the reader of the host's own
+        domain is among them, that of another domain is used.
     """
     readers = find_readers(members)
     if not readers or own in readers.values():
         return None
-    well = {
+    available = {
         domain: member
         for domain, member in readers.items()
         if member.address not in avoid
     }
-    if not well:
+    if not available:
         return None
-    near = well.get(own.failure_domain)
-    return near or rank_members(well.values(), own.address)[0]
+    local_reader = available.get(own.failure_domain)
+    return local_reader or rank_members(available.values(), own.address)[0]
--- a/libs/decisions/src/hemlockhoist/decisions/entry/shares.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/shares.py
@@ -1,11 +1,12 @@
-"""Which of a route's pools takes the next request."""
+"""Weighted distribution of a route's requests among its pools."""
 
 
 class PoolChooser:
-    """Gives each pool of a route its weight's part of the requests, by count.
+    """Distributes the requests of a route among its pools in proportion to weight.
 
-    Counted and not drawn: of a route with little traffic a draw may send several
-    requests in a row to the pool with the smallest weight.
+    The distribution is deterministic (smooth weighted round robin): on a route with
+    little traffic, random selection may send several requests in a row to the pool with
+    the smallest weight.
 
     Examples
     ========
@@ -23,7 +24,7 @@
         self._credits = {}
 
     def choose(self, route_name, shares):
-        """Return the name of the pool for the next request of a route.
+        """Return the pool name for the next request of a route.
 
         Parameters
         ==========
@@ -42,6 +43,6 @@
         return chosen
 
     def forget(self, route_names):
-        """Drop what is counted of routes that are not declared any more."""
+        """Drop the state of all routes except ``route_names``."""
         kept = set(route_names)
         self._credits = {k: v for k, v in self._credits.items() if k in kept}
--- a/libs/decisions/src/hemlockhoist/decisions/entry/sweep.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/sweep.py
@@ -1,52 +1,52 @@
-"""Which entries of hosts that are gone may be dropped from the store."""
+"""Removal of entries of hosts that are gone from the store."""
 
-# A host that was cut off for less than this finds its entry as it left it. Regions may
-# part for an hour; beyond it, hosts are replaced and their addresses given to others.
-KEPT_MS = 3_600_000
+# A host that was cut off for less than this finds its entry unchanged. Regions may be
+# partitioned for an hour; after that, hosts are replaced and their addresses reused.
+RETENTION_MS = 3_600_000
 
 
 class StaleEntries:
-    """Finds the entries of hosts that have not been live for long.
+    """Finds the entries of hosts that have not been live for a long time.
 
-    Load: some hundred hosts are replaced a day, and one that is killed drops no entry.
-    Harm without it: the list grows without end, and each host probes addresses at which
-    nobody or somebody else listens.
+    Some hundred hosts are replaced per day, and a host that is killed does not remove
+    its entry. Without removal the list grows without bound, and each host probes
+    addresses at which no host or another process listens.
 
     Parameters
     ==========
-    kept_ms : int, optional
-        How long an entry is kept after its host was last seen live.
+    retention_ms : int, optional
+        Time for which an entry is kept after its host was last seen live.
 
     Examples
     ========
     >>> from hemlockhoist.decisions.entry import StaleEntries
-    >>> stale = StaleEntries(kept_ms=100)
+    >>> stale = StaleEntries(retention_ms=100)
     >>> stale.find({"a": 1, "b": 2}, live=["a"], now_ms=0)
     ()
     >>> stale.find({"a": 1, "b": 2}, live=["a"], now_ms=100)
     ('b',)
     """
 
-    __slots__ = ("_kept_ms", "_seen_ms")
+    __slots__ = ("_retention_ms", "_seen_ms")
 
-    def __init__(self, kept_ms=KEPT_MS):
-        self._kept_ms = kept_ms
+    def __init__(self, retention_ms=RETENTION_MS):
+        self._retention_ms = retention_ms
         self._seen_ms = {}
 
     def find(self, listed, live, now_ms):
-        """Return the entries that may be dropped.
+        """Return the keys of the entries that may be removed.
 
         Parameters
         ==========
         listed : mapping of str to int
-            The entries there are, with their versions.
+            Versions of the existing entries, by key.
         live : iterable of str
-            The hosts that are live.
+            Keys of the live hosts.
         now_ms : int
         """
         live = set(live)
-        # An entry is first taken for one of a live host: this host may be the one
-        # that has just come back. So is one that was written anew.
+        # An entry seen for the first time counts as that of a live host, as this host
+        # may have just restarted. So does an entry that was rewritten.
         self._seen_ms = {
             entry: now_ms if entry[0] in live else self._seen_ms.get(entry, now_ms)
             for entry in listed.items()
@@ -54,5 +54,5 @@
         return tuple(
             key
             for (key, _), seen_ms in self._seen_ms.items()
-            if now_ms - seen_ms >= self._kept_ms
+            if now_ms - seen_ms >= self._retention_ms
         )
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
@@ -33,17 +33,17 @@
     def test_booking_that_may_have_run_is_not_sent_again(self, end, sends, unsent):
         """A hall is booked twice.
 
-        The first replica runs the booking and its connection breaks before the
-        answer; the second replica runs it again.
+        The first replica runs the booking and the connection breaks before its answer;
+        then the second replica runs it again.
         """
         step = next_step(end, BOOKING, True, sends, unsent)
         self.assertIs(step, Step.FAIL)
 
-    def test_booking_that_did_not_run_goes_to_another_replica(self):
+    def test_booking_that_did_not_run_is_sent_to_another_replica(self):
         step = next_step(AttemptEnd.NOT_RUN, BOOKING, False, 1, 0)
         self.assertIs(step, Step.TRY_ANOTHER)
 
-    def test_failed_answer_of_a_booking_is_the_answer(self):
+    def test_failed_answer_of_a_booking_is_passed_on(self):
         step = next_step(AttemptEnd.FAILED_ANSWER, BOOKING, True, 1, 0)
         self.assertIs(step, Step.ANSWER)
 
@@ -56,23 +56,23 @@
         last = next_step(AttemptEnd.BROKEN, lookup, True, 2, 0)
         self.assertIs(last, Step.FAIL)
 
-    def test_last_refusal_of_a_lookup_that_ran_before_does_not_say_not_run(self):
-        """A caller is told that its lookup did not run, and an earlier try has run.
+    def test_refused_retry_of_a_lookup_that_ran_is_not_reported_as_not_run(self):
+        """A caller is told that its lookup did not run although an attempt did.
 
-        The first try breaks off after the replica ran it, the second replica says
-        that it did not run its own: only that one is known not to have run.
+        The first attempt breaks off after the replica ran it, and the second replica
+        reports that it did not run its own: only that attempt is known not to have run.
         """
         step = next_step(AttemptEnd.NOT_RUN, route(attempts=2), True, 2, 0)
         self.assertIs(step, Step.FAIL)
 
-    def test_connections_that_fail_do_not_count_as_sends(self):
+    def test_failed_connections_do_not_count_as_sends(self):
         single = route(attempts=1)
         step = next_step(AttemptEnd.NOT_SENT, single, False, 0, MAX_UNSENT)
         self.assertIs(step, Step.TRY_ANOTHER)
         step = next_step(AttemptEnd.NOT_SENT, single, False, 0, MAX_UNSENT + 1)
         self.assertIs(step, Step.REFUSE)
 
-    def test_stream_that_may_be_resumed_goes_on(self):
+    def test_resumable_stream_is_resumed(self):
         resumable = route(CallKind.STREAM, attempts=2, resumable=True)
         step = next_step(AttemptEnd.BROKEN, resumable, True, 1, 0)
         self.assertIs(step, Step.TRY_ANOTHER)
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
@@ -5,16 +5,16 @@
 
 
 class HaltedVersionsTests(unittest.TestCase):
-    def test_late_news_of_an_old_halt_leaves_the_next_order_in_force(self):
-        """A mended version, ordered again, is rolled back by its former halt."""
+    def test_late_announcement_of_an_old_halt_leaves_the_next_order_in_force(self):
+        """A fixed version, ordered again, is rolled back by its previous halt."""
         versions = HaltedVersions()
         versions.record("halls", "v2", "halls@8")
         versions.keep_only("halls", "v2", "halls@14")
         versions.record("halls", "v2", "halls@8")
         self.assertFalse(versions.has("halls", "v2", "halls@14"))
 
-    def test_halt_heard_before_its_order_counts_when_the_order_comes(self):
-        """A host uses grants of a halted version: the store's row came last."""
+    def test_halt_announced_before_its_order_applies_to_that_order(self):
+        """A host uses grants of a halted version because the order arrived last."""
         versions = HaltedVersions()
         versions.record("halls", "v2", "halls@14")
         self.assertTrue(versions.has("halls", "v2"))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_listing.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_listing.py
@@ -25,29 +25,30 @@
         self.listing = UpstreamListing()
         self.listing.replace([upstream("a"), upstream("b")], 0)
 
-    def test_all_entries_lapse_together_with_the_store(self):
-        """Every lookup is refused though all replicas are well.
+    def test_upstreams_stay_usable_when_all_entries_expire(self):
+        """Every lookup is refused although all replicas are healthy.
 
-        The store goes away, the leases of all entries end, and for a moment after its
-        return the list is empty. The replicas enter themselves again within seconds.
+        During an outage of the store the leases of all entries expire, and the list is
+        empty for a moment after its recovery. The replicas register again within
+        seconds.
         """
         self.listing.replace([], 1_000)
         self.assertEqual(names(self.listing, 1_100), ["a", "b"])
         self.listing.put(upstream("a"))
         self.assertEqual(names(self.listing, 1_200), ["a"])
 
-    def test_what_does_not_come_back_is_given_up(self):
+    def test_upstream_not_listed_again_stops_being_usable(self):
         self.listing.replace([], 1_000)
         self.assertEqual(self.listing.next_change_ms(), 1_000 + VANISHED_GRACE_MS)
         self.assertEqual(names(self.listing, 1_000 + VANISHED_GRACE_MS), [])
 
-    def test_one_that_vanishes_beside_others_gets_nothing_more(self):
-        """A replica that was removed gets bookings that nobody answers."""
+    def test_upstream_that_vanishes_beside_others_gets_no_work(self):
+        """A removed replica gets bookings that no process answers."""
         self.listing.drop("a", 1_000)
         self.assertEqual(names(self.listing, 1_000), ["b"])
         self.assertIsNone(self.listing.get("a", 1_000))
 
-    def test_one_that_said_it_leaves_is_not_kept(self):
+    def test_upstream_that_announced_leaving_is_not_kept(self):
         self.listing.replace([upstream("a", state=UpstreamState.LEAVING)], 500)
         self.listing.drop("b", 0)
         self.listing.drop("a", 1_000)
@@ -63,15 +64,15 @@
                 self.assertEqual(found, name in usable, (name, now_ms))
 
 
-class ToldTests(unittest.TestCase):
-    """A home that missed a change of the list is told by a host that has it."""
+class RemovalReportTests(unittest.TestCase):
+    """A home that missed a change of the list is notified by a host that has it."""
 
     def setUp(self):
         self.listing = UpstreamListing()
         self.listing.put(upstream("a", listed_version=5))
         self.listing.put(upstream("b", listed_version=6))
 
-    def test_newer_word_drops_an_entry_and_older_rows_do_not_bring_it_back(self):
+    def test_newer_report_removes_an_entry_and_older_rows_do_not_restore_it(self):
         self.assertTrue(self.listing.mark_removed("a", 9, 1_000))
         self.assertEqual(names(self.listing, 1_000), ["b"])
         self.listing.put(upstream("a", listed_version=8))
@@ -79,25 +80,25 @@
         self.listing.put(upstream("a", listed_version=10))
         self.assertEqual(names(self.listing, 1_000), ["a", "b"])
 
-    def test_word_of_a_host_that_is_behind_changes_nothing(self):
-        """A new upstream is refused by a host that has not read of it yet."""
+    def test_report_of_a_host_that_is_behind_changes_nothing(self):
+        """A host that has not read of a new upstream yet makes the home remove it."""
         self.assertFalse(self.listing.mark_removed("a", 5, 1_000))
         self.assertFalse(self.listing.mark_removed("unknown", 9, 1_000))
         self.assertEqual(names(self.listing, 1_000), ["a", "b"])
 
-    def test_version_at_which_an_upstream_left(self):
+    def test_removed_version_of_leaving_and_dropped_upstreams(self):
         self.listing.put(upstream("a", state=UpstreamState.LEAVING, listed_version=7))
         self.listing.drop("b", 1_000, 8)
         self.assertEqual(self.listing.removed_version("a"), 7)
         self.assertEqual(self.listing.removed_version("b"), 8)
         self.assertIsNone(self.listing.removed_version("never listed"))
 
-    def test_missing_from_a_whole_list(self):
+    def test_removed_version_of_an_upstream_missing_from_a_new_list(self):
         """The list is at least as new as its newest entry, and may be no newer."""
         self.listing.replace([upstream("b", listed_version=6)], 1_000)
         self.assertEqual(self.listing.removed_version("a"), 6)
 
-    def test_memory_of_what_left_is_bounded(self):
+    def test_number_of_kept_removals_is_bounded(self):
         for number in range(2 * MAX_REMOVED):
             self.listing.drop(f"u{number}", 1_000, number)
         self.assertIsNone(self.listing.removed_version("u0"))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_locality.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_locality.py
@@ -13,20 +13,20 @@
     ]
 
 
-class NamingTests(unittest.TestCase):
+class LocalityTests(unittest.TestCase):
     def near(self, domains, region, allowed=()):
         found = nearby_members(members(*domains), REGIONS, region, allowed)
         return [item.failure_domain for item in found]
 
-    def test_callers_are_told_of_hosts_of_their_region(self):
-        """Bodies cross a region where they may not be kept on their way in."""
+    def test_hosts_of_the_callers_region_come_first(self):
+        """Request bodies pass through a region where they must not be kept."""
         self.assertEqual(self.near(["s1", "n1", "n2"], "north"), ["n1", "n2"])
 
-    def test_where_it_has_none_those_of_the_allowed_regions(self):
+    def test_hosts_of_allowed_regions_if_the_callers_has_none(self):
         found = self.near(["n1", "s1", "n2"], "west", allowed=("south",))
         self.assertEqual(found, ["s1"])
 
-    def test_any_host_is_better_than_none(self):
+    def test_all_hosts_if_no_region_matches(self):
         self.assertEqual(self.near(["n1", "s1"], "west"), ["n1", "s1"])
         self.assertEqual(self.near(["n1"], "", allowed=("south",)), ["n1"])
         self.assertEqual(self.near([], "north"), [])
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_move_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_move_orders.py
@@ -52,7 +52,7 @@
 
 
 class VersionsTests(unittest.TestCase):
-    def test_leaving_and_foreign_upstreams_do_not_count(self):
+    def test_leaving_upstreams_and_other_pools_do_not_count(self):
         found = live_versions(
             [
                 upstream("a", "v1"),
@@ -63,28 +63,28 @@
         )
         self.assertEqual(found, {"v1": 1})
 
-    def test_move_is_away_from_the_version_of_most_upstreams(self):
+    def test_source_version_is_that_of_most_upstreams(self):
         counts = {"v0": 1, "v1": 4, "v2": 5}
         self.assertEqual(source_version(ORDER, counts), "v1")
         self.assertEqual(source_version(ORDER, {"v2": 5}), "")
 
 
 class OrderStateTests(unittest.TestCase):
-    def test_end_is_told_when_the_old_version_is_idle(self):
-        """Answers under way are lost when the old upstreams stop at the end's word."""
+    def test_completion_is_reported_when_the_old_version_is_idle(self):
+        """Answers in progress are lost if old upstreams stop on an early report."""
         row = move()
         self.assertIs(order_state(row, 0), OrderState.IN_PROGRESS)
         row = type(row)(**{**_fields(row), "state": MoveState.FINISHED})
         self.assertIs(order_state(row, 2), OrderState.IN_PROGRESS)
         self.assertIs(order_state(row, 0), OrderState.COMPLETED)
 
-    def test_move_that_was_taken_back(self):
+    def test_move_that_was_rolled_back(self):
         row = take_back_move(move(), ORDER.order_id, "bad", "home")
         self.assertIs(order_state(row, 3), OrderState.ROLLED_BACK)
 
 
-class HeldBackTests(unittest.TestCase):
-    def test_ordered_version_gets_nothing_before_its_move(self):
+class WithheldVersionTests(unittest.TestCase):
+    def test_ordered_version_gets_no_requests_before_its_move(self):
         policy = WithheldVersionPolicy(NoMove(), lambda: ORDER)
         self.assertEqual(policy.candidates(REQUEST, ("v1", "v2"), 0), ("v1",))
         self.assertEqual(policy.candidates(REQUEST, ("v2",), 0), ())
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_prefixes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_prefixes.py
@@ -5,14 +5,14 @@
 
 
 class ChainedHashesTests(unittest.TestCase):
-    def test_docstring_examples_run(self):
+    def test_examples_run(self):
         self.assertEqual(doctest.testmod(prefixes).failed, 0)
 
-    def test_same_on_all_hosts(self):
-        """Hosts of neighbouring releases place a prompt by the same names."""
+    def test_hashes_are_the_same_on_all_hosts(self):
+        """Hosts of adjacent releases must place a prompt by the same hashes."""
         self.assertEqual(chained_hashes(["5c1e07a2"]), (15100700061308107535,))
 
-    def test_part_behind_other_parts_is_another_part(self):
+    def test_block_behind_other_blocks_has_another_hash(self):
         self.assertNotEqual(
             chained_hashes(["a", "c"])[1], chained_hashes(["b", "c"])[1]
         )
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_readers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_readers.py
@@ -19,7 +19,7 @@
 
 
 class ReaderTests(unittest.TestCase):
-    def test_small_fleet_reads_for_itself(self):
+    def test_every_host_of_a_small_fleet_reads_the_store(self):
         members = fleet(8)
         self.assertEqual(find_readers(members), {})
         self.assertIsNone(reader_for(members, members[0]))
@@ -35,29 +35,29 @@
             else:
                 self.assertEqual(reader.failure_domain, own.failure_domain)
 
-    def test_domain_of_weak_hosts_asks_another_ones_reader(self):
+    def test_domain_of_low_capacity_hosts_uses_the_reader_of_another(self):
         weak = [member(number, 0, 500) for number in range(20)]
         strong = [member(number, 1, 2_000) for number in range(3)]
         reader = reader_for([*weak, *strong], weak[0])
         self.assertEqual(reader.failure_domain, "d1")
 
-    def test_other_domains_reader_is_asked_while_the_near_one_fails(self):
-        """The store is met by each host of a domain whose reader it turns away."""
+    def test_reader_of_another_domain_is_used_while_the_local_one_fails(self):
+        """Each host of a domain reads the store itself if the domain's reader fails."""
         members = fleet(60)
         readers = find_readers(members)
         own = next(m for m in members if m not in readers.values())
-        near = reader_for(members, own)
-        other = reader_for(members, own, {near.address})
+        local_reader = reader_for(members, own)
+        other = reader_for(members, own, {local_reader.address})
         self.assertIn(other, readers.values())
-        self.assertNotEqual(other, near)
+        self.assertNotEqual(other, local_reader)
         failed = {member.address for member in readers.values()}
         self.assertIsNone(reader_for(members, own, failed))
 
-    def test_another_host_reads_when_the_reader_is_gone(self):
+    def test_another_host_becomes_reader_when_the_reader_is_gone(self):
         members = fleet(60)
-        former = find_readers(members)["d0"]
-        members.remove(former)
-        self.assertNotEqual(find_readers(members)["d0"], former)
+        previous = find_readers(members)["d0"]
+        members.remove(previous)
+        self.assertNotEqual(find_readers(members)["d0"], previous)
 
 
 class TableCopyTests(unittest.TestCase):
@@ -68,34 +68,34 @@
         )
         return Reading(rows=found, version=version, store_ms=version, sent_ms=0)
 
-    def test_follower_of_an_unknown_past_has_to_read_all(self):
-        """An upstream that was dropped goes on being used.
+    def test_follower_behind_the_known_deletions_must_read_all_rows(self):
+        """A deleted upstream remains in use.
 
-        The reader began after it was dropped; told only of what it knows as changed,
-        the follower would keep it for good.
+        The reader started after the deletion; with only the changes that the reader
+        knows, the follower would keep the row forever.
         """
         copy = TableCopy()
         copy.replace(self.reading(10, a=b"1"))
         self.assertIsNone(copy.changes(9))
         self.assertEqual(copy.changes(10), ())
 
-    def test_dropped_rows_are_told(self):
+    def test_deleted_rows_are_reported(self):
         copy = TableCopy()
         copy.replace(self.reading(10, a=b"1", b=b"1"))
         copy.apply(self.reading(11, a=None))
         copy.apply(self.reading(12, b=b"2"))
-        told = [(row.key, row.value) for row in copy.changes(10)]
-        self.assertEqual(told, [("a", None), ("b", b"2")])
+        changed = [(row.key, row.value) for row in copy.changes(10)]
+        self.assertEqual(changed, [("a", None), ("b", b"2")])
         self.assertEqual([row.key for row in copy.changes(None)], ["b"])
 
-    def test_row_that_comes_back_is_not_told_as_dropped(self):
+    def test_row_written_again_is_not_reported_as_deleted(self):
         copy = TableCopy()
         copy.replace(self.reading(10))
         copy.apply(self.reading(11, a=None))
         copy.apply(self.reading(12, a=b"2"))
         self.assertEqual([row.value for row in copy.changes(10)], [b"2"])
 
-    def test_older_reading_does_not_turn_the_version_back(self):
+    def test_older_reading_does_not_decrease_the_version(self):
         copy = TableCopy()
         copy.replace(self.reading(10, a=b"1"))
         copy.apply(self.reading(8))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_shares.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_shares.py
@@ -9,7 +9,7 @@
 
 class ChooserTests(unittest.TestCase):
     @given(st.lists(st.integers(1, 100), min_size=1, max_size=5), st.integers(1, 300))
-    def test_each_pool_stays_within_one_request_of_its_part(self, weights, count):
+    def test_each_pool_stays_close_to_its_share(self, weights, count):
         shares = tuple(
             PoolShare(pool=str(number), weight=weight)
             for number, weight in enumerate(weights)
@@ -20,12 +20,12 @@
             due = count * share.weight / sum(weights)
             self.assertLess(abs(taken.count(share.pool) - due), len(weights))
 
-    def test_pool_without_weight_gets_nothing(self):
+    def test_pool_without_weight_gets_no_requests(self):
         shares = (PoolShare(pool="a", weight=1), PoolShare(pool="b", weight=0))
         chooser = PoolChooser()
         self.assertEqual({chooser.choose("r", shares) for _ in range(20)}, {"a"})
 
-    def test_pool_that_left_a_route_keeps_no_claim(self):
+    def test_pool_removed_from_a_route_keeps_no_credit(self):
         chooser = PoolChooser()
         chooser.choose(
             "r", (PoolShare(pool="a", weight=1), PoolShare(pool="b", weight=9))
