--- a/libs/decisions/src/hemlockhoist/decisions/entry/evacuation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/evacuation.py
@@ -1,4 +1,4 @@
-"""The failure domains that operators have taken out of use."""
+"""Failure domains that operators have evacuated."""
 
 import msgspec
 
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_shares.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_shares.py
@@ -15,10 +15,10 @@
             for number, weight in enumerate(weights)
         )
         chooser = PoolChooser()
-        taken = [chooser.choose("route", shares) for _ in range(count)]
+        chosen = [chooser.choose("route", shares) for _ in range(count)]
         for share in shares:
-            due = count * share.weight / sum(weights)
-            self.assertLess(abs(taken.count(share.pool) - due), len(weights))
+            expected = count * share.weight / sum(weights)
+            self.assertLess(abs(chosen.count(share.pool) - expected), len(weights))
 
     def test_pool_without_weight_gets_no_requests(self):
         shares = (PoolShare(pool="a", weight=1), PoolShare(pool="b", weight=0))
--- a/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
@@ -173,7 +173,7 @@
         Returns
         =======
         tuple
-            Of ``(customer, ((age_ms, units), …))``, as ``add_reported`` takes it.
+            Of ``(customer, ((age_ms, units), …))``, as accepted by ``add_reported``.
         """
         found = []
         for customer, usage in self._usage.items():
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
@@ -39,13 +39,13 @@
 
     def test_hot_customer_is_held_to_its_bound(self):
         tracker = new_tracker()
-        taken = sum(
+        acquired = sum(
             500
             for at in range(0, WINDOW_MS, 50)
             if not tracker.acquire("port", 500, at)
         )
-        self.assertLessEqual(taken, USED_FRACTION * BOUND)
-        self.assertGreater(taken, USED_FRACTION * BOUND - 500)
+        self.assertLessEqual(acquired, USED_FRACTION * BOUND)
+        self.assertGreater(acquired, USED_FRACTION * BOUND - 500)
 
     def test_returned_wait_ends_when_units_are_available(self):
         tracker = new_tracker()
@@ -70,19 +70,21 @@
         tracker.declare([KeyedCustomer(name="port", allowance=lower)])
         self.assertGreater(tracker.acquire("port", 10, 100), 0)
 
-    def check_total_loss(self, previous, spent_ms, back_ms):
+    def check_total_loss(self, previous, request_times_ms, back_ms):
         """Let a customer at its bound continue after a loss of all hosts."""
-        taken = [at for at in spent_ms if not previous.acquire("port", 100, at)]
-        lost_ms = spent_ms[-1]
+        acquired = [
+            at for at in request_times_ms if not previous.acquire("port", 100, at)
+        ]
+        lost_ms = request_times_ms[-1]
         record = previous.usage_to_record(lost_ms)
         tracker = new_tracker()
         tracker.set_unknown_usage(UnknownUsage(fraction=1.0, since_ms=back_ms))
         tracker.add_recorded("former", record, lost_ms, back_ms)
         for at in range(back_ms, back_ms + 12_000, 20):
             if not tracker.acquire("port", 100, at):
-                taken.append(at)
-        for start in taken:
-            inside = sum(100 for at in taken if start <= at < start + WINDOW_MS)
+                acquired.append(at)
+        for start in acquired:
+            inside = sum(100 for at in acquired if start <= at < start + WINDOW_MS)
             self.assertLessEqual(inside, BOUND)
 
     def test_restart_of_all_hosts_does_not_grant_the_window_twice(self):
@@ -132,24 +134,24 @@
         partitions = [new_tracker(), new_tracker()]
         partitions[0].set_share(0.7)
         partitions[1].set_share(0.3)
-        taken = sum(
+        acquired = sum(
             100
             for at in range(200)
             for partition in partitions
             if not partition.acquire("port", 100, at)
         )
-        self.assertLessEqual(taken, BOUND)
+        self.assertLessEqual(acquired, BOUND)
 
     @given(st.lists(st.tuples(st.integers(0, 900), st.integers(1, 4_000)), max_size=80))
     def test_no_window_exceeds_the_bound(self, steps):
-        tracker, now_ms, taken = new_tracker(overshoot=0.1, tolerance=500), 0, []
+        tracker, now_ms, acquired = new_tracker(overshoot=0.1, tolerance=500), 0, []
         bound = BOUND * 1.1 + 500
         for step_ms, units in steps:
             now_ms += step_ms
             if tracker.acquire("port", units, now_ms) == 0:
-                taken.append((now_ms, units))
-        for start, _ in taken:
-            inside = [u for at, u in taken if start <= at < start + WINDOW_MS]
+                acquired.append((now_ms, units))
+        for start, _ in acquired:
+            inside = [u for at, u in acquired if start <= at < start + WINDOW_MS]
             self.assertLessEqual(sum(inside), bound)
 
     def test_no_window_exceeds_the_bound_when_requests_wait(self):
@@ -182,10 +184,10 @@
         for at in range(0, 2_000, 100):
             log.add("dossiers", "h1", "port", 400, at)
         successor.add_reported("h3", log.report("dossiers", "h2", 2_000), 9_000)
-        taken = sum(
+        acquired = sum(
             100 for _ in range(200) if not successor.acquire("port", 100, 9_000)
         )
-        self.assertLessEqual(taken, BOUND - 8_000)
+        self.assertLessEqual(acquired, BOUND - 8_000)
 
     def test_units_granted_before_the_record_is_read_are_not_treated_as_reported(self):
         """A customer exceeds its bound by a tenth after a loss of all hosts.
@@ -222,14 +224,14 @@
         )
 
     def test_usage_both_reported_and_recorded_counts_once(self):
-        spent = (("port", ((500, 3_000), (900, 2_000))),)
+        usage_by_customer = (("port", ((500, 3_000), (900, 2_000))),)
         for first, second in ((0, 1), (1, 0)):
             successor = new_tracker()
             for which in (first, second):
                 if which:
-                    successor.add_recorded("former", spent, 10, 10)
+                    successor.add_recorded("former", usage_by_customer, 10, 10)
                 else:
-                    successor.add_reported("h1", spent, 10)
+                    successor.add_reported("h1", usage_by_customer, 10)
             left = int(USED_FRACTION * BOUND) - 5_000
             self.assertEqual(successor.units_left("port", 10), left)
 
@@ -249,9 +251,9 @@
         first, between = new_tracker(), new_tracker()
         log = UsageLog(WINDOW_MS)
 
-        def serve(home, run, at):
+        def serve(home, incarnation, at):
             self.assertEqual(home.acquire("port", 400, at), 0)
-            log.add("dossiers", run, "port", 400, at)
+            log.add("dossiers", incarnation, "port", 400, at)
 
         for at in range(0, 2_000, 500):
             serve(first, "r1", at)
@@ -287,16 +289,16 @@
     def test_no_window_exceeds_the_bound_as_homes_change(self, steps):
         """Two hosts alternate as home, and each gets a report of the other's usage."""
         homes, log = {"r1": new_tracker(), "r2": new_tracker()}, UsageLog(WINDOW_MS)
-        run, now_ms, taken = "r1", 0, []
+        incarnation, now_ms, acquired = "r1", 0, []
         for step_ms, units, changes in steps:
             now_ms += step_ms
             if changes:
-                run = "r2" if run == "r1" else "r1"
-                spent = log.report("dossiers", run, now_ms)
-                homes[run].add_reported("h1", spent, now_ms)
-            if homes[run].acquire("port", units, now_ms) == 0:
-                log.add("dossiers", run, "port", units, now_ms)
-                taken.append((now_ms, units))
-        for start, _ in taken:
-            inside = [u for at, u in taken if start <= at < start + WINDOW_MS]
+                incarnation = "r2" if incarnation == "r1" else "r1"
+                usage_by_customer = log.report("dossiers", incarnation, now_ms)
+                homes[incarnation].add_reported("h1", usage_by_customer, now_ms)
+            if homes[incarnation].acquire("port", units, now_ms) == 0:
+                log.add("dossiers", incarnation, "port", units, now_ms)
+                acquired.append((now_ms, units))
+        for start, _ in acquired:
+            inside = [u for at, u in acquired if start <= at < start + WINDOW_MS]
             self.assertLessEqual(sum(inside), BOUND)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/usage.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/usage.py
@@ -55,10 +55,10 @@
         record stop at the first negative bucket.
         """
         for bucket in reversed(self._buckets):
-            taken = min(units, bucket[1])
-            bucket[1] -= taken
-            self.total -= taken
-            units -= taken
+            subtracted = min(units, bucket[1])
+            bucket[1] -= subtracted
+            self.total -= subtracted
+            units -= subtracted
             if not units:
                 return
 
@@ -67,9 +67,9 @@
         number = from_ms // self._bucket_ms
         for bucket in self._buckets:
             if bucket[0] == number:
-                taken = min(units, bucket[1])
-                bucket[1] -= taken
-                self.total -= taken
+                subtracted = min(units, bucket[1])
+                bucket[1] -= subtracted
+                self.total -= subtracted
         self.add(units, now_ms)
 
     def expire(self, now_ms):
@@ -105,7 +105,7 @@
     Parameters
     ==========
     at_ms : int
-        When it was taken; later usage is not included.
+        Time of the report; later usage is not included.
     buckets : tuple of (int, int)
         Start of each bucket, and the units used in it.
     """
--- a/libs/decisions/src/hemlockhoist/decisions/membership/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which hosts are live, which of them is home to a shard, which to name to callers."""
+"""Fleet membership: live hosts, homes of shards, and addresses for callers."""
 
 from hemlockhoist.decisions.membership.membership import Membership
 from hemlockhoist.decisions.membership.records import (
--- a/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
@@ -1,20 +1,21 @@
-"""The answer to "which hosts shall I use"."""
+"""Selection of host addresses to return to callers."""
 
 import collections
 
 from hemlockhoist.decisions.membership.records import AddressAnswer
 
 MAX_ADDRESSES = 4
-# Long enough that asking is no load (40,000 requests a second from callers that keep
-# it), short enough that a leaving host is asked by nobody new after half a minute.
+# Long enough that address requests cause no load (40,000 requests per second from
+# callers that cache the answer), short enough that a leaving host gets no requests from
+# new callers after half a minute.
 ANSWER_TTL_MS = 30_000
 
 
 def choose_addresses(members, rng):
-    """Return an ``AddressAnswer`` spread over failure domains.
+    """Return an ``AddressAnswer`` with hosts of different failure domains.
 
-    Domains are taken in turn, beginning at a random one, and a random host of each: so
-    callers spread over hosts, and one domain's loss leaves a caller an address.
+    Domains are used in turn in random order, with a random host of each. This spreads
+    callers over the hosts, and the loss of one domain leaves a caller an address.
 
     Parameters
     ==========
--- a/libs/decisions/src/hemlockhoist/decisions/membership/gossip.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/gossip.py
@@ -1,37 +1,37 @@
-"""Which news to put into the next message, a bounded number at a time."""
+"""Dissemination of membership updates piggybacked on messages."""
 
 import math
 
 from hemlockhoist.messages.membership import Health
 
-# 8 updates are about 1 KB: at four messages a period well inside a host's budget of
-# 27 KB a second for control.
+# 8 updates are about 1 KB: at four messages per period this is well within a host's
+# budget of 27 KB per second for control traffic.
 MAX_UPDATES_PER_MESSAGE = 8
-_REPEATS_PER_DOUBLING = 3
-# A host that has joined tells some others itself, probes all in turn, and each reads the
-# list from time to time; what is held against a host, or that it leaves, nobody else
-# tells.
-_JOIN_REPEATS = 4
+_TRANSMISSIONS_PER_DOUBLING = 3
+# A join needs fewer transmissions: the new host introduces itself to some others and
+# probes all in turn, and each host reads the member list from time to time. Suspicions
+# and leaves are disseminated by gossip alone.
+_JOIN_TRANSMISSIONS = 4
 
 
 class GossipQueue:
-    """Repeats each piece of news in a number of messages that grows with log(hosts).
+    """Repeats each update in a number of messages that grows with log(hosts).
 
-    The news least often sent goes first, so that a burst (a failure domain goes) does
-    not hold fresh news back behind what most hosts have already.
+    The updates sent least often go first, so that in a burst (loss of a failure domain)
+    new updates are not delayed by those that most hosts already have.
     """
 
-    __slots__ = ("_news",)
+    __slots__ = ("_entries",)
 
     def __init__(self):
-        self._news = {}
+        self._entries = {}
 
     def __len__(self):
-        return len(self._news)
+        return len(self._entries)
 
     def put(self, update):
-        """Queue an update; it takes the place of an older one on that address."""
-        self._news[update.member.address] = [0, update]
+        """Queue an update; it replaces an older one for the same address."""
+        self._entries[update.member.address] = [0, update]
 
     def take(self, member_count):
         """Return the updates for one message.
@@ -39,18 +39,18 @@
         Parameters
         ==========
         member_count : int
-            Of the whole fleet.
+            Number of members in the whole fleet.
         """
         doublings = max(1, math.ceil(math.log2(member_count + 1)))
-        chosen = sorted(self._news.items(), key=lambda item: item[1][0])
+        chosen = sorted(self._entries.items(), key=lambda item: item[1][0])
         chosen = chosen[:MAX_UPDATES_PER_MESSAGE]
-        for address, news in chosen:
-            news[0] += 1
-            if news[0] >= _repeats(news[1], doublings):
-                del self._news[address]
-        return tuple(news[1] for _, news in chosen)
+        for address, entry in chosen:
+            entry[0] += 1
+            if entry[0] >= _max_transmissions(entry[1], doublings):
+                del self._entries[address]
+        return tuple(entry[1] for _, entry in chosen)
 
 
-def _repeats(update, doublings):
+def _max_transmissions(update, doublings):
     is_join = update.health is Health.ALIVE and not (update.revision or update.leaving)
-    return _JOIN_REPEATS if is_join else _REPEATS_PER_DOUBLING * doublings
+    return _JOIN_TRANSMISSIONS if is_join else _TRANSMISSIONS_PER_DOUBLING * doublings
--- a/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
@@ -1,8 +1,8 @@
-"""Which hosts there are, from the hosts' own probes and the platform's lagging list.
+"""Fleet membership from the hosts' own probes and the platform's lagging list.
 
-The list tells where hosts may be; probes tell whether they are. A host that answers is
-live, whatever the list says. A list that is empty, old or out of reach changes nothing:
-hosts are found gone by probes alone.
+The list provides addresses at which hosts may be; probes determine whether they are. A
+host that answers is live, whatever the list contains. A list that is empty, outdated or
+unreachable changes nothing: only probes detect that a host is gone.
 """
 
 import random
@@ -28,27 +28,27 @@
     ProbeRequest,
 )
 
-# Told directly, a fleet of today's size knows of a leaving host after one message; in
-# a large one the rest hear it from these within a few periods.
+# With direct notification, a fleet of the current size learns of a leaving host after
+# one message; in a larger one the rest learn of it by gossip within a few periods.
 LEAVE_FANOUT = 64
-# A host that starts introduces itself to those that may be home or read the store, and
-# to so many others: the rest hear of it within a few periods.
+# A starting host introduces itself to the hosts that may be home or read the store, and
+# to this many others; the rest learn of it by gossip within a few periods.
 INTRODUCTION_FANOUT = 12
 GONE_RETENTION_MS = 600_000
 REFUTATION_GRACE_MS = 5_000
-# Reading the whole list again heals what gossip has lost; at 1,300 hosts that is
-# 170 KB, so it is done about every five minutes.
+# Reading the whole member list again repairs what gossip has lost. At 1,300 hosts this
+# takes 170 KB, so it is done about every five minutes.
 REFRESH_MS = 300_000
 _FIRST_REFRESH_MS = 2_000
-# Of the probes, one in this many goes to a host that the list has and probes have not:
-# so two halves of a fleet that were cut apart find each other again.
-_GONE_PROBE_EVERY = 5
+# Once in this many periods, a host that is listed but gone is probed as well, so that
+# the partitions of a fleet find each other again.
+_GONE_PROBE_INTERVAL = 5
 MAX_HOMES = 4
-_CACHED_HOMES = 1_024
+_MAX_CACHED_HOMES = 1_024
 
 
 class Membership:
-    """This host's view of the fleet.
+    """Maintains this host's view of the fleet.
 
     Parameters
     ==========
@@ -57,15 +57,15 @@
     """
 
     __slots__ = (
+        "_has_full_list",
         "_homes",
         "_homes_version",
         "_listed",
         "_other_addresses",
         "_others_version",
-        "_probes",
+        "_probe_count",
         "_refresh_ms",
         "_rng",
-        "_synced",
         "gossip",
         "prober",
         "table",
@@ -75,46 +75,46 @@
         self.table = MemberTable(MemberUpdate(member=own))
         self.gossip = GossipQueue()
         self.prober = Prober(rng)
-        self._synced = False
+        self._has_full_list = False
         self._rng = rng
         self._listed = {}
         self._other_addresses = []
         self._others_version = -1
         self._homes = {}
         self._homes_version = -1
-        self._probes = 0
+        self._probe_count = 0
         self._refresh_ms = None
 
     @classmethod
     def from_config(cls, own, seed):
-        """Return a view that knows this host alone.
+        """Return a view that contains only this host.
 
         Parameters
         ==========
         own : hemlockhoist.messages.membership.Member
-            With the incarnation of this run.
+            With the incarnation of this process.
         seed : int or str
-            Of the random order of probes and addresses.
+            Seed for the random order of probes and addresses.
         """
         return cls(own, random.Random(seed))
 
     @property
     def own(self):
-        """This host's account of itself."""
+        """This host's update about itself."""
         return self.table.own
 
     @property
     def version(self):
-        """Differs after every change of the view."""
+        """A number that changes with every change of the view."""
         return self.table.version
 
     def set_list(self, listed, now_ms):
-        """Take the platform's list.
+        """Set the platform's list of hosts.
 
         Parameters
         ==========
         listed : sequence of ListedHost
-            Empty, or None when the platform was out of reach: nothing changes then.
+            If empty, or None because the platform was unreachable, nothing changes.
         now_ms : int
         """
         if not listed:
@@ -136,13 +136,16 @@
             self.table.mark_listed_leaving(entry, item.leaving)
 
     def next_due_ms(self, now_ms):
-        """Return after how long ``tick`` has something to do, 0 while that may be soon."""
+        """Return the time until ``tick`` has work to do, or 0 if that may be soon."""
         if self.table.has_suspect:
             return 0
         return self.prober.next_due_ms(now_ms)
 
     def tick(self, now_ms):
-        """Do what is due; return the ``Outgoing`` messages. Call a few times a second."""
+        """Perform what is due and return the ``Outgoing`` messages.
+
+        To be called a few times per second.
+        """
         if self.prober.record_time(now_ms):
             for entry in self.table:
                 entry.changed_ms = now_ms
@@ -156,55 +159,59 @@
         return outgoing
 
     def on_message(self, message, now_ms):
-        """Take a peer's message; return the ``Outgoing`` messages that follow."""
+        """Handle a peer's message and return the ``Outgoing`` messages that follow."""
         protocol.apply_updates(self, (message.sender,), now_ms)
         protocol.apply_updates(self, getattr(message, "updates", ()), now_ms)
         return protocol.respond(message, self, now_ms)
 
     def introduce(self):
-        """Return the messages that tell others of this host, which has just started.
+        """Return the messages by which a host that has just started introduces itself.
 
-        Waiting to be found by probes takes some seconds in a fleet of fifty, in which
-        callers are not told of it and its requests go to a home that does not know it.
+        Discovery by probes takes some seconds in a fleet of fifty, during which the
+        host is not advertised to callers and its requests go to a home that does not
+        know it.
 
-        Load: all hosts of a fleet start at once. Told to all, and answered with news by
-        each, it was a third of all bytes between failure domains.
+        Only a bounded number of hosts is notified. When all hosts of a fleet start at
+        once, introductions to every host, each answered with updates, were a third of
+        all bytes between failure domains.
         """
         message = Probe(number=0, sender=self.own, updates=())
         strong = (member.address for member in high_capacity_members(self._usable()))
-        addresses = {*strong, *self._some_others(INTRODUCTION_FANOUT)}
+        addresses = {*strong, *self._sample_others(INTRODUCTION_FANOUT)}
         addresses.discard(self.own.member.address)
         return [Outgoing(address, message) for address in sorted(addresses)]
 
-    def _some_others(self, count=LEAVE_FANOUT):
-        peers = self._others()
+    def _sample_others(self, count=LEAVE_FANOUT):
+        peers = self._other_live_addresses()
         return self._rng.sample(peers, min(count, len(peers)))
 
     def leave(self, now_ms, successor=""):
-        """Say that this host takes no new work; return the messages that tell it.
+        """Mark this host as leaving, and return the messages that announce it.
 
         Parameters
         ==========
         now_ms : int
         successor : str, optional
-            Incarnation that has taken the key ledger; a second call may add it.
+            Incarnation that has taken over the key ledger; a second call may add it.
         """
         own = self.table.set_own(leaving=True, successor=successor)
         self.gossip.put(own)
         message = Probe(number=0, sender=own, updates=())
-        return [Outgoing(address, message) for address in self._some_others()]
+        return [Outgoing(address, message) for address in self._sample_others()]
 
     def report_unresponsive(self, address, now_ms):
-        """Take a host's silence to repeated questions as a failed probe.
+        """Treat a host that left repeated requests unanswered as a failed probe.
 
-        Made for a home that is frozen: a whole pool waits for it, and a probe may come
-        round to it only seconds later. A host that has just refuted a suspicion is
-        left alone for a while, so that one that is slow is not moved to and fro.
+        This shortens the detection of a frozen home: a whole pool waits for it, and the
+        next probe of it may be seconds away. A host that has just refuted a suspicion
+        is not suspected again for a while, so that the pools of a slow home do not
+        flap.
 
         Returns
         =======
         list of Outgoing
-            That tell the suspicion, also to the suspect, who may refute it.
+            Messages that announce the suspicion, also to the suspect, which may refute
+            it.
         """
         entry = self.table.get(address)
         if entry is None or entry.update.health is not Health.ALIVE:
@@ -215,15 +222,16 @@
         self._suspect(address, now_ms)
         return [
             Outgoing(item, Probe(number=0, sender=self.own, updates=(entry.update,)))
-            for item in {*self._some_others(), address}
+            for item in {*self._sample_others(), address}
         ]
 
     def report_connection_refused(self, address, now_ms):
-        """Take a refused connection after a broken one: nobody listens there.
+        """Declare a host gone whose address refused a connection after one broke.
 
-        Waiting out a suspicion would leave the pools that the host was home of without
-        a home for seconds. A process that is frozen or cut off refuses nothing, and
-        one that was wrongly reported refutes it under a higher revision.
+        Nothing listens there, and waiting for a suspicion to time out would leave the
+        host's pools without a home for seconds. A process that is frozen or cut off
+        does not refuse connections, and one that was wrongly reported refutes it under
+        a higher revision.
         """
         entry = self.table.get(address)
         own = address == self.own.member.address
@@ -237,26 +245,26 @@
         return events
 
     def live_hosts(self):
-        """Return the members that are not gone, sorted by address; leaving ones too."""
+        """Return the members that are not gone, including leaving ones, by address."""
         members = [entry.member for entry in self.table if entry.is_live]
         return sorted(members, key=lambda item: item.address)
 
     def confirmed_members(self):
-        """Return the members that have been heard of and neither leave nor miss probes.
+        """Return the members of known incarnation that are neither leaving nor suspect.
 
-        This host is among them, unless it leaves.
+        This host is among them, unless it is leaving.
         """
-        return [member for member in self._answering() if member.incarnation]
+        return [member for member in self._responsive() if member.incarnation]
 
     @property
     def is_high_capacity(self):
-        """Whether this host is among those that may be home, as far as it knows."""
+        """Whether this host may be a home, by the members that it knows."""
         return self.own.member in high_capacity_members(self._usable())
 
     def count_lost(self, now_ms, within_ms):
-        """Return how many hosts were lost lately without having said that they leave.
+        """Return the number of hosts lost recently that had not announced leaving.
 
-        They may be cut off and go on serving.
+        They may be cut off and still serving.
         """
         return sum(
             1
@@ -274,7 +282,7 @@
         return None
 
     def homes(self, pool, shard, upstreams_by_domain=None, count=2):
-        """Return the members that are home to a shard, and next in line.
+        """Return the home of a shard, followed by the next candidates.
 
         Parameters
         ==========
@@ -287,11 +295,11 @@
         Returns
         =======
         tuple of Member
-            Empty when every host leaves.
+            Empty if all hosts are leaving.
         """
         if (
             self._homes_version != self.table.version
-            or len(self._homes) > _CACHED_HOMES
+            or len(self._homes) > _MAX_CACHED_HOMES
         ):
             self._homes = {}
             self._homes_version = self.table.version
@@ -299,7 +307,7 @@
         name = (pool, shard, domains)
         if name not in self._homes:
             ranked = rank_members(
-                high_capacity_members(self._answering()),
+                high_capacity_members(self._responsive()),
                 f"{pool}/{shard}",
                 upstreams_by_domain,
             )
@@ -307,26 +315,30 @@
         return self._homes[name][:count]
 
     def rank(self, name):
-        """Return the usable members by rendezvous score for any ``name``."""
+        """Return the usable members by descending rendezvous score for ``name``."""
         return rank_members(self._usable(), name)
 
     def address_answer(self, now_ms):
-        """Return the ``AddressAnswer`` for a caller: no suspect or leaving host."""
-        return choose_addresses(self._named(), self._rng)
+        """Return the ``AddressAnswer`` for a caller.
 
-    def caller_addresses(self):
-        """Return the callers' addresses of all hosts that are neither suspect nor
-        leaving, in a random order.
+        It contains no suspect or leaving hosts.
         """
+        return choose_addresses(self._advertised(), self._rng)
+
+    def caller_addresses(self):
+        """Return the caller addresses of all advertised members, in random order."""
         return [member.caller_address for member in self.advertised_members()]
 
     def advertised_members(self):
-        """Return the members that callers may be told of, in a random order."""
-        members = self._named()
+        """Return the members that callers may use, in random order.
+
+        They are neither suspect nor leaving.
+        """
+        members = self._advertised()
         self._rng.shuffle(members)
         return members
 
-    def _named(self):
+    def _advertised(self):
         return [
             entry.member
             for entry in self.table
@@ -338,22 +350,22 @@
     def updates_for(self, address):
         """Return the updates for the next message to ``address``.
 
-        What is held against the addressee itself is always among them: only it can
-        refute that, under a higher revision.
+        A suspicion about the addressee itself is always among them: only the addressee
+        can refute it, under a higher revision.
         """
         return (*self.suspicions_about(address), *self.gossip.take(len(self.table)))
 
     def suspicions_about(self, address):
-        """Return what is held against a host, for itself to refute; mostly nothing."""
+        """Return the update that reports a host suspect or gone, if any, in a tuple."""
         entry = self.table.get(address)
         if entry is None or entry.update.health is Health.ALIVE:
             return ()
         return (entry.update,)
 
     def next_page(self, page, now_ms):
-        """Take a page of members; return the request for the next one, if any."""
+        """Return the request for the page after ``page``, or none after the last."""
         if not page.next_after:
-            self._synced = True
+            self._has_full_list = True
             return []
         message = MembersRequest(sender=self.own, after=page.next_after)
         return [Outgoing(page.sender.member.address, message)]
@@ -361,17 +373,17 @@
     def _usable(self):
         return [e.member for e in self.table if e.is_live and not e.is_leaving]
 
-    def _answering(self):
-        """Return the usable members without a suspicion, or all where none is left.
+    def _responsive(self):
+        """Return the usable members that are not suspect, or all if every one is.
 
-        A pool whose home does not answer stands still; moving it back costs one
-        exchange of held grants, should the suspicion be refuted.
+        A pool whose home does not answer makes no progress; if the suspicion is
+        refuted, moving the pool back costs one exchange of held grants.
         """
         usable = [e for e in self.table if e.is_live and not e.is_leaving]
         alive = [e.member for e in usable if e.update.health is Health.ALIVE]
         return alive or [e.member for e in usable]
 
-    def _others(self):
+    def _other_live_addresses(self):
         if self._others_version != self.table.version:
             own_address = self.own.member.address
             self._others_version = self.table.version
@@ -382,13 +394,15 @@
             ]
         return self._other_addresses
 
-    def _is_other(self, address):
+    def _is_other_live(self, address):
         entry = self.table.get(address)
         own_address = self.own.member.address
         return entry is not None and entry.is_live and address != own_address
 
     def _probe_live(self, now_ms):
-        target = self.prober.next_target(self._others(), self._is_other)
+        target = self.prober.next_target(
+            self._other_live_addresses(), self._is_other_live
+        )
         if target is None:
             return []
         number = self.prober.probe(target, now_ms)
@@ -398,10 +412,10 @@
         return [Outgoing(target, message)]
 
     def _probe_gone(self):
-        self._probes += 1
+        self._probe_count += 1
         gone = [e.member.address for e in self.table.unhealthy() if not e.is_live]
         listed = [address for address in gone if address in self._listed]
-        if not listed or self._probes % _GONE_PROBE_EVERY:
+        if not listed or self._probe_count % _GONE_PROBE_INTERVAL:
             return []
         target = self._rng.choice(listed)
         message = Probe(number=0, sender=self.own, updates=self.updates_for(target))
@@ -409,13 +423,13 @@
 
     def _indirect_probes(self, now_ms):
         outgoing = []
-        others = self._others()
+        others = self._other_live_addresses()
         for number, target in self.prober.due_indirect(now_ms):
-            for helper in self.prober.choose_helpers(others, target):
+            for relay_address in self.prober.choose_relays(others, target):
                 message = ProbeRequest(
                     number=number, sender=self.own, target_address=target
                 )
-                outgoing.append(Outgoing(helper, message))
+                outgoing.append(Outgoing(relay_address, message))
         return outgoing
 
     def _fail_probes(self, now_ms):
@@ -448,10 +462,10 @@
     def _refresh(self, now_ms):
         if self._refresh_ms is None:
             self._refresh_ms = now_ms
-        peers = self._others()
+        peers = self._other_live_addresses()
         if now_ms < self._refresh_ms or not peers:
             return []
-        interval_ms = REFRESH_MS if self._synced else _FIRST_REFRESH_MS
+        interval_ms = REFRESH_MS if self._has_full_list else _FIRST_REFRESH_MS
         self._refresh_ms = now_ms + self._rng.randrange(interval_ms, 2 * interval_ms)
         message = MembersRequest(sender=self.own)
         return [Outgoing(self._rng.choice(peers), message)]
--- a/libs/decisions/src/hemlockhoist/decisions/membership/prober.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/prober.py
@@ -1,8 +1,8 @@
-"""Probing: one host in each period, directly and then through others.
+"""Failure detection: one host is probed per period, directly and then through others.
 
-A host sends one probe a period and gets one on average, whatever the fleet's size. A
-host that does not answer is probed through a few others, so that one broken link does
-not make it suspect; a suspect one has some periods to refute.
+A host sends one probe per period and receives one on average, at any fleet size. A host
+that does not answer is probed through a few others, so that one broken link does not
+make it suspect; a suspect host has some periods to refute the suspicion.
 """
 
 import math
@@ -13,17 +13,17 @@
 ACK_TIMEOUT_MS = 300
 INDIRECT_PROBES = 3
 MAX_RELAYS = 64
-# 8 hosts: 4 s from suspicion to "gone"; 1,300 hosts: 10 s, for news then takes longer
-# to reach the suspect and its refutation to come back.
+# A suspect host is declared gone after 4 s with 8 hosts, and after 10 s with 1,300
+# hosts, where the suspicion and its refutation take longer to spread.
 _MIN_SUSPICION_PERIODS = 4
 _SUSPICION_PERIODS_PER_DECADE = 3
-# A host whose own probes all fail is probably cut off itself: it waits longer before
-# it calls others gone, but not for ever, for all of its peers may be.
+# A host whose probes all fail is probably cut off itself. It waits longer before it
+# declares others gone, but not forever, as all of its peers may really be gone.
 _MAX_FAILURES = 3
 
 
 class PendingProbe:
-    """A probe without an answer yet.
+    """A probe that has not been answered yet.
 
     Parameters
     ==========
@@ -40,7 +40,7 @@
 
 
 class Prober:
-    """Chooses whom to probe, and tells when a probe has failed.
+    """Chooses the hosts to probe and detects failed probes.
 
     Parameters
     ==========
@@ -69,11 +69,12 @@
         self.relays = {}
 
     def record_time(self, now_ms):
-        """Take the time; return how long this process stood still, in milliseconds.
+        """Record the time; return how long this process was suspended, in milliseconds.
 
-        Failure: a process is frozen for a minute. On waking, every probe it had sent
-        and every suspicion it held looks overdue, and it calls live hosts gone. The
-        answers may wait unread; time it did not live through counts for nobody.
+        After a process was frozen for a minute, every pending probe and suspicion looks
+        overdue, and it would declare live hosts gone, although their answers may wait
+        unread. Pending probes are therefore dropped, and the time during which the
+        process did not run must not be counted against any host.
         """
         last_ms = now_ms if self._last_ms is None else self._last_ms
         self._last_ms = max(now_ms, last_ms)
@@ -84,9 +85,9 @@
         return frozen_ms
 
     def is_due(self, now_ms):
-        """Return whether a period has passed, and begin the next one."""
+        """Return whether a period has passed, and start the next one if so."""
         if self._due_ms is None:
-            # A random phase: hosts that start together do not probe together.
+            # Random phase, so that hosts that start together do not probe together.
             self._due_ms = now_ms + self._rng.randrange(PERIOD_MS)
         if now_ms < self._due_ms:
             return False
@@ -94,16 +95,16 @@
         return True
 
     def next_due_ms(self, now_ms):
-        """Return the time to the next period; 0 while a probe has no answer yet."""
+        """Return the time to the next period, or 0 while a probe is pending."""
         if self._pending or self._due_ms is None:
             return 0
         return max(0, self._due_ms - now_ms)
 
     def next_target(self, addresses, is_known):
-        """Return the next address to probe, or None when there is none.
+        """Return the next address to probe, or None if there is none.
 
         All addresses are probed once before any is probed again, in a new random order
-        each time: a host that dies is probed by someone within a few periods.
+        each time, so that some host probes a dead one within a few periods.
         """
         while self._order:
             address = self._order.pop()
@@ -114,13 +115,13 @@
         return self._order.pop() if self._order else None
 
     def probe(self, address, now_ms):
-        """Return the number of a new probe of ``address``."""
+        """Start a probe of ``address`` and return its number."""
         self._number += 1
         self._pending[self._number] = PendingProbe(address, now_ms)
         return self._number
 
     def relay(self, address, requester, number):
-        """Return the number of a probe that is made for another host."""
+        """Start a probe on behalf of another host and return its number."""
         self._number += 1
         self.relays[self._number] = (address, requester, number)
         while len(self.relays) > MAX_RELAYS:
@@ -128,10 +129,11 @@
         return self._number
 
     def acknowledged(self, number, address):
-        """Take an answer; return whether it was waited for.
+        """Record an acknowledgement; return whether its probe was pending.
 
-        The address is compared, for numbers begin anew with each run of this host: an
-        answer to the run before would else vouch for another host.
+        The address is compared, as numbers restart with each incarnation of this host:
+        an acknowledgement to the previous incarnation would otherwise count for another
+        host.
         """
         pending = self._pending.get(number)
         if pending is None or pending.address != address:
@@ -141,7 +143,7 @@
         return True
 
     def due_indirect(self, now_ms):
-        """Return ``(number, address)`` of the probes to repeat through others."""
+        """Return ``(number, address)`` of the probes to repeat indirectly."""
         due = []
         for number, pending in self._pending.items():
             if not pending.indirect and now_ms - pending.sent_ms >= ACK_TIMEOUT_MS:
@@ -150,7 +152,10 @@
         return due
 
     def due_failed(self, now_ms):
-        """Return the addresses whose probes failed in both ways, and forget them."""
+        """Return the addresses whose direct and indirect probes failed.
+
+        The failed probes are removed.
+        """
         failed = []
         for number, pending in list(self._pending.items()):
             if now_ms - pending.sent_ms >= PERIOD_MS:
@@ -160,19 +165,19 @@
         return failed
 
     def suspicion_ms(self, member_count):
-        """Return how long a suspect member has to refute."""
+        """Return the time that a suspect member has to refute the suspicion."""
         decades = math.log10(max(2, member_count))
         periods = max(_MIN_SUSPICION_PERIODS, _SUSPICION_PERIODS_PER_DECADE * decades)
         return int(periods * PERIOD_MS) * max(1, self._failures)
 
-    def choose_helpers(self, addresses, target):
-        """Return a few hosts to probe ``target`` through."""
+    def choose_relays(self, addresses, target):
+        """Return a few random hosts through which to probe ``target``."""
         others = [item for item in addresses if item != target]
         return self._rng.sample(others, min(INDIRECT_PROBES, len(others)))
 
 
 def is_overdue(entry, suspicion_ms, now_ms):
-    """Return whether a suspect member did not refute in time."""
+    """Return whether a member is suspect and its time to refute has passed."""
     if entry.update.health is not Health.SUSPECT:
         return False
     return now_ms - entry.changed_ms >= suspicion_ms
--- a/libs/decisions/src/hemlockhoist/decisions/membership/protocol.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/protocol.py
@@ -1,4 +1,4 @@
-"""Taking peers' messages: news first, then the answer that each kind asks for."""
+"""Handling of messages from peers: merging of updates, and the reply to each kind."""
 
 import functools
 
@@ -15,12 +15,12 @@
     ProbeRequest,
 )
 
-# About 8 KB; a new host among 1,300 reads 21 pages, once.
+# About 8 KB; a new host in a fleet of 1,300 reads 21 pages, once.
 MEMBERS_PER_PAGE = 64
 
 
 def apply_updates(membership, updates, now_ms):
-    """Merge accounts of members, pass news on, and refute what is said of this host."""
+    """Merge member updates, forward new ones, and refute wrong ones on this host."""
     own = membership.own
     for update in updates:
         if update.member.address == own.member.address:
@@ -33,23 +33,25 @@
 def _refute(membership, update):
     own = membership.own
     if update.member.incarnation != own.member.incarnation:
-        theirs = update.member.started_unix_ms
-        if theirs >= own.member.started_unix_ms:
-            # Failure: the host's date was set back, or two runs began in the same
-            # millisecond. Peers would take the run before this one for the newer, and
-            # would never list this one.
-            member = msgspec.structs.replace(own.member, started_unix_ms=theirs + 1)
+        peer_started_unix_ms = update.member.started_unix_ms
+        if peer_started_unix_ms >= own.member.started_unix_ms:
+            # The host's date was set back, or two incarnations started in the same
+            # millisecond. Peers would treat the previous incarnation as the newer one,
+            # and would never list this one.
+            member = msgspec.structs.replace(
+                own.member, started_unix_ms=peer_started_unix_ms + 1
+            )
             membership.gossip.put(membership.table.set_own(member=member))
         return
-    wrong = update.health is not Health.ALIVE or update.leaving != own.leaving
-    if wrong and update.revision >= own.revision:
+    contradicts_own = update.health is not Health.ALIVE or update.leaving != own.leaving
+    if contradicts_own and update.revision >= own.revision:
         refuted = membership.table.set_own(revision=update.revision)
         membership.gossip.put(refuted)
 
 
 @functools.singledispatch
 def respond(message, membership, now_ms):
-    """Return the ``Outgoing`` messages that a peer's message asks for."""
+    """Return the ``Outgoing`` messages with which to reply to a peer's message."""
     raise NotImplementedError(type(message))
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/membership/records.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/records.py
@@ -1,4 +1,4 @@
-"""What membership takes from the platform and hands to the host."""
+"""Records that membership exchanges with the platform and the host."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class ListedHost(msgspec.Struct, frozen=True, kw_only=True):
-    """One host of the platform's lagging list.
+    """A host in the platform's list, which may lag behind.
 
     Parameters
     ==========
@@ -16,7 +16,7 @@
     failure_domain : str
     leaving : bool
     processor_millicores : int
-        0 where it is not told.
+        0 if unknown.
     """
 
     address: str
@@ -27,7 +27,7 @@
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A message that the host has to send to a peer; losing it does no harm."""
+    """A message to be sent to a peer; its loss is tolerated."""
 
     address: str
     message: object
@@ -40,13 +40,13 @@
 
 
 class MemberLeaving(msgspec.Struct, frozen=True):
-    """An incarnation takes no new work."""
+    """An incarnation no longer accepts new work."""
 
     member: Member
 
 
 class MemberGone(msgspec.Struct, frozen=True):
-    """An incarnation does not answer any more, or another runs at its address."""
+    """An incarnation no longer answers, or another one runs at its address."""
 
     member: Member
 
@@ -59,15 +59,15 @@
 
 
 class AddressAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to "which hosts shall I use".
+    """The addresses returned to a caller that asks which hosts to use.
 
     Parameters
     ==========
     addresses : tuple of str
-        For callers, in the order to try them.
+        Caller addresses, in the order in which to try them.
     ttl_ms : int
-        How long a caller may keep the answer. A leaving host serves callers for at
-        least this long.
+        Time for which a caller may cache the answer. A leaving host serves callers for
+        at least this time.
     """
 
     addresses: tuple[str, ...]
--- a/libs/decisions/src/hemlockhoist/decisions/membership/rendezvous.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/rendezvous.py
@@ -1,31 +1,32 @@
-"""Rendezvous hashing: the same home from the same hosts, without any agreement."""
+"""Rendezvous hashing: hosts with the same view choose the same home."""
 
 import math
 
 import xxhash
 
-# A host in the failure domain of all of a shard's upstreams is this much likelier to
-# be its home than one in a domain without any: near enough to save a domain's 1.5 ms
-# on most grants, and still spread when one domain holds most upstreams.
+# Additional weight of a host in the failure domain of all of a shard's upstreams, over
+# a host in a domain without any: high enough to save the 1.5 ms between domains on most
+# grants, and low enough to spread homes when one domain holds most upstreams.
 LOCALITY_WEIGHT = 8
 _HASH_SPACE = 1 << 64
-# Hosts of at least this part of the strongest one's processor may be home: among unlike
-# machines some are several times as strong, and one that varies a little is as good.
+# Hosts with at least this fraction of the largest processor capacity may be home:
+# among heterogeneous machines some have several times the capacity of others, while
+# small differences do not matter.
 HIGH_CAPACITY_FRACTION = 0.5
 
 
 def rank_members(members, name, upstreams_by_domain=None):
-    """Return the members by falling score for ``name``; the first is its home.
+    """Return the members by descending score for ``name``; the first is its home.
 
-    When a member goes, only the names that it was home to move; when one comes, it
-    takes its share and no other name moves.
+    When a member is removed, only the names it was home to are reassigned; when one is
+    added, it takes over its share and no other name is reassigned.
 
     Parameters
     ==========
     members : iterable of Member
     name : str
     upstreams_by_domain : mapping of str to int, optional
-        How many of the shard's upstreams each failure domain has.
+        Number of the shard's upstreams in each failure domain.
 
     Returns
     =======
@@ -43,12 +44,12 @@
 
 
 def high_capacity_members(members):
-    """Return the members that are about as strong as the strongest.
+    """Return the members with about as much processor capacity as the largest.
 
-    Load: a fleet of 59 hosts, most of half a core and some of two, that sends 300
-    requests a second and twice that in bursts. Harm prevented: a weak host is home; its
-    processor and its link are full in each burst, and every request of the pool waits
-    there. A host that has told nothing counts as the others do.
+    In a fleet of 59 hosts, most with half a core and some with two, that sends 300
+    requests per second and twice that in bursts, the processor and the link of a home
+    with half a core are saturated in each burst, and every request of the pool waits
+    there. A host that has not reported its capacity is included.
 
     Parameters
     ==========
@@ -59,11 +60,12 @@
     list of Member
     """
     members = list(members)
-    most = max((member.processor_millicores for member in members), default=0)
+    max_millicores = max((member.processor_millicores for member in members), default=0)
     return [
         member
         for member in members
-        if HIGH_CAPACITY_FRACTION * most <= (member.processor_millicores or most)
+        if HIGH_CAPACITY_FRACTION * max_millicores
+        <= (member.processor_millicores or max_millicores)
     ]
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/membership/table.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/table.py
@@ -1,4 +1,4 @@
-"""The members and the rules by which two accounts of one member are merged."""
+"""The member table and the rules for merging updates of a member."""
 
 from hemlockhoist.decisions.membership.records import (
     MemberGone,
@@ -10,13 +10,13 @@
 
 
 class MemberEntry:
-    """One address and the newest run known there.
+    """The newest known incarnation at an address.
 
     Parameters
     ==========
     update : MemberUpdate
     changed_ms : int
-        When the health changed last.
+        When the health last changed.
     """
 
     __slots__ = ("changed_ms", "listed_leaving", "update")
@@ -28,23 +28,23 @@
 
     @property
     def member(self):
-        """The member itself."""
+        """The member that the update describes."""
         return self.update.member
 
     @property
     def is_leaving(self):
-        """Whether the host itself, or the list on this run of it, says so."""
+        """Whether the host, or the platform's list for this incarnation, reports so."""
         listed = self.listed_leaving
         return self.update.leaving or (listed and listed == self.member.incarnation)
 
     @property
     def is_live(self):
-        """Whether the host is not known to be gone; a suspect one still counts."""
+        """Whether the host is not known to be gone; a suspect host is still live."""
         return self.update.health is not Health.GONE
 
 
 class MemberTable:
-    """All members by address, this host's own included.
+    """Holds all members by address, including this host.
 
     Parameters
     ==========
@@ -81,12 +81,12 @@
     def unhealthy(self):
         """Return the entries of hosts that are suspect or gone.
 
-        There are few of them, so that a tick costs the same in a fleet of any size.
+        They are few, so that the cost of a tick does not depend on the fleet's size.
         """
         return [self._entries[address] for address in sorted(self._unhealthy)]
 
     def set_own(self, **fields):
-        """Change this host's account of itself under a higher revision."""
+        """Change this host's own update under a higher revision, and return it."""
         update = self.own
         names = ("member", "leaving", "successor")
         values = {name: fields.get(name, getattr(update, name)) for name in names}
@@ -97,12 +97,12 @@
         return self.own
 
     def add_listed(self, member, now_ms):
-        """Add a host that only the list has named, presumed alive until probed."""
+        """Add a host known only from the list, assumed to be alive until probed."""
         self._entries[member.address] = MemberEntry(MemberUpdate(member=member), now_ms)
         self.version += 1
 
     def mark_listed_leaving(self, entry, leaving):
-        """Take the list's word on whether the present run at an address leaves."""
+        """Set whether the list reports the current incarnation as leaving."""
         before = entry.is_leaving
         if leaving and not entry.listed_leaving:
             entry.listed_leaving = entry.member.incarnation
@@ -114,39 +114,39 @@
             self.version += 1
 
     def merge(self, update, now_ms):
-        """Take another's account of a member; return whether it was news.
+        """Merge a peer's update of a member; return whether it changed the entry.
 
         Parameters
         ==========
         update : MemberUpdate
-            Not on this host itself.
+            An update of another host.
         now_ms : int
         """
-        is_news = self._merge(update, now_ms)
-        if is_news:
-            self._note_trouble(update.member.address)
-        return is_news
+        is_new = self._merge(update, now_ms)
+        if is_new:
+            self._update_unhealthy(update.member.address)
+        return is_new
 
     def _merge(self, update, now_ms):
         entry = self._entries.get(update.member.address)
         if entry is None:
             self._entries[update.member.address] = MemberEntry(update, now_ms)
-            self._note_new(update)
+            self._record_new_incarnation(update)
             return True
         known = entry.update
-        if _run(update.member) < _run(known.member):
+        if _incarnation_order(update.member) < _incarnation_order(known.member):
             return False
-        if _run(update.member) > _run(known.member):
+        if _incarnation_order(update.member) > _incarnation_order(known.member):
             if known.member.incarnation and entry.is_live:
                 self.events.append(MemberGone(known.member))
             entry.update = update
             entry.changed_ms = now_ms
-            self._note_new(update)
+            self._record_new_incarnation(update)
             return True
-        merged = _merge_same_run(known, update)
+        merged = _merge_same_incarnation(known, update)
         if merged == known:
             return False
-        self._note_change(entry, merged)
+        self._record_change(entry, merged)
         if merged.health is not known.health or merged.revision != known.revision:
             entry.changed_ms = now_ms
         entry.update = merged
@@ -154,48 +154,48 @@
         return True
 
     def remove(self, address):
-        """Forget a member that has long been gone."""
+        """Remove a member that has been gone for a long time."""
         del self._entries[address]
         self._unhealthy.discard(address)
         self.version += 1
 
-    def _note_trouble(self, address):
+    def _update_unhealthy(self, address):
         if self._entries[address].update.health is Health.ALIVE:
             self._unhealthy.discard(address)
         else:
             self._unhealthy.add(address)
 
-    def _note_new(self, update):
+    def _record_new_incarnation(self, update):
         self.version += 1
         if update.health is not Health.GONE:
             self.events.append(MemberJoined(update.member))
         if update.leaving:
             self.events.append(MemberLeaving(update.member))
-        self._note_successor(update)
+        self._record_successor(update)
 
-    def _note_change(self, entry, merged):
+    def _record_change(self, entry, merged):
         known = entry.update
         if merged.leaving and not entry.is_leaving:
             self.events.append(MemberLeaving(merged.member))
         if merged.successor != known.successor:
-            self._note_successor(merged)
+            self._record_successor(merged)
         gone = merged.health is Health.GONE
         if gone and known.health is not Health.GONE:
             self.events.append(MemberGone(merged.member))
         elif not gone and known.health is Health.GONE:
             self.events.append(MemberJoined(merged.member))
 
-    def _note_successor(self, update):
+    def _record_successor(self, update):
         if update.successor:
             event = SuccessorNamed(update.member.incarnation, update.successor)
             self.events.append(event)
 
 
-def _run(member):
+def _incarnation_order(member):
     return (member.started_unix_ms, member.incarnation)
 
 
-def _merge_same_run(known, update):
+def _merge_same_incarnation(known, update):
     newest = max(known, update, key=lambda item: (item.revision, item.health))
     return MemberUpdate(
         member=newest.member,
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A few hosts whose messages pass through a list."""
+"""A simulated fleet of hosts that exchange messages in memory."""
 
 from hemlockhoist.decisions.membership import ListedHost, Membership
 from hemlockhoist.messages.membership import Member
@@ -6,7 +6,7 @@
 STEP_MS = 100
 
 
-def make_member(number, started_unix_ms=1, domains=4):
+def new_member(number, started_unix_ms=1, domains=4):
     return Member(
         address=f"10.0.0.{number}:7000",
         incarnation=f"i{number}-{started_unix_ms}",
@@ -16,7 +16,7 @@
     )
 
 
-def list_of(members, leaving=()):
+def listed_hosts(members, leaving=()):
     return [
         ListedHost(
             address=item.address,
@@ -29,10 +29,10 @@
 
 
 class Fleet:
-    """Runs ticks in turn and carries messages, but for those that are cut."""
+    """Runs the hosts' ticks and delivers their messages, except over cut links."""
 
     def __init__(self, count):
-        self.members = [make_member(n) for n in range(count)]
+        self.members = [new_member(n) for n in range(count)]
         self.hosts = {}
         self.frozen = set()
         self.cut = set()
@@ -40,7 +40,7 @@
         self.sent = 0
         for number, member in enumerate(self.members):
             host = Membership.from_config(member, number)
-            host.set_list(list_of(self.members), 0)
+            host.set_list(listed_hosts(self.members), 0)
             self.hosts[member.address] = host
 
     def host(self, number):
@@ -55,9 +55,9 @@
             self.now_ms += STEP_MS
             for address, host in list(self.hosts.items()):
                 if address not in self.frozen:
-                    self.carry(address, host.tick(self.now_ms))
+                    self.deliver(address, host.tick(self.now_ms))
 
-    def carry(self, sender, outgoing):
+    def deliver(self, sender, outgoing):
         queue = [(sender, item) for item in outgoing]
         while queue:
             sender, item = queue.pop(0)
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_failover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_failover.py
@@ -9,7 +9,7 @@
         self.fleet.run(10_000)
         self.home = self.fleet.host(0).homes("hall", 0)[0].address
         self.number = [m.address for m in self.fleet.members].index(self.home)
-        self.watcher = (self.number + 1) % 8
+        self.observer = (self.number + 1) % 8
 
     def _home_at(self, number):
         return self.fleet.host(number).homes("hall", 0)[0].address
@@ -17,58 +17,59 @@
     def _others(self):
         return [n for n in range(8) if n != self.number]
 
-    def test_pool_stands_still_while_a_dead_home_is_only_suspect(self):
-        """
-        The home of a pool is killed. Its address refuses connections at once, but a
-        probe has to come round to it and a suspicion has to run out: callers of the
-        whole pool waited 5 s, and some were refused.
+    def test_dead_home_is_replaced_when_a_connection_is_refused(self):
+        """Callers of a whole pool wait 5 s, and some are refused.
+
+        The home of the pool is killed. Its address refuses connections at once, but by
+        probes alone the next probe must reach it and the suspicion must time out.
         """
         self.fleet.stop(self.number)
-        watcher = self.fleet.host(self.watcher)
-        watcher.report_connection_refused(self.home, self.fleet.now_ms)
-        self.assertNotEqual(self._home_at(self.watcher), self.home)
+        observer = self.fleet.host(self.observer)
+        observer.report_connection_refused(self.home, self.fleet.now_ms)
+        self.assertNotEqual(self._home_at(self.observer), self.home)
         self.fleet.run(3_000)
         for number in self._others():
             self.assertNotIn(self.home, self.fleet.live_at(number))
 
-    def test_pool_stands_still_while_a_frozen_home_is_waited_for(self):
-        """
-        The home of a pool is frozen and answers no question. The entry host that asks
-        reports it, and every other host names the next home in the same moment, or
-        the pool would wait for a probe to come round.
+    def test_frozen_home_is_replaced_when_it_is_reported(self):
+        """A pool waits until the next probe detects that its home is frozen.
+
+        The entry host whose requests the home leaves unanswered reports it, and all
+        other hosts choose the same next home at once.
         """
         self.fleet.frozen.add(self.home)
-        watcher = self.fleet.host(self.watcher)
-        outgoing = watcher.report_unresponsive(self.home, self.fleet.now_ms)
-        self.fleet.carry(self.fleet.members[self.watcher].address, outgoing)
+        observer = self.fleet.host(self.observer)
+        outgoing = observer.report_unresponsive(self.home, self.fleet.now_ms)
+        self.fleet.deliver(self.fleet.members[self.observer].address, outgoing)
         names = {self._home_at(number) for number in self._others()}
         self.assertEqual(len(names), 1)
         self.assertNotIn(self.home, names)
 
-    def test_slow_home_is_not_moved_to_and_fro(self):
-        """
-        A home is busy and misses two questions. It refutes the suspicion and has its
-        pools back; the next report within seconds changes nothing.
+    def test_slow_home_does_not_flap(self):
+        """Pools move back and forth because their home is slow.
+
+        A busy home leaves two requests unanswered. It refutes the suspicion and is home
+        again; another report within seconds changes nothing.
         """
-        watcher = self.fleet.host(self.watcher)
-        outgoing = watcher.report_unresponsive(self.home, self.fleet.now_ms)
-        self.fleet.carry(self.fleet.members[self.watcher].address, outgoing)
+        observer = self.fleet.host(self.observer)
+        outgoing = observer.report_unresponsive(self.home, self.fleet.now_ms)
+        self.fleet.deliver(self.fleet.members[self.observer].address, outgoing)
         self.fleet.run(2_000)
-        self.assertEqual(self._home_at(self.watcher), self.home)
-        again = watcher.report_unresponsive(self.home, self.fleet.now_ms)
+        self.assertEqual(self._home_at(self.observer), self.home)
+        again = observer.report_unresponsive(self.home, self.fleet.now_ms)
         self.assertEqual(again, [])
-        self.assertEqual(self._home_at(self.watcher), self.home)
+        self.assertEqual(self._home_at(self.observer), self.home)
 
-    def test_host_wrongly_reported_as_refusing_comes_back(self):
-        """A live host that was called gone refutes it and is home again."""
-        watcher = self.fleet.host(self.watcher)
-        watcher.report_connection_refused(self.home, self.fleet.now_ms)
+    def test_host_wrongly_reported_as_refusing_is_home_again(self):
+        """A live host that was declared gone refutes it and is home again."""
+        observer = self.fleet.host(self.observer)
+        observer.report_connection_refused(self.home, self.fleet.now_ms)
         self.fleet.run(20_000)
-        self.assertEqual(self._home_at(self.watcher), self.home)
+        self.assertEqual(self._home_at(self.observer), self.home)
 
-    def test_with_every_home_suspect_one_is_still_named(self):
-        """A host that hears nobody keeps naming homes; it may be cut off itself."""
-        watcher = self.fleet.host(self.watcher)
+    def test_a_home_is_returned_when_every_host_is_suspect(self):
+        """A host that reaches no other may be cut off, and still needs a home."""
+        observer = self.fleet.host(self.observer)
         for member in self.fleet.members:
-            watcher.report_unresponsive(member.address, self.fleet.now_ms)
-        self.assertTrue(watcher.homes("hall", 0))
+            observer.report_unresponsive(member.address, self.fleet.now_ms)
+        self.assertTrue(observer.homes("hall", 0))
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_large_fleets.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_large_fleets.py
@@ -6,44 +6,44 @@
 
 from hemlockhoist.decisions.entry import find_readers, reader_for
 from hemlockhoist.decisions.membership import Membership
-from hemlockhoist.decisions.membership.tests.fleet import list_of, make_member
+from hemlockhoist.decisions.membership.tests.fleet import listed_hosts, new_member
 from hemlockhoist.messages.membership import Health, MemberUpdate, Probe
 
 HOSTS, DOMAINS = 195, 6
-WEAK_MILLICORES, STRONG_MILLICORES = 516, 2_150
-# One host in this many is strong.
-STRONG_EVERY = 13
-# What a caller tries of the addresses that it is told.
-TRIED = 4
+LOW_CAPACITY_MILLICORES, HIGH_CAPACITY_MILLICORES = 516, 2_150
+# One in this many hosts has high capacity.
+HIGH_CAPACITY_EVERY = 13
+# Number of the returned addresses that a caller tries.
+ADDRESSES_TRIED = 4
 
 
-def unlike_members():
-    """Return hosts of unlike strength, spread over failure domains."""
+def heterogeneous_members():
+    """Return hosts of different capacity, spread over failure domains."""
     found = []
     for number in range(HOSTS):
-        is_high_capacity = number % STRONG_EVERY == 0
+        is_high_capacity = number % HIGH_CAPACITY_EVERY == 0
         found.append(
             msgspec.structs.replace(
-                make_member(number, domains=DOMAINS),
-                processor_millicores=STRONG_MILLICORES
+                new_member(number, domains=DOMAINS),
+                processor_millicores=HIGH_CAPACITY_MILLICORES
                 if is_high_capacity
-                else WEAK_MILLICORES,
+                else LOW_CAPACITY_MILLICORES,
             )
         )
     return found
 
 
 def membership(own, members, seed):
-    """Return what a host knows that heard of all others, in its own order."""
+    """Return the view of a host that knows all others, in an order of its own."""
     others = random.Random(seed).sample(members, len(members))
     host = Membership.from_config(own, seed)
-    host.set_list(list_of(others), 0)
-    tell(host, others)
+    host.set_list(listed_hosts(others), 0)
+    send_updates(host, others)
     return host
 
 
-def tell(host, members, health=Health.ALIVE):
-    """Let a host hear of the health of others."""
+def send_updates(host, members, health=Health.ALIVE):
+    """Send a host updates on the health of others."""
     updates = tuple(MemberUpdate(member=item, health=health) for item in members)
     sender = MemberUpdate(member=members[0], health=health)
     host.on_message(Probe(number=0, sender=sender, updates=updates), 0)
@@ -51,7 +51,7 @@
 
 class LargeFleetTests(unittest.TestCase):
     def setUp(self):
-        self.members = unlike_members()
+        self.members = heterogeneous_members()
         self.hosts = [
             membership(own, self.members, seed)
             for seed, own in enumerate(self.members[:20])
@@ -60,52 +60,52 @@
     def home(self, host):
         return host.homes("cell", 0)[0]
 
-    def test_all_hosts_name_one_home_that_is_strong(self):
-        """Two homes give the same places, or a host of half a core is the home."""
+    def test_all_hosts_agree_on_one_home_of_high_capacity(self):
+        """Two homes assign the same slots, or a host with half a core is the home."""
         homes = {self.home(host).address for host in self.hosts}
         self.assertEqual(len(homes), 1)
         for home in self.hosts[0].homes("cell", 0):
-            self.assertEqual(home.processor_millicores, STRONG_MILLICORES)
-
-    def test_loss_of_a_failure_domain_leaves_one_home_on_the_hosts_that_stay(self):
-        """The home is lost with a sixth of the fleet, and two hosts take its place."""
-        former = self.home(self.hosts[0])
-        gone = [m for m in self.members if m.failure_domain == former.failure_domain]
-        left = [m for m in self.members if m not in gone]
-        hosts = [host for host in self.hosts if host.own.member in left]
+            self.assertEqual(home.processor_millicores, HIGH_CAPACITY_MILLICORES)
+
+    def test_remaining_hosts_agree_on_one_home_after_loss_of_a_failure_domain(self):
+        """The home is lost with a sixth of the fleet, and two hosts succeed it."""
+        previous = self.home(self.hosts[0])
+        gone = [m for m in self.members if m.failure_domain == previous.failure_domain]
+        remaining = [m for m in self.members if m not in gone]
+        hosts = [host for host in self.hosts if host.own.member in remaining]
         for host in hosts:
-            tell(host, gone, Health.GONE)
+            send_updates(host, gone, Health.GONE)
         homes = {self.home(host).address for host in hosts}
         self.assertEqual(len(homes), 1)
-        self.assertTrue(homes <= {member.address for member in left})
+        self.assertTrue(homes <= {member.address for member in remaining})
 
-    def test_loss_of_a_failure_domain_leaves_the_others_their_readers(self):
-        """Each host asks the store itself when one domain is lost: 160 calls at once."""
+    def test_loss_of_a_failure_domain_keeps_the_readers_of_the_others(self):
+        """All hosts read the store when one domain is lost: 160 calls at once."""
         before = find_readers(self.members)
         self.assertEqual(len(before), DOMAINS)
-        left = [m for m in self.members if m.failure_domain != "d0"]
-        after = find_readers(left)
+        remaining = [m for m in self.members if m.failure_domain != "d0"]
+        after = find_readers(remaining)
         self.assertEqual(after, {k: v for k, v in before.items() if k != "d0"})
-        asking = [m for m in left if reader_for(left, m) is None]
-        self.assertEqual(len(asking), DOMAINS - 1)
+        direct_readers = [m for m in remaining if reader_for(remaining, m) is None]
+        self.assertEqual(len(direct_readers), DOMAINS - 1)
 
-    def test_last_host_of_all_serves_by_itself(self):
-        """One host is left of 195, and waits for a home or reader that is gone."""
+    def test_last_remaining_host_serves_by_itself(self):
+        """The last of 195 hosts waits for a home or reader that is gone."""
         host = self.hosts[0]
-        tell(host, self.members[1:], Health.GONE)
+        send_updates(host, self.members[1:], Health.GONE)
         self.assertEqual(host.homes("cell", 0), (self.members[0],))
         self.assertEqual(host.caller_addresses(), [self.members[0].caller_address])
         self.assertIsNone(reader_for([self.members[0]], self.members[0]))
 
     def test_callers_are_spread_over_all_hosts(self):
-        """Callers meet at a few of the 195 hosts, whose connections run out."""
-        named = collections.Counter()
+        """Callers concentrate on a few of 195 hosts, which run out of connections."""
+        addresses_returned = collections.Counter()
         for host in self.hosts:
             for _ in range(50):
-                named.update(host.caller_addresses()[:TRIED])
-        fair = len(self.hosts) * 50 * TRIED / HOSTS
-        self.assertEqual(len(named), HOSTS)
-        self.assertLess(max(named.values()), 2.5 * fair)
+                addresses_returned.update(host.caller_addresses()[:ADDRESSES_TRIED])
+        expected = len(self.hosts) * 50 * ADDRESSES_TRIED / HOSTS
+        self.assertEqual(len(addresses_returned), HOSTS)
+        self.assertLess(max(addresses_returned.values()), 2.5 * expected)
 
 
 if __name__ == "__main__":
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_upstreams.py
@@ -16,10 +16,11 @@
         self.view = UpstreamView.from_config(InvariantLog(True))
         self.view.set_list([upstream(1), upstream(2)], 0)
 
-    def test_own_word_counts_at_once_and_over_a_stale_list(self):
-        """
-        An engine says that it shuts down; the list, seconds late, still calls it live.
-        Going by the list would send it requests that it then cuts.
+    def test_own_report_applies_at_once_and_overrides_a_stale_list(self):
+        """Requests are sent to an engine that shuts down, and it cuts them off.
+
+        The engine reports that it is leaving; the list, seconds late, still has it as
+        live.
         """
         self.view.on_leaving("u1", 100)
         self.view.set_list([upstream(1), upstream(2)], 200)
@@ -27,13 +28,13 @@
         with self.assertRaises(PropertyViolation):
             self.view.check_grant("u1", 10_000)
 
-    def test_list_alone_is_enough(self):
-        """An upstream that only the list calls leaving gets no new work."""
+    def test_list_alone_marks_an_upstream_as_leaving(self):
+        """An upstream reported as leaving only by the list gets no new work."""
         self.view.set_list([upstream(1, UpstreamState.LEAVING), upstream(2)], 200)
         self.assertEqual(set(self.view.assignable()), {"u2"})
 
-    def test_empty_list_is_not_all_are_gone(self):
-        """An empty or lost list leaves the upstreams as they were."""
+    def test_empty_list_removes_no_upstream(self):
+        """An empty or unavailable list leaves the upstreams unchanged."""
         self.view.set_list([], 100)
         self.view.set_list(None, 200)
         self.assertEqual(set(self.view.assignable()), {"u1", "u2"})
--- a/libs/decisions/src/hemlockhoist/decisions/membership/upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/upstreams.py
@@ -1,17 +1,17 @@
-"""Which upstreams may get new work, from the list and from the upstreams themselves."""
+"""Upstreams that may get new work, by the platform's list and their own reports."""
 
 from hemlockhoist.base import Property
 from hemlockhoist.decisions.work import UpstreamState
 
-# The list alone may say that an upstream leaves; hosts read it every few seconds.
+# The list alone may report that an upstream leaves; hosts read it every few seconds.
 LEAVING_GRACE_MS = 5_000
 
 
 class UpstreamView:
-    """Merges the platform's list with what upstreams say.
+    """Merges the platform's list with the reports of the upstreams.
 
-    Leaving is final for an upstream id: a list that lags behind the upstream's own word
-    does not bring it back.
+    Leaving is final for an upstream id: a list that lags behind the upstream's own
+    report does not reset it.
 
     Parameters
     ==========
@@ -31,10 +31,11 @@
         return cls(invariants)
 
     def set_list(self, upstreams, now_ms):
-        """Take the platform's list of ``Upstream``.
+        """Set the platform's list of ``Upstream``.
 
-        An empty list, or None for a platform out of reach, changes nothing: work then
-        goes on to the upstreams known, and one that is gone shows by its connections.
+        An empty list, or None if the platform is unreachable, changes nothing: work
+        still goes to the known upstreams, and one that is gone is detected by failed
+        connections.
         """
         if not upstreams:
             return
@@ -46,11 +47,11 @@
             del self._leaving_ms[upstream_id]
 
     def on_leaving(self, upstream_id, now_ms):
-        """Take an upstream's own word that it leaves; it holds at once."""
+        """Record an upstream's own report that it leaves, with immediate effect."""
         self._leaving_ms.setdefault(upstream_id, now_ms)
 
     def assignable(self):
-        """Return the upstreams that may get new work, by id."""
+        """Return the upstreams that may be assigned new work, by id."""
         return {
             upstream_id: item
             for upstream_id, item in self._upstreams.items()
@@ -58,7 +59,7 @@
         }
 
     def check_grant(self, upstream_id, now_ms):
-        """Assert that no leaving upstream gets new work."""
+        """Check the property that no leaving upstream gets new work."""
         since_ms = self._leaving_ms.get(upstream_id, now_ms)
         self._invariants.check(
             Property.LEAVING_UPSTREAM_NO_WORK,
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -122,7 +122,7 @@
         ``renew(host_id)`` takes a new connection to a home that missed a question.
     own_id : callable, optional
         Returns this host's id where it may decide alone; by default it may not.
-    spent : SpentLog, optional
+    spent : UsageLog, optional
         Notes what customers spend.
     run : str, optional
         This host's incarnation.
