--- a/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
@@ -176,8 +176,10 @@
         all bytes between failure domains.
         """
         message = Probe(number=0, sender=self.own, updates=())
-        strong = (member.address for member in high_capacity_members(self._usable()))
-        addresses = {*strong, *self._sample_others(INTRODUCTION_FANOUT)}
+        high_capacity = (
+            member.address for member in high_capacity_members(self._usable())
+        )
+        addresses = {*high_capacity, *self._sample_others(INTRODUCTION_FANOUT)}
         addresses.discard(self.own.member.address)
         return [Outgoing(address, message) for address in sorted(addresses)]
 
