--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_readers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_readers.py
@@ -36,9 +36,9 @@
                 self.assertEqual(reader.failure_domain, own.failure_domain)
 
     def test_domain_of_low_capacity_hosts_uses_the_reader_of_another(self):
-        weak = [member(number, 0, 500) for number in range(20)]
-        strong = [member(number, 1, 2_000) for number in range(3)]
-        reader = reader_for([*weak, *strong], weak[0])
+        low_capacity = [member(number, 0, 500) for number in range(20)]
+        high_capacity = [member(number, 1, 2_000) for number in range(3)]
+        reader = reader_for([*low_capacity, *high_capacity], low_capacity[0])
         self.assertEqual(reader.failure_domain, "d1")
 
     def test_reader_of_another_domain_is_used_while_the_local_one_fails(self):
