--- a/libs/decisions/src/hemlockhoist/decisions/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Admission, queues, placement, version moves, membership: no input or output."""
+"""Admission, queueing, placement, version moves and membership, free of I/O."""
 
 from hemlockhoist.decisions.policy import VersionPolicy
 from hemlockhoist.decisions.work import (
@@ -12,7 +12,7 @@
     UpstreamState,
     WorkRequest,
     evacuated_upstream,
-    granting_run,
+    granting_incarnation,
     new_grant_id,
 )
 
@@ -28,6 +28,6 @@
     "VersionPolicy",
     "WorkRequest",
     "evacuated_upstream",
-    "granting_run",
+    "granting_incarnation",
     "new_grant_id",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/__init__.py
@@ -1,11 +1,11 @@
-"""Which declarations are in force here, and how a new version reaches every host."""
+"""The declarations in force at a host, and their propagation to every host."""
 
 from hemlockhoist.decisions.configuration.acknowledgements import (
     AcknowledgementLog,
     InForceReport,
 )
 from hemlockhoist.decisions.configuration.backoff import RetryBudget, StoreBackoff
-from hemlockhoist.decisions.configuration.content import WholeContent
+from hemlockhoist.decisions.configuration.content import FullContent
 from hemlockhoist.decisions.configuration.halts import HaltedSet
 from hemlockhoist.decisions.configuration.state import ConfigurationState
 
@@ -16,5 +16,5 @@
     "InForceReport",
     "RetryBudget",
     "StoreBackoff",
-    "WholeContent",
+    "FullContent",
 ]
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/keys.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: who minted them, when, and for which request they stand."""
+"""Idempotency keys and the fingerprints of the requests that they identify."""
 
 import hashlib
 import re
@@ -7,13 +7,13 @@
 
 from hemlockhoist.base import BadRequest, ResultCode
 
-MAX_OWN_PART = 128
+MAX_CALLER_PART = 128
 _FINGERPRINT_BYTES = 16
 _MAX_EPOCH_DIGITS = 12
 _KEY = re.compile(
     r"(?P<incarnation>[A-Za-z0-9_-]{1,64})"
     rf"\.(?P<epoch>0|[1-9][0-9]{{0,{_MAX_EPOCH_DIGITS - 1}}})"
-    rf"\.(?P<own>[\x21-\x7e]{{1,{MAX_OWN_PART}}})"
+    rf"\.(?P<caller>[\x21-\x7e]{{1,{MAX_CALLER_PART}}})"
 )
 
 
@@ -23,30 +23,30 @@
     Parameters
     ==========
     incarnation : str
-        Of the host process that minted the prefix.
+        Incarnation of the host process that minted the prefix.
     epoch : int
-        Of that process, at minting.
-    own_part : str
-        The caller's.
+        Epoch of that process when it minted the prefix.
+    caller_part : str
+        The part that the caller chose.
     """
 
     incarnation: str
     epoch: int
-    own_part: str
+    caller_part: str
 
     @property
     def text(self):
-        """The key as it is written in the header."""
-        return f"{self.incarnation}.{self.epoch}.{self.own_part}"
+        """The key as written in the header."""
+        return f"{self.incarnation}.{self.epoch}.{self.caller_part}"
 
 
 def format_prefix(incarnation, epoch):
-    """Return the prefix that callers put before their own part and a dot."""
+    """Return the prefix that callers put before a dot and their own part."""
     return f"{incarnation}.{epoch}"
 
 
 def parse_key(text):
-    """Return the key that a header holds.
+    """Parse the value of an ``Idempotency-Key`` header.
 
     Parameters
     ==========
@@ -60,7 +60,7 @@
     Raises
     ======
     BadRequest
-        With ``KEY_MALFORMED``; nothing ran.
+        With code ``KEY_MALFORMED``; the request was not run.
 
     Examples
     ========
@@ -72,11 +72,11 @@
     if match is None:
         message = "the Idempotency-Key does not begin with a host's prefix"
         raise BadRequest(message, code=ResultCode.KEY_MALFORMED)
-    return IdempotencyKey(match["incarnation"], int(match["epoch"]), match["own"])
+    return IdempotencyKey(match["incarnation"], int(match["epoch"]), match["caller"])
 
 
 def fingerprint_request(method, path, body):
-    """Return a digest that tells two requests under one key apart.
+    """Return a digest that distinguishes different requests under one key.
 
     Parameters
     ==========
--- /dev/null
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
@@ -0,0 +1,225 @@
+"""Assignment of a pool shard's free slots to waiting requests."""
+
+from hemlockhoist.base import Property
+from hemlockhoist.decisions.scheduling.grants import InFlightGrant
+from hemlockhoist.decisions.work import Grant, Granted, new_grant_id
+
+# A grant that is not used within this time is void. The entry host must dispatch at
+# once or release it, so that no slot is held by a request whose caller disconnected.
+GRANT_TTL_MS = 2_000
+# Requests that the version policy holds back are skipped, up to this many in one pass
+# over the queue. Then the pass ends, since a lower tier must not overtake requests of a
+# higher one that have not been tried.
+MAX_SKIPPED = 16
+
+
+class SlotAssigner:
+    """Assigns free slots tier by tier, and lets short requests overtake.
+
+    At a home with some dozen upstreams, a burst keeps about twenty requests waiting
+    for better upstreams than the free ones. Choosing an upstream for each of them at
+    each arrival and each end of an answer took most of the home's processor time. So a
+    request that found no slot is tried at all upstreams again only in the next round;
+    until then, only at an upstream that changed.
+
+    Parameters
+    ==========
+    pool : str
+    incarnation : str
+        Of this home; makes grant ids unique across restarts.
+    queue : RequestQueue
+    fleet : Fleet
+    grants : GrantTable
+    overtaking_check : OvertakingCheck
+    overtaking_budget : OvertakingBudget
+    admission : Admission
+    policy : VersionPolicy
+    invariants : hemlockhoist.base.InvariantLog
+    """
+
+    __slots__ = (
+        "_admission",
+        "_fleet",
+        "_grants",
+        "_incarnation",
+        "_invariants",
+        "_overtaking_budget",
+        "_overtaking_check",
+        "_policy",
+        "_pool",
+        "_queue",
+        "_round_number",
+        "_sequence",
+    )
+
+    def __init__(
+        self,
+        pool,
+        incarnation,
+        queue,
+        fleet,
+        grants,
+        overtaking_check,
+        overtaking_budget,
+        admission,
+        policy,
+        invariants,
+    ):
+        self._pool = pool
+        self._incarnation = incarnation
+        self._queue = queue
+        self._fleet = fleet
+        self._grants = grants
+        self._overtaking_check = overtaking_check
+        self._overtaking_budget = overtaking_budget
+        self._admission = admission
+        self._policy = policy
+        self._invariants = invariants
+        self._sequence = 0
+        self._round_number = 0
+
+    def begin_round(self):
+        """Begin a round: slots may have been freed at any upstream."""
+        self._round_number += 1
+
+    def assign(self, now_ms, changed=""):
+        """Assign the free slots to waiting requests.
+
+        Parameters
+        ==========
+        now_ms : int
+        changed : str, optional
+            The upstream that changed; requests that found no slot in this round are
+            tried at no other.
+
+        Returns
+        =======
+        list of Granted
+        """
+        free = self._fleet.free_upstreams(now_ms)
+        decisions = self._grant_overtaking(free, changed, now_ms)
+        skipped = []
+        for rank in self._queue.ranks:
+            while free and len(skipped) < MAX_SKIPPED:
+                taken = self._queue.take(rank)
+                if taken is None:
+                    break
+                waiting = taken[0]
+                eligible = self._eligible(waiting, free, changed)
+                ahead = len(skipped)
+                upstream = self._choose_upstream(
+                    waiting.request, eligible, ahead, now_ms
+                )
+                if upstream is None:
+                    waiting.skipped_round = self._round_number
+                    skipped.append(taken)
+                    continue
+                self._check_tier_order(waiting.request)
+                decisions.append(self._grant(waiting, upstream, now_ms))
+                if not self._fleet.has_free_slot(upstream, now_ms):
+                    free.remove(upstream)
+        for waiting, due_ms in skipped:
+            self._queue.push(waiting, due_ms)
+        return decisions
+
+    def _eligible(self, waiting, free, changed):
+        """Return the free upstreams at which a waiting request is to be tried."""
+        if waiting.skipped_round != self._round_number:
+            return free
+        return [item for item in free if item.upstream_id == changed]
+
+    def _grant_overtaking(self, free, changed, now_ms):
+        """Assign slots to requests that may overtake waiting ones of higher tiers."""
+        decisions = []
+        for rank in self._queue.ranks:
+            while free and self._queue.count_above(rank):
+                first = self._queue.tier(rank).first()
+                if first is None or not self._overtaking_check.may_overtake(
+                    first.request, now_ms
+                ):
+                    break
+                eligible = self._eligible(first, free, changed)
+                if not eligible:
+                    break
+                waiting, due_ms = self._queue.take(rank)
+                upstream = self._choose_upstream(waiting.request, eligible, 0, now_ms)
+                if upstream is None:
+                    waiting.skipped_round = self._round_number
+                    self._queue.push(waiting, due_ms)
+                    break
+                self._overtaking_budget.charge(
+                    self._fleet.tracker.hold_ms(waiting.request)
+                )
+                decisions.append(self._grant(waiting, upstream, now_ms))
+                if not self._fleet.has_free_slot(upstream, now_ms):
+                    free.remove(upstream)
+        return decisions
+
+    def _choose_upstream(self, request, free, ahead, now_ms):
+        if not free:
+            return None
+        versions = sorted({item.version for item in free})
+        for version in self._policy.candidates(request, versions, now_ms):
+            choices = [item for item in free if item.version == version]
+            choices = _untried(request, _in_allowed_regions(request, choices))
+            upstream = self._fleet.tracker.choose(
+                request, choices, self._grants.in_flight, now_ms, ahead
+            )
+            if upstream is not None:
+                return upstream
+        return None
+
+    def _grant(self, waiting, upstream, now_ms):
+        request = waiting.request
+        self._check_not_leaving(request, upstream)
+        self._overtaking_budget.record_decision(request.tier_rank, False, now_ms)
+        self._queue.tier(request.tier_rank).charge(waiting)
+        self._admission.record_grant(request.tier_rank, waiting.cost_ms, now_ms)
+        self._sequence += 1
+        grant = Grant(
+            grant_id=new_grant_id(self._incarnation, self._pool, self._sequence),
+            request_id=request.request_id,
+            upstream_id=upstream.upstream_id,
+            address=upstream.address,
+            version=upstream.version,
+            expires_ms=now_ms + GRANT_TTL_MS,
+            is_cold=self._fleet.tracker.is_cold(upstream.upstream_id, now_ms),
+        )
+        held = InFlightGrant(request, grant, now_ms, waiting.cost_ms)
+        self._grants.add(held)
+        self._fleet.on_grant(held, now_ms)
+        self._policy.on_grant(request, upstream.version, now_ms, upstream.upstream_id)
+        return Granted(request=request, grant=grant)
+
+    def _check_tier_order(self, request):
+        self._invariants.check(
+            Property.TIER_ORDER,
+            self._queue.count_above(request.tier_rank) == 0,
+            f"{request.request_id} granted in tier order while a higher tier waits",
+        )
+
+    def _check_not_leaving(self, request, upstream):
+        self._invariants.check(
+            Property.LEAVING_UPSTREAM_NO_WORK,
+            not self._fleet.table.is_leaving(upstream.upstream_id),
+            f"{request.request_id} granted to leaving {upstream.upstream_id}",
+        )
+
+
+def _in_allowed_regions(request, choices):
+    """Return the choices in the regions to which a request is restricted.
+
+    Without this, a request body could leave the regions in which its customer or the
+    owner of its route allows it to be stored.
+    """
+    if not request.regions:
+        return choices
+    return [item for item in choices if item.region in request.regions]
+
+
+def _untried(request, choices):
+    """Return the choices that have not failed the request, or all if all have."""
+    if not request.avoid:
+        return choices
+    untried = [item for item in choices if item.upstream_id not in request.avoid]
+    return untried or choices
--- /dev/null
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
@@ -0,0 +1,345 @@
+"""Tracker of upstreams that declare how many requests they work on at once."""
+
+from hemlockhoist.decisions.scheduling.candidates import (
+    NO_GAP_BOUND_MS,
+    CandidateSelector,
+    PlacementCandidate,
+    cache_saving_ms,
+    cost_ms,
+    risk_ms,
+)
+from hemlockhoist.decisions.scheduling.declared_slots_upstream import (
+    DeclaredSlotsUpstream,
+)
+from hemlockhoist.decisions.scheduling.pace import PoolPace
+from hemlockhoist.decisions.scheduling.prompt_cache import PromptCache
+from hemlockhoist.decisions.scheduling.recovery import DECLARED_RECOVERY_MS
+from hemlockhoist.decisions.scheduling.upstream_tracker import UpstreamTracker
+from hemlockhoist.decisions.scheduling.warmup import Warmup
+from hemlockhoist.decisions.work import OutcomeKind
+
+US_PER_MS = 1_000
+# A request waits for a better upstream only if its first token is expected there within
+# this fraction of the remaining time, as the waiting time is an estimate.
+IN_TIME_FRACTION = 0.8
+# Fraction of a declared maximum gap that prefill may take; the rest is for decoding.
+PROMPT_GAP_FRACTION = 0.8
+_FAILURES = frozenset({OutcomeKind.FAILED, OutcomeKind.BROKE_OFF, OutcomeKind.TIMEOUT})
+_CONNECT_FAILURES = frozenset({OutcomeKind.CONNECT_FAILED})
+
+
+class DeclaredSlotsTracker(UpstreamTracker):
+    """Tracks the upstreams of a pool that declare their slots.
+
+    Parameters
+    ==========
+    cache_tokens : int, optional
+        Capacity of the prompt cache of one upstream; 0 if that is not declared.
+    warmup : Warmup, optional
+        Limits the requests that cold upstreams get.
+    """
+
+    __slots__ = (
+        "_cache",
+        "_max_gaps_ms",
+        "_pace",
+        "_slot_count",
+        "_tracked",
+        "_unreachable",
+        "_usable",
+        "_warmup",
+    )
+    recovery_ms = DECLARED_RECOVERY_MS
+
+    def __init__(self, cache_tokens=0, warmup=None):
+        self._warmup = warmup or Warmup()
+        self._cache = PromptCache(cache_tokens)
+        self._tracked = {}
+        # The tracked upstreams that may be assigned work.
+        self._usable = {}
+        self._pace = PoolPace()
+        # Declared maximum gap between tokens by route.
+        self._max_gaps_ms = {}
+        # Upstreams whose last connection failed; all others have their declared slots.
+        self._unreachable = set()
+        # The upstreams whose slots were last counted, and the count.
+        self._slot_count = ((), 0)
+
+    def set_listed(self, upstreams):
+        """Start tracking new upstreams, and forget those that are no longer listed."""
+        previous = self._tracked
+        self._slot_count = ((), 0)
+        self._tracked = {}
+        for item in upstreams:
+            tracked = previous.get(item.upstream_id)
+            if tracked is None or tracked.started_unix_ms != item.started_unix_ms:
+                tracked = DeclaredSlotsUpstream(item, self._pace)
+                self._cache.forget(item.upstream_id)
+            tracked.limit.slots = item.slots
+            self._tracked[item.upstream_id] = tracked
+        for upstream_id in previous.keys() - self._tracked.keys():
+            self._cache.forget(upstream_id)
+        self._unreachable &= self._tracked.keys()
+        self._warmup.set_listed(upstreams)
+
+    def set_usable(self, upstreams, now_ms):
+        """Set the upstreams that may be assigned work."""
+        self._usable = {
+            item.upstream_id: self._tracked[item.upstream_id] for item in upstreams
+        }
+
+    def get(self, upstream_id):
+        """Return the ``DeclaredSlotsUpstream`` of a listed upstream, or None."""
+        return self._tracked.get(upstream_id)
+
+    def slots(self, upstream_id, now_ms):
+        """Return how many requests an upstream may hold."""
+        tracked = self._tracked[upstream_id]
+        if upstream_id in self._unreachable and not tracked.allows_request(now_ms):
+            return 0
+        return tracked.limit.slots
+
+    def accepts_more(self, upstream_id, now_ms):
+        """Return whether an upstream may take a request, apart from free slots."""
+        return self._warmup.allows(upstream_id, now_ms)
+
+    def begin_takeover(self, now_ms):
+        """Start deciding as a new home, possibly after another one."""
+        self._warmup.assume_limit_used(now_ms)
+
+    def set_share(self, share):
+        """Set the fraction of bounds over all hosts that applies to this one."""
+        self._warmup.set_share(share)
+
+    def is_cold(self, upstream_id, now_ms):
+        """Return whether an upstream is still warming up after its start."""
+        return self._warmup.is_cold(upstream_id, now_ms)
+
+    def on_adopt(self, held, now_ms):
+        """Record a grant of a former home."""
+        self._warmup.record_grant(held.grant.upstream_id, now_ms)
+
+    def with_free_slot(self, upstreams, in_flight, now_ms):
+        """Return those of the given upstreams that may be assigned one more request.
+
+        Hot path: called for each request, also at the home of some hundred upstreams.
+        """
+        tracked, unreachable = self._tracked, self._unreachable
+        free = [
+            item
+            for item in upstreams
+            if in_flight(item.upstream_id) < tracked[item.upstream_id].limit.slots
+        ]
+        if self._warmup.any_cold(now_ms):
+            allows = self._warmup.allows
+            free = [item for item in free if allows(item.upstream_id, now_ms)]
+        if not unreachable:
+            return free
+        return [
+            item
+            for item in free
+            if item.upstream_id not in unreachable
+            or tracked[item.upstream_id].allows_request(now_ms)
+        ]
+
+    def count_slots(self, upstreams, now_ms):
+        """Return the total number of slots of the given upstreams."""
+        if self._unreachable:
+            return super().count_slots(upstreams, now_ms)
+        if self._slot_count[0] is not upstreams:
+            count = super().count_slots(upstreams, now_ms)
+            self._slot_count = (upstreams, count)
+        return self._slot_count[1]
+
+    def hold_ms(self, request):
+        """Return how long a request is expected to hold a slot at the pool's pace."""
+        return self._pace.hold_ms(request)
+
+    def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
+        """Return the key by which the requests of one customer are ordered.
+
+        Earliest due time first: a long prompt has to start sooner than a short one to
+        meet its target, and is worth more to its caller.
+        """
+        return due_ms
+
+    def choose(self, request, choices, in_flight, now_ms, ahead=0):
+        """Return the upstream for a request, or None if it should wait."""
+        work = self._pace.work(request)
+        max_prompts_ms = self._max_prompts_ms(work, now_ms)
+        best = self._candidates(
+            request, work, choices, in_flight, max_prompts_ms, now_ms
+        ).select(work.first_token_by_ms - now_ms)
+        if best is None or self._should_wait(work, best, max_prompts_ms, ahead, now_ms):
+            return None
+        return best
+
+    def _candidates(self, request, work, choices, in_flight, max_prompts_ms, now_ms):
+        """Return a selector with the candidates among the choices."""
+        cached_at = self._cached_tokens(request)
+        counts = self._failure_counts(now_ms)
+        selector = CandidateSelector()
+        for item in choices:
+            tracked = self._tracked[item.upstream_id]
+            cached = cached_at.get(item.upstream_id, 0)
+            first_ms = tracked.first_token_ms(work, now_ms, cached)
+            saving_ms = cache_saving_ms(tracked, cached)
+            is_local = work.failure_domain == tracked.failure_domain
+            # The other terms of the cost are not negative.
+            if selector.is_dominated(first_ms - saving_ms, is_local):
+                continue
+            held = in_flight(item.upstream_id)
+            risk = risk_ms(work, tracked, held, counts, max_prompts_ms, now_ms)
+            cost = cost_ms(work, tracked, first_ms, held, now_ms) + risk - saving_ms
+            selector.add(PlacementCandidate(item, first_ms, cost, risk, is_local))
+        return selector
+
+    def _cached_tokens(self, request):
+        """Return how many tokens of a request's prompt each upstream has cached."""
+        if len(request.prefix_tokens) != len(request.prefix_hashes):
+            return {}
+        return self._cache.cached_tokens(request.prefix_hashes, request.prefix_tokens)
+
+    def cached_elsewhere(self, request, upstream_id):
+        """Return how many more prompt tokens another upstream has cached than this."""
+        cached_at = self._cached_tokens(request)
+        return max(cached_at.values(), default=0) - cached_at.get(upstream_id, 0)
+
+    def _should_wait(self, work, best, max_prompts_ms, ahead, now_ms):
+        """Return whether a request should wait for an upstream that is full.
+
+        In a burst of long prompts on engines of different speed, the first free slot is
+        a slow engine's: the prompt alone takes longer there than its target allows, or
+        causes longer token gaps in the answers in progress than declared. A request
+        waits only if it would be late or cause such gaps here, and neither elsewhere.
+        """
+        left_ms = work.first_token_by_ms - now_ms
+        here = self._tracked[best.upstream_id]
+        if left_ms <= 0:
+            return False
+        first_ms = here.first_token_ms(work, now_ms)
+        is_late = first_ms > left_ms or not here.meets_deadline(work, first_ms, now_ms)
+        if not is_late and here.prompts_ms(work) <= max_prompts_ms:
+            return False
+        within_ms = IN_TIME_FRACTION * left_ms
+        slots_per_ms = 0.0
+        earliest_ms = None
+        for tracked in self._usable.values():
+            if tracked is here or not work.allows_region(tracked.region):
+                continue
+            first_ms = tracked.first_token_within(
+                work, within_ms, max_prompts_ms, now_ms
+            )
+            if first_ms is not None:
+                slots_per_ms += tracked.limit.slots / max(1.0, tracked.hold_ms)
+                earliest_ms = min(first_ms, earliest_ms or first_ms)
+        if not slots_per_ms:
+            return False
+        wait_ms = (1 + ahead) / slots_per_ms
+        return earliest_ms + wait_ms <= within_ms
+
+    def _max_prompts_ms(self, work, now_ms):
+        """Return how long prefill may keep an upstream busy, for its token gaps.
+
+        The bound follows from the shortest maximum gap that a route of the pool
+        declares; without one there is no bound. There is none either for a prompt that
+        no upstream computes within it: engines compute such prompts in chunks, and the
+        bound would send it to an idle slow engine, where it is late.
+        """
+        gap_ms = min(self._max_gaps_ms.values(), default=None)
+        if gap_ms is None:
+            return NO_GAP_BOUND_MS
+        max_prompts_ms = PROMPT_GAP_FRACTION * gap_ms
+        for tracked in self._usable.values():
+            if tracked.prompts_ms(work) <= max_prompts_ms and tracked.allows_request(
+                now_ms
+            ):
+                return max_prompts_ms
+        return NO_GAP_BOUND_MS
+
+    def _failure_counts(self, now_ms):
+        """Return the decayed counts of failures and answers of all upstreams."""
+        failures = answers = 0.0
+        for tracked in self._usable.values():
+            failed, ended = tracked.failures.counts(now_ms)
+            failures += failed
+            answers += ended
+        return failures, answers
+
+    def on_grant(self, held, now_ms):
+        """Record a grant."""
+        request = held.request
+        if request.max_gap_ms > 0:
+            self._max_gaps_ms[request.route] = request.max_gap_ms
+        upstream_id = held.grant.upstream_id
+        tracked = self._tracked[upstream_id]
+        self._warmup.record_grant(upstream_id, now_ms)
+        cached = self._cached_tokens(request).get(upstream_id, 0)
+        tracked.on_grant(held, self._pace.work(request), now_ms, cached)
+        if len(request.prefix_tokens) == len(request.prefix_hashes):
+            self._cache.record(
+                upstream_id, request.prefix_hashes, request.prefix_tokens
+            )
+
+    def on_first_token(self, held, first_token_ms, now_ms):
+        """Update the pace from a first token reported before the answer ends."""
+        tracked = self._tracked.get(held.grant.upstream_id)
+        if tracked is None or held.first_token_reported:
+            return
+        held.first_token_reported = True
+        tracked.on_prompt_done(held, now_ms)
+        self._on_reachable(held.grant.upstream_id, tracked, now_ms)
+        is_uncached = held.pending_tokens == held.request.prompt_tokens
+        if held.prompt_wait_ms <= 0 and is_uncached:
+            # The cached part of a prompt is only presumed, so that the first token of a
+            # prompt with one gives no estimate of an engine's pace.
+            tracked.pace.observe_first_token(held.request.prompt_tokens, first_token_ms)
+
+    def on_outcome(self, held, outcome, hold_ms, predicted_ms, now_ms):
+        """Update pace, failures and reachability from a released grant."""
+        upstream_id = held.grant.upstream_id
+        tracked = self._tracked.get(upstream_id)
+        if tracked is None:
+            return
+        tracked.on_prompt_done(held, now_ms)
+        if outcome.kind in _CONNECT_FAILURES:
+            tracked.breaker.on_connect_failure(now_ms)
+            self._unreachable.add(upstream_id)
+        elif outcome.kind in _FAILURES:
+            tracked.failures.observe(True, now_ms)
+        elif outcome.kind is OutcomeKind.SUCCESS:
+            tracked.on_success(hold_ms, now_ms)
+            self._clear_unreachable(upstream_id, now_ms)
+            _observe_pace(tracked, outcome)
+
+    def _on_reachable(self, upstream_id, tracked, now_ms):
+        tracked.breaker.on_reachable()
+        self._clear_unreachable(upstream_id, now_ms)
+
+    def _clear_unreachable(self, upstream_id, now_ms):
+        """Remove an upstream from the unreachable ones.
+
+        One that was unreachable may have just restarted, so it is assumed to be cold.
+        """
+        if upstream_id in self._unreachable:
+            self._unreachable.discard(upstream_id)
+            self._warmup.assume_cold(upstream_id, now_ms)
+
+    def forget(self, held, now_ms):
+        """Remove a grant whose outcome will not be reported."""
+        tracked = self._tracked.get(held.grant.upstream_id)
+        if tracked is not None:
+            tracked.on_prompt_done(held, now_ms)
+
+    def on_tick(self, now_ms):
+        """Update which requests have stalled and which upstreams are cold."""
+        for upstream_id, tracked in self._tracked.items():
+            tracked.count_stalled(now_ms)
+            tracked.set_cold(self._warmup.is_cold(upstream_id, now_ms))
+
+
+def _observe_pace(tracked, outcome):
+    if not outcome.output_tokens:
+        tracked.pace.observe_service_call(outcome.total_ms)
+    elif outcome.token_us > 0:
+        tracked.pace.observe_token(outcome.token_us / US_PER_MS)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -1,122 +1,132 @@
-"""Mechanisms of scheduling that an experiment may leave out."""
+"""Scheduling mechanisms that an experiment may disable."""
 
 import enum
 
 import msgspec
 
 from hemlockhoist.base import SettingError
-from hemlockhoist.decisions.scheduling.declared import DeclaredTracks
-from hemlockhoist.decisions.scheduling.out_of_turn import OutOfTurn
-from hemlockhoist.decisions.scheduling.returns import ReturnBook
+from hemlockhoist.decisions.scheduling.client_retries import ClientRetries
+from hemlockhoist.decisions.scheduling.declared_slots_tracker import (
+    DeclaredSlotsTracker,
+)
+from hemlockhoist.decisions.scheduling.overtaking_budget import OvertakingBudget
 
 
 class Mechanism(enum.Enum):
-    """What can be left out, to measure what it is worth."""
+    """A mechanism that can be disabled to measure its effect."""
 
-    BETTER_LATER = "better-later"
-    KEPT_PARTS = "kept-parts"
-    OUT_OF_TURN = "out-of-turn"
-    OWN_DOMAIN = "own-domain"
-    PATIENCE = "patience"
-    PAUSES = "pauses"
-    RETURNS = "returns"
+    DEFERRAL = "better-later"
+    PREFIX_BLOCKS = "kept-parts"
+    OVERTAKING = "out-of-turn"
+    DOMAIN_LOCALITY = "own-domain"
+    CALLER_WAIT_LIMIT = "patience"
+    TOKEN_GAPS = "pauses"
+    CLIENT_RETRIES = "returns"
 
 
 class Experiments:
-    """The mechanisms that are left out; none by default.
+    """The disabled mechanisms; none by default.
 
     Parameters
     ==========
-    left_out : iterable of Mechanism, optional
+    disabled : iterable of Mechanism, optional
 
     Examples
     ========
 
-    >>> Experiments.from_text("returns,pauses").left_out == {
-    ...     Mechanism.RETURNS, Mechanism.PAUSES
+    >>> Experiments.from_text("returns,pauses").disabled == {
+    ...     Mechanism.CLIENT_RETRIES, Mechanism.TOKEN_GAPS
     ... }
     True
     """
 
-    __slots__ = ("left_out",)
+    __slots__ = ("disabled",)
 
-    def __init__(self, left_out=()):
-        self.left_out = frozenset(left_out)
+    def __init__(self, disabled=()):
+        self.disabled = frozenset(disabled)
 
     @classmethod
     def from_text(cls, text):
-        """Return the experiments that a setting names, separated by commas.
+        """Return the experiments named in a setting, separated by commas.
 
         Raises
         ======
         SettingError
-            For a name that is not known.
+            For an unknown name.
         """
         names = [name.strip() for name in text.split(",") if name.strip()]
         try:
             return cls(Mechanism(name) for name in names)
         except ValueError as error:
             known = ", ".join(item.value for item in Mechanism)
-            raise SettingError(f"{error}; known are {known}") from None
+            raise SettingError(f"{error}; expected one of {known}") from None
 
-    def request(self, request):
-        """Return a request as a scheduler without the mechanisms would know it."""
-        if not self.left_out:
+    def mask(self, request):
+        """Return a request without the fields that the disabled mechanisms use."""
+        if not self.disabled:
             return request
         fields = {}
-        if Mechanism.PATIENCE in self.left_out:
-            fields["leaves_ms"] = None
-        if Mechanism.PAUSES in self.left_out:
+        if Mechanism.CALLER_WAIT_LIMIT in self.disabled:
+            fields["waits_until_ms"] = None
+        if Mechanism.TOKEN_GAPS in self.disabled:
             fields["max_gap_ms"] = 0
-        if Mechanism.KEPT_PARTS in self.left_out:
+        if Mechanism.PREFIX_BLOCKS in self.disabled:
             fields["prefix_hashes"] = fields["prefix_tokens"] = ()
-        if Mechanism.OWN_DOMAIN in self.left_out:
-            # No upstream is in a domain without a name: none is nearer than another.
+        if Mechanism.DOMAIN_LOCALITY in self.disabled:
+            # No upstream is in a domain without a name, so none of them is local.
             fields["failure_domain"] = ""
         return msgspec.structs.replace(request, **fields)
 
-    def turns(self):
-        """Return what lets short requests pass those of higher tiers."""
-        return NoTurns() if Mechanism.OUT_OF_TURN in self.left_out else OutOfTurn()
+    def overtaking_budget(self):
+        """Return the budget for overtaking, or one that allows none."""
+        return (
+            NoOvertaking()
+            if Mechanism.OVERTAKING in self.disabled
+            else OvertakingBudget()
+        )
 
-    def returns(self):
-        """Return what knows the requests that come back."""
-        return NoReturns() if Mechanism.RETURNS in self.left_out else ReturnBook()
+    def client_retries(self):
+        """Return the recognition of client retries, or one that recognises none."""
+        return (
+            NoClientRetries()
+            if Mechanism.CLIENT_RETRIES in self.disabled
+            else ClientRetries()
+        )
 
-    def declared_tracks(self, cache_tokens=0, warmup=None):
-        """Return the tracks of upstreams that declare their places."""
-        if Mechanism.BETTER_LATER in self.left_out:
-            return FirstFreeTracks(cache_tokens, warmup)
-        return DeclaredTracks(cache_tokens, warmup)
+    def declared_slots_tracker(self, cache_tokens=0, warmup=None):
+        """Return a tracker of upstreams that declare their slots."""
+        if Mechanism.DEFERRAL in self.disabled:
+            return NoDeferralTracker(cache_tokens, warmup)
+        return DeclaredSlotsTracker(cache_tokens, warmup)
 
 
-class NoTurns(OutOfTurn):
-    """Lets no request pass those of higher tiers."""
+class NoOvertaking(OvertakingBudget):
+    """Lets no request overtake those of higher tiers."""
 
     __slots__ = ()
 
-    def longest_ms(self, rank, passed, places, now_ms):
-        """Return that none may pass."""
+    def max_hold_ms(self, rank, overtaken, slots, now_ms):
+        """Return a time below 0, as no request may overtake."""
         return -1.0
 
 
-class NoReturns(ReturnBook):
-    """Knows no request again, and tells none a time of its own."""
+class NoClientRetries(ClientRetries):
+    """Recognises no client retry, and computes no time to wait before one."""
 
     __slots__ = ()
 
-    def note_refused(self, request, retry_after_ms, now_ms):
-        """Remember nothing."""
+    def record_refusal(self, request, retry_after_ms, now_ms):
+        """Do nothing."""
 
-    def return_ms(self, request, hold_ms, now_ms):
-        """Return None: the queue alone says when to come back."""
+    def wait_before_retry_ms(self, request, hold_ms, now_ms):
+        """Return None: the wait is computed from the queue alone."""
         return
 
 
-class FirstFreeTracks(DeclaredTracks):
-    """Takes the best of the upstreams that are free, and waits for no other."""
+class NoDeferralTracker(DeclaredSlotsTracker):
+    """Selects the best free upstream, and never defers to wait for a better one."""
 
     __slots__ = ()
 
-    def _is_better_later(self, work, best, most_ms, ahead, now_ms):
+    def _should_wait(self, work, best, max_prompts_ms, ahead, now_ms):
         return False
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_experiments.py
@@ -4,12 +4,12 @@
 from hemlockhoist.base import SettingError
 from hemlockhoist.decisions.scheduling import Experiments, Mechanism, experiments
 from hemlockhoist.decisions.scheduling.tests import builders as b
-from hemlockhoist.decisions.scheduling.tests.test_bursts import play_burst
+from hemlockhoist.decisions.scheduling.tests.test_bursts import simulate_burst
 
-HINTS = {
+OPTIONAL_FIELDS = {
     "failure_domain": "coast-a",
     "request_id": "r1",
-    "leaves_ms": 900,
+    "waits_until_ms": 900,
     "max_gap_ms": 80,
     "prefix_hashes": (1, 2),
     "prefix_tokens": (16, 16),
@@ -17,43 +17,45 @@
 
 
 class ExperimentsTests(unittest.TestCase):
-    def test_nothing_is_left_out_by_default(self):
-        request = b.request(**HINTS)
-        self.assertIs(Experiments().request(request), request)
-        self.assertEqual(Experiments.from_text(" ").left_out, frozenset())
+    def test_no_mechanism_is_disabled_by_default(self):
+        request = b.request(**OPTIONAL_FIELDS)
+        self.assertIs(Experiments().mask(request), request)
+        self.assertEqual(Experiments.from_text(" ").disabled, frozenset())
 
-    def test_wrong_name_is_told_with_those_that_are_known(self):
+    def test_unknown_name_is_reported_with_the_known_ones(self):
         with self.assertRaises(SettingError) as caught:
             Experiments.from_text("returns,retries")
         self.assertIn("retries", caught.exception.message)
         for mechanism in Mechanism:
             self.assertIn(mechanism.value, caught.exception.message)
 
-    def test_each_mechanism_that_a_request_tells_of_can_be_left_out(self):
+    def test_mechanisms_that_use_request_fields_are_disabled_by_masking(self):
         cases = {
-            Mechanism.PATIENCE: {"leaves_ms": None},
-            Mechanism.PAUSES: {"max_gap_ms": 0},
-            Mechanism.KEPT_PARTS: {"prefix_hashes": (), "prefix_tokens": ()},
-            Mechanism.OWN_DOMAIN: {"failure_domain": ""},
+            Mechanism.CALLER_WAIT_LIMIT: {"waits_until_ms": None},
+            Mechanism.TOKEN_GAPS: {"max_gap_ms": 0},
+            Mechanism.PREFIX_BLOCKS: {"prefix_hashes": (), "prefix_tokens": ()},
+            Mechanism.DOMAIN_LOCALITY: {"failure_domain": ""},
         }
         for mechanism, fields in cases.items():
             with self.subTest(mechanism):
-                found = Experiments([mechanism]).request(b.request(**HINTS))
-                self.assertEqual(found, b.request(**{**HINTS, **fields}))
-
-    def test_each_mechanism_of_a_burst_changes_what_callers_get(self):
-        """An ablation tells nothing where its switch does nothing."""
-        usual = play_burst()
-        names = {
-            Mechanism.BETTER_LATER: "bulletin",
-            Mechanism.OUT_OF_TURN: "tag",
-            Mechanism.PATIENCE: "notice",
-            Mechanism.RETURNS: "notice",
+                found = Experiments([mechanism]).mask(b.request(**OPTIONAL_FIELDS))
+                self.assertEqual(found, b.request(**{**OPTIONAL_FIELDS, **fields}))
+
+    def test_disabling_a_mechanism_changes_the_outcomes_of_a_burst(self):
+        """A switch without effect would make the ablation meaningless."""
+        reference = simulate_burst()
+        affected = {
+            Mechanism.DEFERRAL: "bulletin",
+            Mechanism.OVERTAKING: "tag",
+            Mechanism.CALLER_WAIT_LIMIT: "notice",
+            Mechanism.CLIENT_RETRIES: "notice",
         }
-        for mechanism, kind in names.items():
+        for mechanism, class_name in affected.items():
             with self.subTest(mechanism):
-                play = play_burst(experiments=Experiments([mechanism]))
-                self.assertNotEqual(play.ends[kind], usual.ends[kind])
+                simulation = simulate_burst(experiments=Experiments([mechanism]))
+                self.assertNotEqual(
+                    simulation.outcomes[class_name], reference.outcomes[class_name]
+                )
 
     def test_examples(self):
         self.assertEqual(doctest.testmod(experiments).failed, 0)
--- /dev/null
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/upstream_tracker.py
@@ -0,0 +1,150 @@
+"""The interface between a pool's scheduler and the tracker of its upstreams."""
+
+
+class UpstreamTracker:
+    """Records what a home knows of each upstream, and chooses one for a request.
+
+    ``DeclaredSlotsTracker`` is for upstreams that declare how many requests they work
+    on at once; for others ``AdaptiveTracker`` finds the limits.
+
+    Attributes
+    ==========
+    recovery_ms : int
+        How long a new home bounds its grants by load reports after taking over.
+    """
+
+    __slots__ = ()
+    recovery_ms = 0
+
+    def set_listed(self, upstreams):
+        """Start tracking new upstreams, and forget those that are no longer listed."""
+        raise NotImplementedError
+
+    def get(self, upstream_id):
+        """Return what is tracked of a listed upstream, or None."""
+        raise NotImplementedError
+
+    def slots(self, upstream_id, now_ms):
+        """Return how many requests an upstream may hold."""
+        raise NotImplementedError
+
+    def choose(self, request, choices, in_flight, now_ms, ahead=0):
+        """Return the upstream for a request, or None if it should wait.
+
+        Parameters
+        ==========
+        request : hemlockhoist.decisions.WorkRequest
+        choices : sequence of hemlockhoist.decisions.Upstream
+            Those with a free slot.
+        in_flight : callable
+            Returns the number of grants in flight at an upstream id.
+        now_ms : int
+        ahead : int, optional
+            Number of requests before this one that wait for a better upstream.
+        """
+        raise NotImplementedError
+
+    def hold_ms(self, request):
+        """Return how long a request is expected to hold a slot, or None if unknown."""
+        raise NotImplementedError
+
+    def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
+        """Return the key by which the requests of one customer are ordered.
+
+        The request with the lowest key is served first.
+        """
+        raise NotImplementedError
+
+    def on_grant(self, held, now_ms):
+        """Record a grant."""
+        raise NotImplementedError
+
+    def on_first_token(self, held, first_token_ms, now_ms):
+        """Record a first token that is reported before the answer ends."""
+        raise NotImplementedError
+
+    def on_outcome(self, held, outcome, hold_ms, predicted_ms, now_ms):
+        """Record the outcome of a released grant.
+
+        Parameters
+        ==========
+        held : hemlockhoist.decisions.scheduling.grants.InFlightGrant
+        outcome : hemlockhoist.decisions.Outcome
+        hold_ms : int
+            From grant to release.
+        predicted_ms : float
+            Current prediction of the pool's estimate for such a request.
+        now_ms : int
+        """
+        raise NotImplementedError
+
+    def forget(self, held, now_ms):
+        """Remove a grant whose outcome will not be reported."""
+        raise NotImplementedError
+
+    def begin_takeover(self, now_ms):
+        """Start deciding as a new home, possibly after another one."""
+
+    def set_share(self, share):
+        """Set the fraction of bounds over all hosts that applies to this one."""
+
+    def is_cold(self, upstream_id, now_ms):
+        """Return whether an upstream is still warming up after its start."""
+        return False
+
+    def on_adopt(self, held, now_ms):
+        """Record a grant of a former home."""
+
+    def set_max_limit(self, max_limit):
+        """Set the upper bound of adaptive limits."""
+
+    def set_usable(self, upstreams, now_ms):
+        """Set the upstreams that may be assigned work."""
+
+    def cached_elsewhere(self, request, upstream_id):
+        """Return the most prompt tokens that any other upstream probably has cached."""
+        return 0
+
+    def accepts_more(self, upstream_id, now_ms):
+        """Return whether an upstream may take a request, apart from free slots."""
+        return True
+
+    def with_free_slot(self, upstreams, in_flight, now_ms):
+        """Return those of the given upstreams that may be assigned one more request.
+
+        Parameters
+        ==========
+        upstreams : iterable of hemlockhoist.decisions.Upstream
+        in_flight : callable
+            Returns the number of grants in flight at an upstream id.
+        now_ms : int
+        """
+        return [
+            item
+            for item in upstreams
+            if in_flight(item.upstream_id) < self.slots(item.upstream_id, now_ms)
+            and self.accepts_more(item.upstream_id, now_ms)
+        ]
+
+    def count_slots(self, upstreams, now_ms):
+        """Return the total number of slots of the given upstreams."""
+        return sum(self.slots(item.upstream_id, now_ms) for item in upstreams)
+
+    def on_overdue(self, upstream_id, overdue, ratio, now_ms):
+        """Handle grants that are held far longer than predicted.
+
+        Parameters
+        ==========
+        upstream_id : str
+        overdue : int
+            Number of such grants.
+        ratio : float
+            Median ratio of their holding time to the predicted time.
+        now_ms : int
+        """
+
+    def on_tick(self, now_ms):
+        """Update state that depends on time alone; called at each tick."""
+
+    def drift(self):
+        """Move speeds towards their means; called once a second."""
--- a/libs/decisions/src/hemlockhoist/decisions/versions/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/__init__.py
@@ -1,4 +1,4 @@
-"""Version moves: counted shares, sequential evidence, and orders to upstreams."""
+"""Version moves: traffic shares, sequential tests, and orders to upstreams."""
 
 from hemlockhoist.decisions.versions.controller import MoveController
 from hemlockhoist.decisions.versions.events import (
@@ -18,11 +18,11 @@
     MoveState,
     cancel_move,
     finish_move,
+    roll_back_move,
     start_move,
-    take_back_move,
     widen_move,
 )
-from hemlockhoist.decisions.versions.orders import Order, OrderBook, OrderState
+from hemlockhoist.decisions.versions.orders import Order, OrderState, OrderTracker
 from hemlockhoist.decisions.versions.trial import TrialBound
 
 __all__ = [
@@ -37,15 +37,15 @@
     "MoveRequest",
     "MoveState",
     "Order",
-    "OrderBook",
     "OrderState",
+    "OrderTracker",
     "TakenBack",
     "TrialBound",
     "UpstreamSetApart",
     "Widened",
     "cancel_move",
     "finish_move",
+    "roll_back_move",
     "start_move",
-    "take_back_move",
     "widen_move",
 ]
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -257,9 +257,9 @@
             self._refuse(request, refusal.code, refusal.retry_after_ms, refusal.reason)
             return
         self._begin_span(brief)
-        returned = self.scheduler.returned
+        returned = self.scheduler.client_retry_count
         decisions = self.scheduler.submit(request, now_ms)
-        if self.scheduler.returned > returned:
+        if self.scheduler.client_retry_count > returned:
             self._metrics.count(CALLERS_RETURNED, self.pool)
         request_id = request.request_id
         is_decided = any(item.request.request_id == request_id for item in decisions)
@@ -532,9 +532,9 @@
 
 def work_request(brief, entry_host, now_ms):
     """Return the request that a brief describes, with times on the home's clock."""
-    leaves_ms = None
+    waits_until_ms = None
     if brief.leaves_in_ms is not None:
-        leaves_ms = now_ms + brief.leaves_in_ms
+        waits_until_ms = now_ms + brief.leaves_in_ms
     return WorkRequest(
         request_id=brief.request_id,
         route=brief.route,
@@ -549,7 +549,7 @@
         prefix_tokens=brief.prefix_tokens,
         deadline_ms=now_ms + brief.deadline_in_ms,
         first_token_by_ms=now_ms + brief.first_token_in_ms,
-        leaves_ms=leaves_ms,
+        waits_until_ms=waits_until_ms,
         max_gap_ms=brief.max_gap_ms,
         entry_host=entry_host,
         failure_domain=brief.failure_domain,
