--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
@@ -63,7 +63,7 @@
     def __init__(self, upstream, max_limit, speed):
         self.generation = upstream.generation
         self.failure_domain = upstream.failure_domain
-        self.limit = new_limit(upstream.slots, max_limit)
+        self.limit = new_limit(upstream.slot_count, max_limit)
         self.health = Health()
         self.prefixes = PrefixMap()
         self.speed = Speed(speed.token_ms, speed.prompt_token_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
@@ -75,7 +75,7 @@
             if tracked is None or tracked.started_unix_ms != item.started_unix_ms:
                 tracked = DeclaredSlotsUpstream(item, self._pace)
                 self._cache.forget(item.upstream_id)
-            tracked.limit.slots = item.slots
+            tracked.limit.slots = item.slot_count
             self._tracked[item.upstream_id] = tracked
         for upstream_id in previous.keys() - self._tracked.keys():
             self._cache.forget(upstream_id)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_upstream.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_upstream.py
@@ -45,7 +45,7 @@
         self.failure_domain = upstream.failure_domain
         self.region = upstream.region
         self.started_unix_ms = upstream.started_unix_ms
-        self.limit = DeclaredLimit(upstream.slots)
+        self.limit = DeclaredLimit(upstream.slot_count)
         self.pace = EnginePace(pool_pace)
         # The pace of the warm upstream, kept while it is cold.
         self.warm_pace = None
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/scheduler_simulation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/scheduler_simulation.py
@@ -128,7 +128,7 @@
                 pool="dossiers",
                 version="v1",
                 address="127.0.0.1:1",
-                slots=slots,
+                slot_count=slots,
             )
             for name in tokens_ms
         ]
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
@@ -91,7 +91,7 @@
                 version="v1",
                 address="127.0.0.1:1",
                 failure_domain=name,
-                slots=6,
+                slot_count=6,
             )
             for name in DOMAINS
         ]
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
@@ -18,7 +18,7 @@
 
 def upstream(name, **fields):
     values = {"pool": "dossiers", "version": "v1", "address": "127.0.0.1:1"}
-    return Upstream(upstream_id=name, slots=PLACES, **(values | fields))
+    return Upstream(upstream_id=name, slot_count=PLACES, **(values | fields))
 
 
 def scheduler(*names):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
@@ -13,7 +13,7 @@
 from hemlockhoist.declarations import Pool, PoolKind
 
 
-def upstream(name, state=UpstreamState.LIVE, region="", slots=1):
+def upstream(name, state=UpstreamState.LIVE, region="", slot_count=1):
     return Upstream(
         upstream_id=name,
         pool="assistant",
@@ -21,7 +21,7 @@
         address="127.0.0.1:1",
         failure_domain=name[0],
         region=region,
-        slots=slots,
+        slot_count=slot_count,
         state=state,
     )
 
@@ -77,7 +77,7 @@
 class RegionTests(unittest.TestCase):
     def setUp(self):
         self.sched = scheduler(
-            upstream("n1", region="north", slots=3), upstream("s1", region="south")
+            upstream("n1", region="north", slot_count=3), upstream("s1", region="south")
         )
 
     def test_requests_stay_in_their_regions(self):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
@@ -73,7 +73,7 @@
             pool="dossiers",
             version="v1",
             address="127.0.0.1:1",
-            slots=2,
+            slot_count=2,
             started_unix_ms=started_unix_ms,
         )
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
@@ -33,7 +33,7 @@
         pool="assistant",
         version="v1",
         address="127.0.0.1:1",
-        slots=4,
+        slot_count=4,
         cold_until_ms=cold_until_ms,
         listed_version=version,
     )
--- a/libs/decisions/src/hemlockhoist/decisions/work.py
+++ b/libs/decisions/src/hemlockhoist/decisions/work.py
@@ -107,7 +107,7 @@
     generation : str
         Hardware generation.
     state : UpstreamState
-    slots : int
+    slot_count : int
         Number of requests that it declares to process concurrently; 0 if undeclared.
     started_unix_ms : int
         Start time, which distinguishes its runs under one id; 0 if unknown.
@@ -124,7 +124,7 @@
     failure_domain: str = ""
     generation: str = ""
     state: UpstreamState = UpstreamState.LIVE
-    slots: int = 0
+    slot_count: int = 0
     started_unix_ms: int = 0
     listed_version: int = 0
     cold_until_ms: int = 0
