--- a/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
@@ -101,7 +101,7 @@
             return None
         parts = self._incoming_parts.setdefault(leaver, {})
         parts[message.part] = message
-        if len(parts) == message.parts:
+        if len(parts) == message.part_count:
             return self._complete(ledger, message, now_ms)
         return _ack(message, True)
 
@@ -119,7 +119,7 @@
                 leaver=ledger.incarnation,
                 successor=successor,
                 part=part,
-                parts=len(groups),
+                part_count=len(groups),
                 ranges=ranges if part == 0 else (),
                 records=tuple(group),
             )
@@ -143,7 +143,7 @@
                 leaver=ledger.incarnation,
                 successor=self.successor,
                 part=0,
-                parts=1,
+                part_count=1,
                 update=self._last_update,
                 records=(handed,),
             )
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
@@ -352,9 +352,9 @@
             record.sent_number = 0
             return OutcomeUnknown()
         lookup = KeyLookup(
-            asker=self.incarnation,
+            requester=self.incarnation,
             holder=holder,
-            ask_number=record.query_number,
+            query_number=record.query_number,
             sent_number=record.sent_number,
             customer=record.customer,
             key=record.key.text,
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
@@ -2,7 +2,7 @@
 
 The dispatch right of a key is held by one host or is in transit in one
 ``LookupGranted``. The holder releases it when it records the grant, before it sends the
-reply. The grant names the requester's query (``ask_number``). The requester applies a
+reply. The grant names the requester's query (``query_number``). The requester applies a
 grant only while that query is open, and applying it closes the query. A late or
 duplicate reply therefore grants nothing, and a lost reply is sent again when the
 requester repeats its query.
@@ -84,8 +84,8 @@
 
 def _answer_idle(ledger, lookup, record):
     if (
-        record.granted_to == lookup.asker
-        and lookup.ask_number <= record.granted_query_number
+        record.granted_to == lookup.requester
+        and lookup.query_number <= record.granted_query_number
     ):
         # This lookup was delayed in the network until after the right had gone to the
         # requester and come back. The requester's query is closed, so a second grant
@@ -96,17 +96,17 @@
 
 def _answer_elsewhere(ledger, lookup, record):
     holder = ledger.successors.resolve(record.holder)
-    query = (lookup.asker, lookup.ask_number)
+    query = (lookup.requester, lookup.query_number)
     if query == (record.granted_to, record.granted_query_number):
         return _reply(ledger, lookup, messages.LookupGranted)
-    if holder in (lookup.asker, ledger.incarnation):
+    if holder in (lookup.requester, ledger.incarnation):
         # The requester had the right and has already dropped the outcome.
         return _reply(ledger, lookup, messages.LookupUnknown)
     return _reply(ledger, lookup, messages.LookupMoved, holder=holder)
 
 
 def _grant_right(ledger, lookup, record):
-    detail = f"key {lookup.key} granted to {lookup.asker} by {ledger.incarnation}"
+    detail = f"key {lookup.key} granted to {lookup.requester} by {ledger.incarnation}"
     ledger.invariants.check(
         Property.NOT_RUN_IS_TRUE,
         record.state is RecordState.IDLE and not record.dispatched,
@@ -114,10 +114,10 @@
     )
     record.state = RecordState.ELSEWHERE
     record.fingerprint = lookup.fingerprint
-    record.holder = lookup.asker
+    record.holder = lookup.requester
     record.direct = False
-    record.granted_to = lookup.asker
-    record.granted_query_number = lookup.ask_number
+    record.granted_to = lookup.requester
+    record.granted_query_number = lookup.query_number
     record.query_number = 0
     ledger.record_change(record)
     return _reply(ledger, lookup, messages.LookupGranted)
@@ -125,9 +125,9 @@
 
 def _reply(ledger, lookup, kind, **fields):
     return kind(
-        asker=lookup.asker,
-        replier=ledger.incarnation,
-        ask_number=lookup.ask_number,
+        requester=lookup.requester,
+        responder=ledger.incarnation,
+        query_number=lookup.query_number,
         sent_number=lookup.sent_number,
         customer=lookup.customer,
         key=lookup.key,
@@ -144,11 +144,11 @@
     reply : hemlockhoist.messages.ledger.LookupReply
     """
     record = ledger.table.get(reply.customer, reply.key)
-    if record is None or reply.asker != ledger.incarnation:
+    if record is None or reply.requester != ledger.incarnation:
         return None
     if record.state is not RecordState.ELSEWHERE:
         return None
-    if record.query_number != reply.ask_number:
+    if record.query_number != reply.query_number:
         return None
     waited_for = record.sent_number == reply.sent_number
     if not waited_for and not isinstance(reply, messages.LookupGranted):
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -175,7 +175,7 @@
             output_tokens=admitted.output_tokens,
             deadline_in_ms=admitted.deadline_ms - now_ms,
             first_token_in_ms=admitted.target_by_ms - now_ms,
-            leaves_in_ms=admitted.leaves_ms - now_ms,
+            max_wait_ms=admitted.leaves_ms - now_ms,
             max_gap_ms=admitted.route.max_gap_ms,
             failure_domain=self._context.identity.failure_domain,
             trace=self._context.traces.text_for_peer(),
--- a/libs/entry/src/hemlockhoist/entry/feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/feeds.py
@@ -250,7 +250,7 @@
             async with asyncio.timeout((wait_ms + ANSWER_SLACK_MS) / MS_PER_S):
                 return await future
         except TimeoutError:
-            self._context.bus.renew(address)
+            self._context.bus.reconnect(address)
             return None
         finally:
             del self._asked[number]
--- a/libs/entry/src/hemlockhoist/entry/gate.py
+++ b/libs/entry/src/hemlockhoist/entry/gate.py
@@ -85,7 +85,7 @@
 
     def on_spent(self, host, held, now_ms):
         """Count what was spent under a home before this one."""
-        self.allowances.add_reported((held.run, held.pool), held.spent, now_ms)
+        self.allowances.add_reported((held.incarnation, held.pool), held.usage, now_ms)
         if self._history is not None:
             self._history.record_report(host, held.up_ms)
             self._note_past()
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -218,7 +218,7 @@
             context.bus.send,
             context.homes.home_of,
             self._on_silent,
-            context.bus.renew,
+            context.bus.reconnect,
             lambda: context.identity.host_id,
             UsageLog(self.settings.bounds.allowance_window_ms),
             context.identity.incarnation,
--- a/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
@@ -95,7 +95,7 @@
                 send=lambda address, message: network.send(
                     member.address, address, message
                 ),
-                renew=lambda address: None,
+                reconnect=lambda address: None,
             ),
         )
         self.feeds = FeedStore(context, self.store, (TABLE,))
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -187,7 +187,9 @@
         own = self._context.identity.host_id
         bus = self._context.bus
         return sum(
-            1 for host in self.live_hosts() if host == own or bus.heard(host, heard_ms)
+            1
+            for host in self.live_hosts()
+            if host == own or bus.received_within(host, heard_ms)
         )
 
     def count_known(self, lost_ms):
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -462,9 +462,9 @@
             pool=pool,
             home_incarnation=home_incarnation,
             grants=grants,
-            spent=spent,
+            usage=spent,
             up_ms=self._clock.now_ms() - self._started_ms,
-            run=self._run,
+            incarnation=self._run,
         )
 
     def send_held_ids(self, pools):
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -533,8 +533,8 @@
 def work_request(brief, entry_host, now_ms):
     """Return the request that a brief describes, with times on the home's clock."""
     waits_until_ms = None
-    if brief.leaves_in_ms is not None:
-        waits_until_ms = now_ms + brief.leaves_in_ms
+    if brief.max_wait_ms is not None:
+        waits_until_ms = now_ms + brief.max_wait_ms
     return WorkRequest(
         request_id=brief.request_id,
         route=brief.route,
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -145,7 +145,7 @@
             self._context.traces,
             self._context.metrics,
             self._gate,
-            self._context.bus.renew,
+            self._context.bus.reconnect,
         )
         scheduler.set_share(self._share)
         home.set_upstreams(self._upstreams.get(pool.name, ()))
--- a/libs/host/src/hemlockhoist/host/process.py
+++ b/libs/host/src/hemlockhoist/host/process.py
@@ -174,7 +174,7 @@
             send,
             context.homes.home_of,
             self._on_silent,
-            context.bus.renew,
+            context.bus.reconnect,
         )
         context.dispatcher = Dispatcher(
             context.grants, clock, context.invariants, context.traces, context.metrics
--- a/libs/host/src/hemlockhoist/host/tests/test_grants.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_grants.py
@@ -235,8 +235,8 @@
             0,
         )
         await asked
-        self.assertEqual(client.report("chat", "run1", "h1").spent, ())
-        ((customer, parts),) = client.report("chat", "run2", "h1").spent
+        self.assertEqual(client.report("chat", "run1", "h1").usage, ())
+        ((customer, parts),) = client.report("chat", "run2", "h1").usage
         self.assertEqual((customer, sum(units for _, units in parts)), ("port", 500))
 
 
--- a/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
@@ -122,7 +122,7 @@
 
     async def test_handover_for_another_run_is_passed_over(self):
         """A part of a ledger meant for the run before this one is not answered."""
-        message = Handover(leaver="a", successor="gone", part=0, parts=1)
+        message = Handover(leaver="a", successor="gone", part=0, part_count=1)
         self.b.on_message("a", message)
 
     async def test_ledger_moves_to_the_successor(self):
--- a/libs/messages/src/hemlockhoist/messages/codec.py
+++ b/libs/messages/src/hemlockhoist/messages/codec.py
@@ -100,7 +100,7 @@
     def encode(self, envelope):
         """Return the frame of an envelope."""
         wire = _WireEnvelope(
-            sender=packed_address(envelope.sender),
+            sender=pack_address(envelope.sender),
             incarnation=_packed_hex(envelope.incarnation),
             sequence=envelope.sequence,
             sent_ms=envelope.sent_ms,
@@ -157,13 +157,13 @@
         return digest.digest()
 
 
-def packed_address(address):
+def pack_address(address):
     """Return the bytes of an address, fewer where it is one of IPv4.
 
     Examples
     ========
-    >>> from hemlockhoist.messages.codec import packed_address
-    >>> packed_address("10.1.0.35:7600").hex(), packed_address("[::1]:7600")
+    >>> from hemlockhoist.messages.codec import pack_address
+    >>> pack_address("10.1.0.35:7600").hex(), pack_address("[::1]:7600")
     ('000a0100231db0', b'\\x01[::1]:7600')
     """
     ip, _, port = address.rpartition(":")
--- a/libs/messages/src/hemlockhoist/messages/feeds.py
+++ b/libs/messages/src/hemlockhoist/messages/feeds.py
@@ -10,7 +10,7 @@
 class FeedState(enum.IntEnum):
     """What an answer is worth."""
 
-    GOOD = 0
+    OK = 0
     # The reader itself can not reach the store, or does not know the table yet.
     FAILED = 1
     # The reader no longer knows what was dropped since the version asked for.
@@ -125,7 +125,7 @@
     """
 
     number: int
-    state: FeedState = FeedState.GOOD
+    state: FeedState = FeedState.OK
     rows: tuple[FeedRow, ...] = ()
     version: int = 0
     store_ms: int = 0
--- a/libs/messages/src/hemlockhoist/messages/grants.py
+++ b/libs/messages/src/hemlockhoist/messages/grants.py
@@ -34,7 +34,7 @@
         Whether this is the first that any home hears of the request.
     avoid : tuple of str
         Upstreams that failed the request before.
-    leaves_in_ms : int or None
+    max_wait_ms : int or None
         Until its caller leaves if nothing of the answer has come; None where it waits
         to the deadline.
     max_gap_ms : int
@@ -64,7 +64,7 @@
     units: int = 0
     avoid: tuple[str, ...] = ()
     is_new: bool = True
-    leaves_in_ms: int | None = None
+    max_wait_ms: int | None = None
     max_gap_ms: int = 0
     prefix_tokens: tuple[int, ...] = ()
     regions: tuple[str, ...] = ()
@@ -213,17 +213,17 @@
 ):
     """The answer to ``HomeTakeover``: all grants of the pool held by the sender.
 
-    ``spent`` tells what customers have spent there lately: each with the ages in
-    milliseconds and the units. ``run`` is the sender's incarnation; ``up_ms`` tells for
-    how long it has run, and so how far back it can tell.
+    ``usage`` is the recent usage of each customer at the sender: ages in milliseconds,
+    with the units. ``incarnation`` is that of the sender. ``up_ms`` is how long it has
+    run, which limits how far back its usage reaches.
     """
 
     pool: str
     home_incarnation: str
     grants: tuple[HeldGrant, ...]
-    spent: tuple[tuple[str, tuple[tuple[int, int], ...]], ...] = ()
+    usage: tuple[tuple[str, tuple[tuple[int, int], ...]], ...] = ()
     up_ms: int = 0
-    run: str = ""
+    incarnation: str = ""
 
 
 class HeldGrantIds(
--- a/libs/messages/src/hemlockhoist/messages/ledger.py
+++ b/libs/messages/src/hemlockhoist/messages/ledger.py
@@ -34,7 +34,7 @@
     ==========
     asker, holder : str
         Incarnations. A process that is not ``holder`` can tell nothing.
-    ask_number : int
+    query_number : int
         Names the asker's wish for this key. Repeats of the question carry the same
         number, so that a grant whose reply was lost is given again, and only again
         to the wish that it was given to.
@@ -45,9 +45,9 @@
         Of the request.
     """
 
-    asker: str
+    requester: str
     holder: str
-    ask_number: int
+    query_number: int
     sent_number: int
     customer: str
     key: str
@@ -59,9 +59,9 @@
 ):
     """Base of the replies to ``KeyLookup``; echoes what it answers."""
 
-    asker: str
-    replier: str
-    ask_number: int
+    requester: str
+    responder: str
+    query_number: int
     sent_number: int
     customer: str
     key: str
@@ -171,7 +171,7 @@
     leaver, successor : str
         Incarnations.
     part, parts : int
-        The successor may dispatch once it has all of ``parts``.
+        The successor may dispatch once it has all ``part_count`` parts.
     update : int
         0 for the ledger itself; counts up with each later change of a request that
         was in progress, which is a message of one part.
@@ -182,7 +182,7 @@
     leaver: str
     successor: str
     part: int
-    parts: int
+    part_count: int
     update: int = 0
     ranges: tuple[HandedRange, ...] = ()
     records: tuple[HandedRecord, ...] = ()
--- a/libs/peers/src/hemlockhoist/peers/bus.py
+++ b/libs/peers/src/hemlockhoist/peers/bus.py
@@ -27,8 +27,8 @@
     clock : Clock
     handler : callable
         ``handler(sender, message, late_ms)``; must not block.
-    on_broken : callable, optional
-        ``on_broken(address)`` is called when the connection to a peer has ended.
+    on_connection_lost : callable, optional
+        ``on_connection_lost(address)`` is called when the connection to a peer ends.
     """
 
     __slots__ = (
@@ -40,10 +40,10 @@
         "_incarnation",
         "_links",
         "_listener",
-        "_on_broken",
+        "_on_connection_lost",
         "address",
         "bytes_received",
-        "rejected",
+        "rejected_count",
     )
 
     def __init__(
@@ -54,9 +54,9 @@
         peer_key,
         clock,
         handler,
-        on_broken=lambda address: None,
+        on_connection_lost=lambda address: None,
     ):
-        self._on_broken = on_broken
+        self._on_connection_lost = on_connection_lost
         self._incarnation = incarnation
         self._listener = PeerListener(listen, self._take, self._reject)
         self._advertise = advertise
@@ -67,7 +67,7 @@
         self._links = {}
         self.address = ""
         self.bytes_received = 0
-        self.rejected = 0
+        self.rejected_count = 0
 
     async def start(self):
         """Listen for peers."""
@@ -112,16 +112,16 @@
             link = self._links[address] = self._connect(address)
         link.send(message)
 
-    def heard(self, address, within_ms):
+    def received_within(self, address, within_ms):
         """Return whether a peer was heard from within a time."""
-        heard_ms = self._inbox.heard_ms(address)
+        heard_ms = self._inbox.last_received_ms(address)
         return heard_ms is not None and self._clock.now_ms() - heard_ms <= within_ms
 
-    def renew(self, address):
+    def reconnect(self, address):
         """Take a new connection to a peer that seems not to hear this host."""
         link = self._links.get(address)
         if link is not None:
-            link.renew()
+            link.reconnect()
 
     def _connect(self, address):
         link = PeerLink(
@@ -130,7 +130,7 @@
             self.address,
             self._incarnation,
             address,
-            self._on_broken,
+            self._on_connection_lost,
         )
         link.start()
         return link
@@ -150,14 +150,14 @@
         except PeerError as error:
             self._reject(error)
             return
-        if self._inbox.is_new_run(envelope.sender):
+        if self._inbox.is_new_incarnation(envelope.sender):
             # The connection was to the run before, and may hang.
-            self.renew(envelope.sender)
+            self.reconnect(envelope.sender)
         for message in envelope.messages:
             self._deliver(envelope.sender, message, late_ms)
 
     def _reject(self, error):
-        self.rejected += 1
+        self.rejected_count += 1
         _log.warning("peer_rejected", code=int(error.code), reason=error.message)
 
     def _deliver(self, sender, message, late_ms):
--- a/libs/peers/src/hemlockhoist/peers/connection.py
+++ b/libs/peers/src/hemlockhoist/peers/connection.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hemlockhoist.peers.frames import framed
+from hemlockhoist.peers.frames import encode_frame
 
 
 class Connection(asyncio.Protocol):
@@ -53,7 +53,7 @@
 
     def write(self, frame):
         """Send a frame, without waiting."""
-        self._transport.write(framed(frame))
+        self._transport.write(encode_frame(frame))
 
     async def wait_writable(self):
         """Wait until the peer takes more."""
--- a/libs/peers/src/hemlockhoist/peers/frames.py
+++ b/libs/peers/src/hemlockhoist/peers/frames.py
@@ -8,13 +8,13 @@
 _LENGTH = struct.Struct(">I")
 
 
-def framed(frame):
+def encode_frame(frame):
     """Return a frame as it goes over a connection.
 
     Examples
     ========
-    >>> from hemlockhoist.peers.frames import framed
-    >>> framed(b"ab")
+    >>> from hemlockhoist.peers.frames import encode_frame
+    >>> encode_frame(b"ab")
     b'\\x00\\x00\\x00\\x02ab'
     """
     return _LENGTH.pack(len(frame)) + frame
@@ -25,11 +25,11 @@
 
     Examples
     ========
-    >>> from hemlockhoist.peers.frames import FrameReader, framed
+    >>> from hemlockhoist.peers.frames import FrameReader, encode_frame
     >>> reader = FrameReader()
-    >>> reader.feed(framed(b"ab") + framed(b"cde")[:5])
+    >>> reader.feed(encode_frame(b"ab") + encode_frame(b"cde")[:5])
     [b'ab']
-    >>> reader.feed(framed(b"cde")[5:])
+    >>> reader.feed(encode_frame(b"cde")[5:])
     [b'cde']
     """
 
--- a/libs/peers/src/hemlockhoist/peers/inbox.py
+++ b/libs/peers/src/hemlockhoist/peers/inbox.py
@@ -4,20 +4,26 @@
 
 # Incarnations of one sender remembered as ended; a host restarts less than once a
 # day, and a frame of an earlier process is not delayed for days.
-MAX_RETIRED = 16
+MAX_PAST_INCARNATIONS = 16
 
 
 class _SenderState:
     """What is known of one incarnation of a sender."""
 
-    __slots__ = ("heard_ms", "incarnation", "min_offset_ms", "retired", "sequence")
+    __slots__ = (
+        "incarnation",
+        "last_received_ms",
+        "min_offset_ms",
+        "past_incarnations",
+        "sequence",
+    )
 
-    def __init__(self, incarnation, retired):
+    def __init__(self, incarnation, past_incarnations):
         self.incarnation = incarnation
-        self.retired = retired
+        self.past_incarnations = past_incarnations
         self.sequence = 0
         self.min_offset_ms = None
-        self.heard_ms = None
+        self.last_received_ms = None
 
 
 class Inbox:
@@ -49,12 +55,12 @@
     3000
     """
 
-    __slots__ = ("_address", "_new_run", "_senders")
+    __slots__ = ("_address", "_new_incarnation_of", "_senders")
 
     def __init__(self, address):
         self._address = address
         self._senders = {}
-        self._new_run = ""
+        self._new_incarnation_of = ""
 
     def accept(self, envelope, now_ms):
         """Return the lateness of an envelope in milliseconds.
@@ -73,20 +79,20 @@
             text = f"envelope {envelope.sequence} of {envelope.sender} came twice"
             raise PeerError(text, ResultCode.PEER_UNAUTHENTIC)
         state.sequence = envelope.sequence
-        state.heard_ms = now_ms
+        state.last_received_ms = now_ms
         offset_ms = now_ms - envelope.sent_ms
         if state.min_offset_ms is None or offset_ms < state.min_offset_ms:
             state.min_offset_ms = offset_ms
         return offset_ms - state.min_offset_ms
 
-    def heard_ms(self, sender):
+    def last_received_ms(self, sender):
         """Return when the last envelope of a sender came, or None."""
         state = self._senders.get(sender)
-        return state.heard_ms if state is not None else None
+        return state.last_received_ms if state is not None else None
 
-    def is_new_run(self, sender):
+    def is_new_incarnation(self, sender):
         """Return whether the last envelope began another run of a known sender."""
-        return self._new_run == sender
+        return self._new_incarnation_of == sender
 
     def forget(self, sender):
         """Drop what is known of a host that has left the fleet."""
@@ -94,17 +100,19 @@
 
     def _state(self, envelope):
         state = self._senders.get(envelope.sender)
-        self._new_run = ""
+        self._new_incarnation_of = ""
         if state is None:
             state = _SenderState(envelope.incarnation, ())
-        elif envelope.incarnation in state.retired:
+        elif envelope.incarnation in state.past_incarnations:
             # A delayed frame of the process before a restart would otherwise begin
             # that incarnation's numbering anew, and be accepted again and again.
             text = f"envelope of an ended incarnation of {envelope.sender}"
             raise PeerError(text, ResultCode.PEER_UNAUTHENTIC)
         elif state.incarnation != envelope.incarnation:
-            retired = (*state.retired, state.incarnation)[-MAX_RETIRED:]
-            state = _SenderState(envelope.incarnation, retired)
-            self._new_run = envelope.sender
+            past_incarnations = (*state.past_incarnations, state.incarnation)[
+                -MAX_PAST_INCARNATIONS:
+            ]
+            state = _SenderState(envelope.incarnation, past_incarnations)
+            self._new_incarnation_of = envelope.sender
         self._senders[envelope.sender] = state
         return state
--- a/libs/peers/src/hemlockhoist/peers/link.py
+++ b/libs/peers/src/hemlockhoist/peers/link.py
@@ -13,21 +13,21 @@
 MAX_BATCH = 256
 # A peer that takes nothing for this long is dead or cut off: what is queued for it
 # is stale by then, and every exchange between hosts is repeated by its sender.
-STALE_MS = 1_000
+MAX_QUEUED_MS = 1_000
 # Bounds the memory that an unreachable peer can cost; the oldest go first.
 MAX_QUEUED = 4_096
 # Pause after a connection that was refused, twice as long after each in a row.
-RECONNECT_MIN_MS = 50
-RECONNECT_MAX_MS = 1_000
+INITIAL_BACKOFF_MS = 50
+MAX_BACKOFF_MS = 1_000
 # A peer is dialled again after this while no connection is there, and twice as long
 # each further time. Many round trips, and much less than the second after which the
 # kernel repeats the first packet of a connection.
-REDIAL_MIN_MS = 150
-REDIAL_MAX_MS = 1_000
+INITIAL_CONNECT_TIMEOUT_MS = 150
+MAX_CONNECT_TIMEOUT_MS = 1_000
 # Between two renewals of a connection: a new one is there within a few round trips,
 # and whoever has no answer asks for a renewal with each question.
-MIN_RENEWAL_MS = 400
-FLUSH_CHECK_MS = 5
+MIN_RECONNECT_INTERVAL_MS = 400
+FLUSH_POLL_INTERVAL_MS = 5
 
 
 class PeerLink:
@@ -41,8 +41,8 @@
         Of this host.
     address : str
         ``IP:port`` of the peer.
-    on_broken : callable
-        ``on_broken(address)`` is called when an open connection has ended.
+    on_connection_lost : callable
+        ``on_connection_lost(address)`` is called when an open connection has ended.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
         "_codec",
         "_connection",
         "_incarnation",
-        "_on_broken",
+        "_on_connection_lost",
         "_queue",
         "_reachable",
         "_renewed_ms",
@@ -61,11 +61,11 @@
         "_wake",
         "address",
         "bytes_sent",
-        "dropped",
+        "dropped_count",
     )
 
-    def __init__(self, codec, clock, sender, incarnation, address, on_broken):
-        self._on_broken = on_broken
+    def __init__(self, codec, clock, sender, incarnation, address, on_connection_lost):
+        self._on_connection_lost = on_connection_lost
         self._codec = codec
         self._clock = clock
         self._sender = sender
@@ -80,7 +80,7 @@
         self._connection = None
         self._task = None
         self.bytes_sent = 0
-        self.dropped = 0
+        self.dropped_count = 0
 
     def start(self):
         """Begin to send; the peer is dialled with the first message."""
@@ -99,7 +99,7 @@
         """Wait until all that was queued has left, at most ``timeout_ms``."""
         deadline_ms = self._clock.now_ms() + timeout_ms
         while self._is_sending and self._clock.now_ms() < deadline_ms:
-            await asyncio.sleep(FLUSH_CHECK_MS / MS_PER_S)
+            await asyncio.sleep(FLUSH_POLL_INTERVAL_MS / MS_PER_S)
 
     @property
     def _is_sending(self):
@@ -109,11 +109,11 @@
     def send(self, message):
         """Queue a message; it leaves with the next envelope."""
         if len(self._queue) == MAX_QUEUED:
-            self.dropped += 1
+            self.dropped_count += 1
         self._queue.append((self._clock.now_ms(), message))
         self._wake.set()
 
-    def renew(self):
+    def reconnect(self):
         """Take a new connection in the place of one that may carry nothing.
 
         Failure: a peer's machine lost its power, or a connection has gone silent; what
@@ -123,7 +123,10 @@
         that go on: the receiver takes no envelope twice.
         """
         now_ms = self._clock.now_ms()
-        if self._renewed_ms is not None and now_ms - self._renewed_ms < MIN_RENEWAL_MS:
+        if (
+            self._renewed_ms is not None
+            and now_ms - self._renewed_ms < MIN_RECONNECT_INTERVAL_MS
+        ):
             return
         self._renewed_ms = now_ms
         former, self._connection = self._connection, None
@@ -159,17 +162,17 @@
         second, in which the two do not hear each other and each makes itself home. So
         it is dialled anew where the connection is not there soon.
         """
-        limit_ms, rest_ms = REDIAL_MIN_MS, RECONNECT_MIN_MS
+        limit_ms, rest_ms = INITIAL_CONNECT_TIMEOUT_MS, INITIAL_BACKOFF_MS
         while True:
             try:
                 return await self._dial_once(limit_ms)
             except TimeoutError:
                 self._note_state(reachable=False, reason="no connection in time")
-                limit_ms = min(REDIAL_MAX_MS, 2 * limit_ms)
+                limit_ms = min(MAX_CONNECT_TIMEOUT_MS, 2 * limit_ms)
             except OSError as error:
                 self._note_state(reachable=False, reason=str(error))
                 await asyncio.sleep(rest_ms / MS_PER_S)
-                rest_ms = min(RECONNECT_MAX_MS, 2 * rest_ms)
+                rest_ms = min(MAX_BACKOFF_MS, 2 * rest_ms)
             self._drop_stale()
 
     async def _dial_once(self, limit_ms):
@@ -187,13 +190,13 @@
         if connection is self._connection:
             self._connection = None
             if not self._closed:
-                self._on_broken(self.address)
+                self._on_connection_lost(self.address)
 
     def _drop_stale(self):
-        before_ms = self._clock.now_ms() - STALE_MS
+        before_ms = self._clock.now_ms() - MAX_QUEUED_MS
         while self._queue and self._queue[0][0] < before_ms:
             self._queue.popleft()
-            self.dropped += 1
+            self.dropped_count += 1
 
     def _send_queued(self, connection):
         if connection is not self._connection or connection.is_closing:
@@ -223,7 +226,7 @@
         try:
             return self._codec.encode(envelope)
         except (TypeError, ValueError, OverflowError) as error:
-            self.dropped += len(envelope.messages)
+            self.dropped_count += len(envelope.messages)
             kinds = ",".join(type(item).__name__ for item in envelope.messages)
             _log.error("peer_encode_failed", kinds=kinds, reason=str(error))
             return None
--- a/libs/peers/src/hemlockhoist/peers/tests/test_bus.py
+++ b/libs/peers/src/hemlockhoist/peers/tests/test_bus.py
@@ -10,8 +10,8 @@
 from hemlockhoist.messages import Codec, Envelope, GrantCancel
 from hemlockhoist.peers import Inbox, PeerBus, frames, inbox
 from hemlockhoist.peers.connection import Connection
-from hemlockhoist.peers.frames import framed
-from hemlockhoist.peers.link import REDIAL_MIN_MS, PeerLink
+from hemlockhoist.peers.frames import encode_frame
+from hemlockhoist.peers.link import INITIAL_CONNECT_TIMEOUT_MS, PeerLink
 
 WAIT_S = 5
 
@@ -111,7 +111,7 @@
         stranger = self._bus(b"other")
         await stranger.start()
         stranger.send(self.b.address, _message(1))
-        while not self.b.rejected:
+        while not self.b.rejected_count:
             await asyncio.sleep(0.01)
         await stranger.close()
         self.a.send(self.b.address, _message(2))
@@ -126,7 +126,7 @@
             b"\xff" * 100,
             Codec(b"k").encode(_envelope(9))[:-3],
         ):
-            await self._send_raw(framed(frame))
+            await self._send_raw(encode_frame(frame))
         await self._wait_rejected(4)
         self.a.send(self.b.address, _message(2))
         await asyncio.wait_for(self.received.get(), WAIT_S)
@@ -153,7 +153,7 @@
 
     async def _wait_rejected(self, count):
         async with asyncio.timeout(WAIT_S):
-            while self.b.rejected < count:
+            while self.b.rejected_count < count:
                 await asyncio.sleep(0.01)
 
     async def test_message_that_can_not_be_encoded_does_not_end_the_link(self):
@@ -238,7 +238,7 @@
                 self.a.send(address, _message(number))
             link = self.a._links[address]
             self.assertLessEqual(len(link._queue), 4096)
-            self.assertGreater(link.dropped, 0)
+            self.assertGreater(link.dropped_count, 0)
 
 
 class LostPacketTests(unittest.IsolatedAsyncioTestCase):
@@ -266,7 +266,7 @@
                 )
                 link.start()
                 link.send(_message(1))
-                await asyncio.sleep(REDIAL_MIN_MS / 1_000 / 2)
+                await asyncio.sleep(INITIAL_CONNECT_TIMEOUT_MS / 1_000 / 2)
             listener.setblocking(False)
             loop = asyncio.get_running_loop()
             accepted = []
@@ -319,7 +319,7 @@
             lambda sender, message, late_ms: received.put_nowait(message),
         )
         await peer.start()
-        sender.renew(peer.address)
+        sender.reconnect(peer.address)
         sender.send(peer.address, _message(2))
         message = await asyncio.wait_for(received.get(), WAIT_S)
         while message != _message(2):
@@ -332,8 +332,8 @@
     def test_another_run_of_a_sender_shows(self):
         box = Inbox("b")
         box.accept(_envelope(1, incarnation="1"), 10)
-        self.assertFalse(box.is_new_run("a"))
+        self.assertFalse(box.is_new_incarnation("a"))
         box.accept(_envelope(1, incarnation="2"), 20)
-        self.assertTrue(box.is_new_run("a"))
+        self.assertTrue(box.is_new_incarnation("a"))
         box.accept(_envelope(2, incarnation="2"), 30)
-        self.assertFalse(box.is_new_run("a"))
+        self.assertFalse(box.is_new_incarnation("a"))
--- a/libs/standins/src/hemlockhoist/standins/published/site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/site.py
@@ -11,7 +11,7 @@
 from hemlockhoist.base import SuspendAwareClock
 from hemlockhoist.entry import EntrySettings, FleetBounds
 from hemlockhoist.entry.process import EntryProcess
-from hemlockhoist.platform.adapter import UsersPlatform
+from hemlockhoist.platform.adapter import PlatformAdapter
 from hemlockhoist.standins.published.store import StoreStandin
 
 HOST_NAME = "halls.example"
@@ -177,7 +177,7 @@
         clock = SuspendAwareClock.from_system()
         if self._boot_clock is not None:
             clock = SuspendAwareClock(self._boot_clock.read_ns)
-        platform = UsersPlatform(settings, clock)
+        platform = PlatformAdapter(settings, clock)
         host = EntryProcess(settings, platform, clock, listener)
         self.hosts.append(await self._open(host))
         return host
--- a/libs/standins/src/hemlockhoist/standins/randomised/host.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/host.py
@@ -226,7 +226,7 @@
 
 @_receive.register
 def _(message: ledger_messages.KeyLookup, host, now_ms):
-    member = host.membership.find(message.asker)
+    member = host.membership.find(message.requester)
     reply = host.ledger.on_lookup(message, now_ms)
     return [Outgoing(member.address, reply)] if member else []
 
