--- a/libs/entry/src/hemlockhoist/entry/gate.py
+++ b/libs/entry/src/hemlockhoist/entry/gate.py
@@ -7,14 +7,14 @@
     RetryLimiter,
     UsageCoverage,
 )
-from hemlockhoist.host.home import GateRefusal, OpenGate
+from hemlockhoist.host.home import AllowAllGate, GateRefusal
 
 # A retry that was refused may be sent by the caller itself, when the failed upstream
 # has had time to come back or to be avoided.
 RETRY_REFUSED_MS = 300
 
 
-class FleetGate(OpenGate):
+class FleetGate(AllowAllGate):
     """Holds customers to their allowances, and retries to their bound.
 
     Parameters
@@ -83,7 +83,7 @@
         self._note_past()
         self.on_takeover_begun()
 
-    def on_spent(self, host, held, now_ms):
+    def on_usage_report(self, host, held, now_ms):
         """Count what was spent under a home before this one."""
         self.allowances.add_reported((held.run, held.pool), held.spent, now_ms)
         if self._history is not None:
@@ -117,7 +117,7 @@
         if request.units:
             self.allowances.refund(request.customer, request.units, now_ms)
 
-    def on_waited(self, request, since_ms, now_ms):
+    def on_dequeued(self, request, since_ms, now_ms):
         """Count what a request takes of its customer's allowance from when it runs.
 
         Failure: requests wait for seconds in a burst. Counted from when they came, they
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -156,28 +156,28 @@
             pool,
             row,
             now_ms,
-            self._shared_ms(),
+            self._fleet_time_ms(),
             self._context.invariants,
             trial_bound(self._context.settings.bounds),
             # The old version's upstreams stop with the end of the move.
             watch_ms=0,
         )
 
-    def _shared_ms(self):
+    def _fleet_time_ms(self):
         return self._context.knowledge.store_now_ms()
 
-    def _is_watched(self, pool):
+    def _may_have_move(self, pool):
         order = self._orders.get(pool)
         if order is None:
             return False
         told_id, told_state = self._told.get(pool, ("", None))
         return told_id != order.order_id or told_state not in _FINAL
 
-    def _audience(self, pool):
+    def _recipients(self, pool):
         # Each host may have to decide alone.
         return self._context.fleet.live_hosts()
 
-    def _share_halt(self, pool, move_id, version):
+    def _publish_halt(self, pool, move_id, version):
         self._halted.record(pool, version, move_id)
 
     def _is_halted(self, move):
@@ -193,7 +193,7 @@
     # Orders.
 
     def _follow_ms(self):
-        is_open = any(self._is_watched(pool) for pool in self._orders)
+        is_open = any(self._may_have_move(pool) for pool in self._orders)
         return ORDERS_MS if is_open else IDLE_TICK_MS
 
     async def _follow_orders(self):
@@ -255,7 +255,7 @@
             if row.serving_version != former:
                 # Upstreams were replaced without a move since.
                 row = None
-        now_ms = self._shared_ms()
+        now_ms = self._fleet_time_ms()
         waited_ms = self._context.clock.now_ms() - self._received_ms[order.pool]
         left_ms = max(1, int(MOVED_PART * order.duration_ms) - waited_ms)
         request = MoveRequest(
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -55,7 +55,7 @@
 from hemlockhoist.host.grants import GrantClient
 from hemlockhoist.host.homes import HomeService
 from hemlockhoist.host.identity import HostIdentity, new_incarnation
-from hemlockhoist.host.inbound import Inbound
+from hemlockhoist.host.message_router import MessageRouter
 from hemlockhoist.peers import PeerBus
 from hemlockhoist.store import PATIENT, TableWatch, TypedRows
 from hemlockhoist.upstreams import DispatchRegister, UpstreamClient
@@ -145,15 +145,15 @@
             self.settings, self._platform, clock, self._boot_clock, invariants
         )
         self.context = context
-        inbound = Inbound()
-        await self._open_bus(context, inbound)
+        message_router = MessageRouter()
+        await self._open_bus(context, message_router)
         context.metrics = await self._open(Metrics.from_config(None))
         context.traces = await self._open(
             Traces.from_config(None, 0, context.identity.host_id)
         )
         await self._open(self._platform.store)
         self._build(context)
-        inbound.open(context)
+        message_router.open(context)
         await self._open(context.upstreams)
         await self._open(context.fleet)
         await self._open_watches(context)
@@ -168,7 +168,7 @@
             "host_started", host=self.settings.name, address=context.identity.address
         )
 
-    async def _open_bus(self, context, inbound):
+    async def _open_bus(self, context, message_router):
         incarnation = new_incarnation()
         key = os.environ.get(PEER_KEY_VARIABLE, "").encode()
         context.bus = PeerBus(
@@ -177,8 +177,8 @@
             None,
             key,
             context.clock,
-            inbound.on_message,
-            inbound.on_broken,
+            message_router.on_message,
+            message_router.on_connection_lost,
         )
         await self._open(context.bus)
         context.identity = HostIdentity(
@@ -209,7 +209,7 @@
             context,
             context.bus.send,
             context.gate,
-            cell_of=lambda pool: ONLY_CELL,
+            home_key_of=lambda pool: ONLY_CELL,
             new_tracker=self._new_tracker,
             experiments=self.settings.experiments,
         )
@@ -316,7 +316,7 @@
         self.context.fleet.on_silent(host_id)
 
     def _tick_ms(self):
-        return HOME_TICK_MS if self.context.homes.is_deciding else IDLE_TICK_MS
+        return HOME_TICK_MS if self.context.homes.is_scheduling else IDLE_TICK_MS
 
     def _tick(self):
         context = self.context
@@ -384,7 +384,7 @@
         context.refuses = True
         while context.open_requests and context.clock.now_ms() < end_ms:
             if context.clock.now_ms() >= queue_end_ms:
-                context.grants.stop_waiting(ResultCode.LEAVING, LEAVING_RETRY_MS)
+                context.grants.refuse_waiting(ResultCode.LEAVING, LEAVING_RETRY_MS)
             await asyncio.sleep(DRAIN_CHECK_MS / MS_PER_S)
         await context.bus.flush(FLUSH_MS)
         _log.info("drain_ended", open_requests=context.open_requests)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
@@ -31,7 +31,7 @@
         """A mended version, ordered again at once, is rolled back untried."""
         self.moves.take_order(order(8))
         self.moves.take_order(order(14))
-        self.moves._share_halt("halls", "halls@8", "v2")
+        self.moves._publish_halt("halls", "halls@8", "v2")
         self.moves.check_version("halls", "v2")
 
     def test_halt_of_an_order_not_heard_of_yet_stops_it(self):
--- a/libs/entry/src/hemlockhoist/entry/tests/test_spending.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_spending.py
@@ -73,7 +73,7 @@
         home = Home(self.store)
         home.gate.on_takeover(HOSTS, home.clock.now_ms())
         for host in HOSTS:
-            home.gate.on_spent(host, held(up_ms), home.clock.now_ms())
+            home.gate.on_usage_report(host, held(up_ms), home.clock.now_ms())
         await home.record.start()
         await asyncio.sleep(0.3)
         return home
@@ -135,7 +135,7 @@
         active["halls"] = home
         home.gate.on_takeover(HOSTS, home.clock.now_ms())
         for host in HOSTS:
-            home.gate.on_spent(host, held(20), home.clock.now_ms())
+            home.gate.on_usage_report(host, held(20), home.clock.now_ms())
         await asyncio.sleep(0.05)
         await home.send_for(2, 500)
         taken = sum(units for _, units in former.taken + home.taken)
@@ -158,7 +158,7 @@
         home = Home(self.store)
         home.gate.on_takeover(HOSTS, home.clock.now_ms())
         for host in HOSTS[1:]:
-            home.gate.on_spent(host, held(60_000), home.clock.now_ms())
+            home.gate.on_usage_report(host, held(60_000), home.clock.now_ms())
         await home.record.start()
         self.addAsyncCleanup(home.record.close)
         await asyncio.sleep(0.3)
--- a/libs/host/src/hemlockhoist/host/configuration.py
+++ b/libs/host/src/hemlockhoist/host/configuration.py
@@ -35,8 +35,8 @@
         "_context",
         "_on_change",
         "_read_task",
-        "_seen_fleet",
         "_row",
+        "_seen_fleet",
         "_send",
         "_state",
         "_task",
@@ -77,7 +77,7 @@
         now_ms = self._context.clock.now_ms()
         return self._state is not None and self._state.is_ready(now_ms)
 
-    def look_now(self):
+    def read_now(self):
         """Read the row at once, because a change was just accepted here."""
         self._begin_read()
 
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -116,15 +116,15 @@
         ``send(host_id, message)``.
     home_of : callable
         ``home_of(pool)`` gives the host id of the pool's home, or "".
-    on_silent : callable
-        ``on_silent(host_id)`` is called when a home does not answer.
-    renew : callable, optional
-        ``renew(host_id)`` takes a new connection to a home that missed a question.
+    on_unresponsive : callable
+        ``on_unresponsive(host_id)`` is called when a home does not answer.
+    reconnect : callable, optional
+        ``reconnect(host_id)`` takes a new connection to a home that missed a question.
     own_id : callable, optional
         Returns this host's id where it may decide alone; by default it may not.
-    spent : SpentLog, optional
+    usage_log : SpentLog, optional
         Notes what customers spend.
-    run : str, optional
+    incarnation : str, optional
         This host's incarnation.
     """
 
@@ -133,14 +133,14 @@
         "_counted_at",
         "_held",
         "_home_of",
-        "_on_silent",
+        "_incarnation",
+        "_on_unresponsive",
         "_own_id",
+        "_reconnect",
         "_refusal",
-        "_renew",
-        "_run",
         "_send",
-        "_spent",
         "_started_ms",
+        "_usage_log",
         "_waiters",
     )
 
@@ -149,17 +149,17 @@
         clock,
         send,
         home_of,
-        on_silent,
-        renew=lambda host_id: None,
+        on_unresponsive,
+        reconnect=lambda host_id: None,
         own_id=lambda: "",
-        spent=None,
-        run="",
+        usage_log=None,
+        incarnation="",
     ):
-        self._run = run
-        self._spent = spent
+        self._incarnation = incarnation
+        self._usage_log = usage_log
         self._own_id = own_id
-        self._renew = renew
-        self._on_silent = on_silent
+        self._reconnect = reconnect
+        self._on_unresponsive = on_unresponsive
         self._clock = clock
         self._send = send
         self._home_of = home_of
@@ -179,7 +179,7 @@
         """Whether requests of this host are given no further places."""
         return self._refusal is not None
 
-    def stop_waiting(self, code, retry_after_ms):
+    def refuse_waiting(self, code, retry_after_ms):
         """Refuse all requests that wait for a place, from here on.
 
         Failure: a host that was told to stop still has requests in a queue. When the
@@ -299,10 +299,10 @@
         waiter.unanswered += 1
         waiter.silences += 1
         if waiter.asked:
-            self._renew(waiter.asked)
+            self._reconnect(waiter.asked)
         if waiter.asked and waiter.unanswered == MAX_UNANSWERED:
             waiter.unanswered = 0
-            self._on_silent(waiter.asked)
+            self._on_unresponsive(waiter.asked)
 
     async def _next_reply(self, waiter, until_ms):
         wait_s = max(0, until_ms - self._clock.now_ms()) / MS_PER_S
@@ -330,10 +330,12 @@
             self._release_unsent(hold)
             return None
         self._held[hold.grant_id] = hold
-        if self._spent is not None:
+        if self._usage_log is not None:
             now_ms = self._clock.now_ms()
             home_run = granting_incarnation(hold.grant_id)
-            self._spent.add(hold.pool, home_run, brief.customer, brief.units, now_ms)
+            self._usage_log.add(
+                hold.pool, home_run, brief.customer, brief.units, now_ms
+            )
         return hold
 
     def _cancel(self, waiter, home):
@@ -438,7 +440,7 @@
             if waiter.asked != self._home_of(waiter.pool):
                 waiter.inbox.put_nowait((_ASK_AGAIN, 0))
 
-    def report(self, pool, home_incarnation, home):
+    def report_held(self, pool, home_incarnation, home):
         """Return the answer to a new home's question.
 
         Failure: a home is killed and starts again at its address. Taken for the run
@@ -455,16 +457,16 @@
             self._counted_at.setdefault(hold.grant_id, set()).add(home)
         grants = tuple(_held_grant(hold) for hold in held)
         spent = ()
-        if self._spent is not None:
+        if self._usage_log is not None:
             now_ms = self._clock.now_ms()
-            spent = self._spent.report(pool, home_incarnation, now_ms)
+            spent = self._usage_log.report(pool, home_incarnation, now_ms)
         return HeldGrants(
             pool=pool,
             home_incarnation=home_incarnation,
             grants=grants,
             spent=spent,
             up_ms=self._clock.now_ms() - self._started_ms,
-            run=self._run,
+            run=self._incarnation,
         )
 
     def send_held_ids(self, pools):
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -60,7 +60,7 @@
     since_ms: int
 
 
-class OpenGate:
+class AllowAllGate:
     """Lets every request through to the scheduler."""
 
     __slots__ = ()
@@ -72,13 +72,13 @@
     def on_not_run(self, request, now_ms):
         """Take notice that a request which was let through did not run."""
 
-    def on_waited(self, request, since_ms, now_ms):
+    def on_dequeued(self, request, since_ms, now_ms):
         """Take notice that a request which was let through earlier runs from now on."""
 
     def on_takeover(self, hosts, now_ms):
         """Take notice that this host decides from here on, and which hosts it asks."""
 
-    def on_spent(self, host, held, now_ms):
+    def on_usage_report(self, host, held, now_ms):
         """Take what an entry host says was spent under a home before this one.
 
         Parameters
@@ -106,8 +106,8 @@
     metrics : Metrics, optional
     gate : Gate, optional
         Refuses before the scheduler is asked.
-    renew : callable, optional
-        ``renew(host_id)`` takes a new connection to a host that missed an answer.
+    reconnect : callable, optional
+        ``reconnect(host_id)`` takes a new connection to a host that missed an answer.
     """
 
     __slots__ = (
@@ -121,7 +121,7 @@
         "_identity",
         "_metrics",
         "_queued",
-        "_renew",
+        "_reconnect",
         "_resend_ms",
         "_send",
         "_spans",
@@ -145,9 +145,9 @@
         traces,
         metrics=None,
         gate=None,
-        renew=lambda host_id: None,
+        reconnect=lambda host_id: None,
     ):
-        self._renew = renew
+        self._reconnect = reconnect
         self.pool = pool
         self.declared = declared
         self.scheduler = scheduler
@@ -156,7 +156,7 @@
         self._send = send
         self._traces = traces
         self._metrics = metrics or Metrics(None)
-        self._gate = gate or OpenGate()
+        self._gate = gate or AllowAllGate()
         self._held_elsewhere = {}
         self._asked = set()
         self._awaited = set()
@@ -205,7 +205,7 @@
         for host in self._awaited:
             self._send(host, message)
 
-    def on_former_closed(self):
+    def on_predecessor_closed(self):
         """Ask all hosts once more, as the home before this one has only now ended.
 
         Failure: hosts disagree for a second on which of two is home, and both give out
@@ -244,7 +244,7 @@
         brief = message.brief
         granted = self._granted.get(brief.request_id)
         if granted is not None:
-            self._renew(sender)
+            self._reconnect(sender)
             self._resend(sender, granted[0])
             return
         if brief.request_id in self._queued:
@@ -347,7 +347,7 @@
             wasted = held - outcome.cached_tokens
             self._metrics.count(WASTED_TOKENS, self.pool, wasted)
 
-    def on_held(self, sender, message):
+    def on_held_grants(self, sender, message):
         """Count the grants of a former home that an entry host still holds."""
         if message.home_incarnation != self._identity.incarnation:
             return
@@ -365,7 +365,7 @@
             self._granted[request.request_id] = (grant, sender)
             self._emit(self.scheduler.adopt(request, grant, now_ms), now_ms)
         if sender in self._awaited:
-            self._gate.on_spent(sender, message, now_ms)
+            self._gate.on_usage_report(sender, message, now_ms)
             self._awaited.discard(sender)
             if not self._awaited:
                 self._end_recovery(now_ms)
@@ -443,7 +443,7 @@
             queued = self._queued.pop(request.request_id, None)
             if isinstance(decision, Granted):
                 if queued is not None:
-                    self._gate.on_waited(request, queued.since_ms, now_ms)
+                    self._gate.on_dequeued(request, queued.since_ms, now_ms)
                 self._send_grant(decision, queued is not None, now_ms)
             else:
                 self._end_span(request.request_id, code=int(decision.code))
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -31,8 +31,8 @@
         ``send(host_id, message)``.
     gate : Gate, optional
         Refuses requests before a pool's scheduler is asked.
-    cell_of : callable, optional
-        ``cell_of(pool)`` names what is hashed to find a pool's home; pools of one
+    home_key_of : callable, optional
+        ``home_key_of(pool)`` names what is hashed to find a pool's home; pools of one
         cell have one home.
     new_tracker : callable, optional
         ``new_tracker(pool)`` makes what a scheduler keeps of a pool's upstreams.
@@ -41,10 +41,10 @@
     """
 
     __slots__ = (
-        "_cell_of",
         "_context",
         "_experiments",
         "_gate",
+        "_home_key_of",
         "_homes",
         "_new_tracker",
         "_send",
@@ -58,7 +58,7 @@
         context,
         send,
         gate=None,
-        cell_of=str,
+        home_key_of=str,
         new_tracker=_no_tracker,
         experiments=None,
     ):
@@ -67,7 +67,7 @@
         self._context = context
         self._send = send
         self._gate = gate
-        self._cell_of = cell_of
+        self._home_key_of = home_key_of
         self._homes = {}
         self._standbys = {}
         self._upstreams = {}
@@ -75,7 +75,7 @@
 
     def home_of(self, pool):
         """Return the host id of a pool's home, or "" when no host is live."""
-        homes = self._context.fleet.homes(self._cell_of(pool), ONLY_SHARD)
+        homes = self._context.fleet.homes(self._home_key_of(pool), ONLY_SHARD)
         return homes[0] if homes else ""
 
     def active(self):
@@ -83,7 +83,7 @@
         return dict(self._homes)
 
     @property
-    def is_deciding(self):
+    def is_scheduling(self):
         """Whether this host decides for any pool, as its home or alone."""
         return bool(self._homes or self._standbys)
 
@@ -179,7 +179,7 @@
     def _all(self):
         return [*self._homes.items(), *self._standbys.items()]
 
-    def of_pool(self, pool):
+    def all_for_pool(self, pool):
         """Return all that decide for a pool at this host.
 
         Failure: a host that decides alone is never told what it holds itself, as the
--- a/libs/host/src/hemlockhoist/host/inbound.py
+++ b/libs/host/src/hemlockhoist/host/message_router.py
@@ -42,7 +42,7 @@
 )
 
 
-class Inbound:
+class MessageRouter:
     """Hands messages to the parts of a host, once it is open.
 
     The socket for peers is opened first, since its address belongs to the host's
@@ -68,7 +68,7 @@
         if self._context is not None:
             _handle(message, self._context, sender, late_ms)
 
-    def on_broken(self, host_id):
+    def on_connection_lost(self, host_id):
         """Take the end of a connection to a peer."""
         if self._context is not None:
             self._context.fleet.on_broken(host_id)
@@ -116,7 +116,7 @@
 
 @_handle.register
 def _(message: HomeTakeover, context, sender, late_ms):
-    report = context.grants.report(message.pool, message.home_incarnation, sender)
+    report = context.grants.report_held(message.pool, message.home_incarnation, sender)
     context.bus.send(sender, report)
 
 
@@ -124,13 +124,13 @@
 def _(message: HomeClosed, context, sender, late_ms):
     home = context.homes.find(message.pool)
     if home is not None:
-        home.on_former_closed()
+        home.on_predecessor_closed()
 
 
 @_handle.register
 def _(message: HeldGrants, context, sender, late_ms):
-    for home in context.homes.of_pool(message.pool):
-        home.on_held(sender, message)
+    for home in context.homes.all_for_pool(message.pool):
+        home.on_held_grants(sender, message)
 
 
 @_handle.register
--- a/libs/host/src/hemlockhoist/host/moves.py
+++ b/libs/host/src/hemlockhoist/host/moves.py
@@ -128,24 +128,24 @@
 
     def _new_controller(self, pool, row, now_ms):
         return MoveController.from_config(
-            pool, row, now_ms, self._shared_ms(), self._context.invariants
+            pool, row, now_ms, self._fleet_time_ms(), self._context.invariants
         )
 
     # What a fleet on another platform does in its own way.
 
-    def _shared_ms(self):
+    def _fleet_time_ms(self):
         """Return the time that all hosts agree on, in milliseconds."""
         return self._context.clock.unix_ms()
 
-    def _is_watched(self, pool):
+    def _may_have_move(self, pool):
         """Return whether a pool may have a move that its home has to read."""
         return True
 
-    def _audience(self, pool):
+    def _recipients(self, pool):
         """Return the hosts that need to know where a pool's move stands."""
         return self._context.fleet.homes(pool, 0)
 
-    def _share_halt(self, pool, move_id, version):
+    def _publish_halt(self, pool, move_id, version):
         """Put a halt where hosts that missed its message find it."""
         self._context.configuration.halt(pool, move_id, version)
 
@@ -228,7 +228,7 @@
             )
             for host in self._context.fleet.live_hosts():
                 self._send(host, message)
-            self._share_halt(pool, message.move_id, version)
+            self._publish_halt(pool, message.move_id, version)
 
     async def _fencing(self, pool):
         """Return the fencing number of a live lease on the pool's moves, or None."""
@@ -277,7 +277,7 @@
             return
         now_ms = self._context.clock.now_ms()
         move = row.value
-        controller.record_unix_ms(now_ms, self._shared_ms())
+        controller.record_unix_ms(now_ms, self._fleet_time_ms())
         controller.observe_row(move, now_ms)
         if self._is_halted(move):
             controller.halt(move.to_version, "halted by another host", now_ms)
@@ -285,7 +285,7 @@
     async def _read_all(self):
         for pool, controller in list(self._controllers.items()):
             is_resting = self._context.clock.now_ms() < self._rest_until_ms
-            if self._is_watched(pool) and not is_resting:
+            if self._may_have_move(pool) and not is_resting:
                 await self._read(pool, controller)
 
     async def _read(self, pool, controller):
@@ -309,7 +309,7 @@
             return
         message = MoveAnnounced(pool=pool, row=msgspec.json.encode(announcement))
         own = self._context.identity.host_id
-        for host in self._audience(pool):
+        for host in self._recipients(pool):
             if host != own:
                 self._send(host, message)
 
@@ -360,7 +360,7 @@
         """
         if self._context.declarations.pool(request.pool) is None:
             raise MoveError(f"no pool {request.pool!r}")
-        unix_ms = self._shared_ms()
+        unix_ms = self._fleet_time_ms()
         row = await self._change(
             request.pool, lambda row: start_move(row, request, unix_ms)
         )
--- a/libs/host/src/hemlockhoist/host/operators.py
+++ b/libs/host/src/hemlockhoist/host/operators.py
@@ -105,7 +105,7 @@
     async def _apply(self, request):
         change = await self._decode(request, DeclarationChange)
         result = await self._declarations.apply(change)
-        self._context.configuration.look_now()
+        self._context.configuration.read_now()
         return _encoded(result)
 
     async def _history(self, request):
--- a/libs/host/src/hemlockhoist/host/process.py
+++ b/libs/host/src/hemlockhoist/host/process.py
@@ -36,8 +36,8 @@
 from hemlockhoist.host.grants import GrantClient
 from hemlockhoist.host.homes import HomeService
 from hemlockhoist.host.identity import HostIdentity, new_incarnation
-from hemlockhoist.host.inbound import Inbound
 from hemlockhoist.host.ledger_service import LedgerService
+from hemlockhoist.host.message_router import MessageRouter
 from hemlockhoist.host.moves import MoveService
 from hemlockhoist.host.operator_declarations import OperatorDeclarations
 from hemlockhoist.host.operators import OperatorHandlers
@@ -98,8 +98,8 @@
         clock = Clock.from_running_loop()
         invariants = InvariantLog(fatal=TEST_VARIABLE in os.environ)
         incarnation = new_incarnation()
-        inbound = Inbound()
-        bus = self._bus(clock, incarnation, inbound)
+        message_router = MessageRouter()
+        bus = self._bus(clock, incarnation, message_router)
         await self._open(bus)
         context = HostContext(self.settings, None, clock, invariants)
         self.context = context
@@ -113,7 +113,7 @@
         tables = TableClient.from_config(transport)
         self._build(context, tables)
         await self._serve(context, tables)
-        inbound.open(context)
+        message_router.open(context)
         await self._open(context.fleet)
         members = HostListClient.from_config(transport)
         interval_ms = self.settings.host_list_poll_ms
@@ -127,7 +127,7 @@
         await self._open(PeriodicTask(GAUGE_MS, self._report_gauges))
         _log.info("host_started", address=context.identity.address)
 
-    def _bus(self, clock, incarnation, inbound):
+    def _bus(self, clock, incarnation, message_router):
         advertise = self.settings.peer_advertise_address
         return PeerBus(
             incarnation,
@@ -135,8 +135,8 @@
             str(advertise) if advertise else None,
             self.settings.peer_key.encode(),
             clock,
-            inbound.on_message,
-            inbound.on_broken,
+            message_router.on_message,
+            message_router.on_connection_lost,
         )
 
     def _identity(self, incarnation, peer_address, address):
--- a/libs/host/src/hemlockhoist/host/tests/test_grants.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_grants.py
@@ -65,13 +65,13 @@
         elif isinstance(message, GrantCancel):
             home.on_cancel(message)
         elif isinstance(message, HeldGrants):
-            home.on_held(ENTRY, message)
+            home.on_held_grants(ENTRY, message)
         elif isinstance(message, HeldGrantIds):
             home.on_held_ids(ENTRY, message)
 
     def _to_entry(self, message, late_ms):
         if isinstance(message, HomeTakeover):
-            report = self.client.report(
+            report = self.client.report_held(
                 message.pool, message.home_incarnation, message.home_incarnation
             )
             self.from_entry(message.home_incarnation, report)
@@ -179,15 +179,15 @@
         heir.start((ENTRY, "other"))
         heir.forget_host("other")
         report = HeldGrants(pool="chat", home_incarnation="h2", grants=())
-        heir.on_held(ENTRY, report)
+        heir.on_held_grants(ENTRY, report)
         self.assertFalse(heir.recovering)
         self.home("h1", sent).close("h2")
         self.assertEqual(sent[-1], ("h2", HomeClosed(pool="chat")))
         sent.clear()
-        heir.on_former_closed()
+        heir.on_predecessor_closed()
         self.assertEqual([host for host, _ in sent], [ENTRY])
         self.assertTrue(heir.recovering)
-        heir.on_held(ENTRY, report)
+        heir.on_held_grants(ENTRY, report)
         self.assertFalse(heir.recovering)
 
 
@@ -206,7 +206,7 @@
             lambda host, message: sent.append(message),
             lambda pool: "10.0.0.1:7400",
             lambda host: None,
-            spent=UsageLog(8_000),
+            usage_log=UsageLog(8_000),
         )
 
         def brief(now_ms):
@@ -235,8 +235,8 @@
             0,
         )
         await asked
-        self.assertEqual(client.report("chat", "run1", "h1").spent, ())
-        ((customer, parts),) = client.report("chat", "run2", "h1").spent
+        self.assertEqual(client.report_held("chat", "run1", "h1").spent, ())
+        ((customer, parts),) = client.report_held("chat", "run2", "h1").spent
         self.assertEqual((customer, sum(units for _, units in parts)), ("port", 500))
 
 
--- a/libs/host/src/hemlockhoist/host/tests/test_home_counts.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_home_counts.py
@@ -8,7 +8,7 @@
 from hemlockhoist.decisions import OutcomeKind, Upstream
 from hemlockhoist.decisions.scheduling import PoolScheduler
 from hemlockhoist.declarations import Pool, PoolKind, Tier
-from hemlockhoist.host.home import OpenGate, PoolHome
+from hemlockhoist.host.home import AllowAllGate, PoolHome
 from hemlockhoist.host.identity import HostIdentity
 from hemlockhoist.messages import (
     GrantCancel,
@@ -45,7 +45,7 @@
     )
 
 
-class NotingGate(OpenGate):
+class NotingGate(AllowAllGate):
     """Notes which requests are given back."""
 
     def __init__(self):
@@ -82,7 +82,7 @@
         self.home.set_upstreams([upstream("a"), upstream("b")])
         self.home.start([ENTRY])
         held = HeldGrants(pool="chat", home_incarnation="i", grants=())
-        self.home.on_held(ENTRY, held)
+        self.home.on_held_grants(ENTRY, held)
 
     def ask(self, request_id):
         self.home.on_request(
