--- a/libs/cli/src/hemlockhoist/cli/options.py
+++ b/libs/cli/src/hemlockhoist/cli/options.py
@@ -9,7 +9,7 @@
 
 from hemlockhoist.base import SettingError
 from hemlockhoist.cli.client import OperatorClient
-from hemlockhoist.host.settings_kinds import Endpoint, Secret, describe, read_value
+from hemlockhoist.host.settings_kinds import Endpoint, Secret, describe, parse_value
 
 _DURATION = re.compile(r"\+(\d{1,6})(s|m|h|d)\Z")
 _UNIT_MS = {"s": 1_000, "m": 60_000, "h": 3_600_000, "d": 86_400_000}
@@ -97,7 +97,7 @@
         faults.append("operator_key: is not set; allowed: HEMLOCKHOIST_OPERATOR_KEY")
     else:
         try:
-            key = read_value(kind, operator_key)
+            key = parse_value(kind, operator_key)
         except (ValueError, OSError):
             faults.append(f"operator_key: is ***; allowed: {describe(kind)}")
     if faults:
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -313,7 +313,7 @@
         context.homes.set_upstreams(context.knowledge.usable())
 
     def _on_silent(self, host_id):
-        self.context.fleet.on_silent(host_id)
+        self.context.fleet.on_unresponsive(host_id)
 
     def _tick_ms(self):
         return HOME_TICK_MS if self.context.homes.is_deciding else IDLE_TICK_MS
@@ -333,7 +333,7 @@
         context = self.context
         is_home = context.homes.home_of("") == context.identity.host_id
         known = context.fleet.count_known(LOST_HOST_MS)
-        heard = context.fleet.count_in_touch(HEARD_MS) if is_home else 1
+        heard = context.fleet.count_responsive(HEARD_MS) if is_home else 1
         share = partition_share(heard, known, is_home)
         context.gate.set_share(share)
         context.homes.set_share(share)
--- a/libs/host/src/hemlockhoist/host/chat.py
+++ b/libs/host/src/hemlockhoist/host/chat.py
@@ -19,9 +19,18 @@
 from hemlockhoist.host.body import read_body
 from hemlockhoist.host.completions import parse_chat, prefix_hashes, prompt_tokens
 from hemlockhoist.host.dispatcher import EntryRequest
-from hemlockhoist.host.relay import StreamMoved, StreamRelay, check_answer
-from hemlockhoist.host.responses import json_response, result_headers, traced
-from hemlockhoist.host.sinks import CallerGone, CollectSink, EventSink, read_usage
+from hemlockhoist.host.relay import StreamHandedOver, StreamRelay, check_answer
+from hemlockhoist.host.responses import (
+    json_response,
+    result_headers,
+    with_trace_context,
+)
+from hemlockhoist.host.sinks import (
+    CallerDisconnected,
+    CollectSink,
+    EventSink,
+    read_usage,
+)
 from hemlockhoist.host.tokens import StreamTicket
 from hemlockhoist.messages import StreamTaken
 from hemlockhoist.upstreams import UpstreamCall, cancel_stream
@@ -124,9 +133,9 @@
             if isinstance(sink, CollectSink):
                 return _completion(sink, exchange, work)
             return await sink.finish()
-        except StreamMoved:
+        except StreamHandedOver:
             return await sink.finish()
-        except CallerGone:
+        except CallerDisconnected:
             self._begin_grace(exchange.hold, work.request_id)
             return web.Response(status=info(ResultCode.CANCELLED).http_status)
         except HemlockhoistError as error:
@@ -177,9 +186,9 @@
             with self._context.traces.span(Hop.RESUME):
                 await relay.run(None)
             return await sink.finish()
-        except StreamMoved:
+        except StreamHandedOver:
             return await sink.finish()
-        except CallerGone:
+        except CallerDisconnected:
             return web.Response(status=info(ResultCode.CANCELLED).http_status)
         except HemlockhoistError as error:
             if not sink.started:
@@ -205,7 +214,7 @@
     try:
         await sink.fail(error)
         return await sink.finish()
-    except CallerGone:
+    except CallerDisconnected:
         return web.Response(status=error.info.http_status)
 
 
@@ -247,17 +256,17 @@
         try:
             await self._exchange(hold, report)
             report.kind = OutcomeKind.SUCCESS
-        except CallerGone:
+        except CallerDisconnected:
             report.kind = OutcomeKind.CANCELLED
             raise
-        except StreamMoved:
+        except StreamHandedOver:
             report.kind = OutcomeKind.SUCCESS
             raise
         finally:
             self._fill(report)
 
     def _report_first(self, hold, report):
-        first_token_ms = self.relay.first_ms - report.guard.opened_ms
+        first_token_ms = self.relay.first_event_ms - report.guard.opened_ms
         self._context.grants.report_first_token(hold, first_token_ms)
 
     async def _exchange(self, hold, report):
@@ -269,7 +278,7 @@
                     await self._raise_status(answer)
                 await self.relay.run(answer)
         except DispatchError as error:
-            if error.code not in _RESUMABLE or self.relay.pieces:
+            if error.code not in _RESUMABLE or self.relay.event_count:
                 raise
             # The connection broke after sending and before any piece, or the answer on
             # it was another request's: the engine may have the stream, and then the
@@ -293,7 +302,7 @@
             address=hold.address,
             method="POST",
             path=CHAT_PATH,
-            headers=traced((("Content-Type", "application/json"),)),
+            headers=with_trace_context((("Content-Type", "application/json"),)),
             body=self._body,
             request_id=self._work.request_id,
             idle_timeout_ms=max(1, self._work.deadline_ms - now_ms),
@@ -311,9 +320,9 @@
         return self._context.tokens.sign(ticket)
 
     def _fill(self, report):
-        report.first_ms = self.relay.first_ms
+        report.first_ms = self.relay.first_event_ms
         usage = read_usage(self.relay.last_event)
-        report.output_tokens = self.relay.pieces
+        report.output_tokens = self.relay.event_count
         if usage is not None:
             report.output_tokens = usage.completion_tokens
             details = usage.prompt_tokens_details
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -19,12 +19,12 @@
 
 # The membership asks to be called a few times a second; a probe's time limits are
 # some hundreds of milliseconds.
-TICK_MS = 100
+MIN_TICK_MS = 100
 # Without a probe or a suspicion under way, the membership is called when its next probe
 # is due, and at least this often: it takes a longer pause for a freeze of the process.
 MAX_TICK_MS = 500
 # A refusal comes back within one round trip.
-LISTEN_CHECK_MS = 500
+LISTEN_CHECK_TIMEOUT_MS = 500
 
 
 class Fleet:
@@ -93,7 +93,7 @@
 
     def _tick_ms(self):
         due_ms = self._membership.next_due_ms(self._context.clock.now_ms())
-        return min(MAX_TICK_MS, max(TICK_MS, due_ms))
+        return min(MAX_TICK_MS, max(MIN_TICK_MS, due_ms))
 
     def _tick(self):
         now_ms = self._context.clock.now_ms()
@@ -141,7 +141,7 @@
     async def _check_listening(self, host_id):
         ip, _, port = host_id.rpartition(":")
         try:
-            async with asyncio.timeout(LISTEN_CHECK_MS / MS_PER_S):
+            async with asyncio.timeout(LISTEN_CHECK_TIMEOUT_MS / MS_PER_S):
                 _, writer = await asyncio.open_connection(ip.strip("[]"), int(port))
             writer.close()
         except ConnectionRefusedError:
@@ -152,7 +152,7 @@
             # No answer in time: frozen or cut off, which probes find out.
             return
 
-    def on_silent(self, host_id):
+    def on_unresponsive(self, host_id):
         """Take a home's silence to repeated questions."""
         now_ms = self._context.clock.now_ms()
         self._send(self._membership.report_unresponsive(host_id, now_ms))
@@ -182,7 +182,7 @@
             self._live = tuple(member.address for member in members)
         return self._live
 
-    def count_in_touch(self, heard_ms):
+    def count_responsive(self, heard_ms):
         """Return how many hosts were heard from within a time, this one included."""
         own = self._context.identity.host_id
         bus = self._context.bus
--- a/libs/host/src/hemlockhoist/host/operators.py
+++ b/libs/host/src/hemlockhoist/host/operators.py
@@ -74,7 +74,7 @@
             raise BadRequest("", ResultCode.OPERATOR_KEY_WRONG)
 
     async def _status(self, request):
-        return _encoded(status_of(self._context))
+        return _encoded(host_status(self._context))
 
     async def _drain(self, request):
         self._begin_drain()
@@ -153,7 +153,7 @@
     )
 
 
-def status_of(context):
+def host_status(context):
     """Return the status document of a host."""
     identity = context.identity
     return {
--- a/libs/host/src/hemlockhoist/host/process.py
+++ b/libs/host/src/hemlockhoist/host/process.py
@@ -47,9 +47,9 @@
 from hemlockhoist.host.upstream_watch import (
     HostListWatch,
     LoadWatch,
-    in_service,
     listed_hosts,
-    upstreams_of,
+    listed_upstreams,
+    mark_evacuated,
 )
 from hemlockhoist.peers import PeerBus
 from hemlockhoist.store import (
@@ -62,14 +62,14 @@
 
 _log = get_logger("host.process")
 
-HOME_TICK_MS = 50
-HELD_REPORT_MS = 10_000
-GAUGE_MS = 1_000
-DRAIN_CHECK_MS = 50
-FLUSH_MS = 500
+HOME_TICK_INTERVAL_MS = 50
+HELD_REPORT_INTERVAL_MS = 10_000
+GAUGE_INTERVAL_MS = 1_000
+DRAIN_CHECK_INTERVAL_MS = 50
+FLUSH_TIMEOUT_MS = 500
 # Work in this process that a thread has to do is small; the default pool of the
 # service framework is sized for much more memory than a host has.
-THREADS = 2
+THREAD_POOL_SIZE = 2
 TEST_VARIABLE = "HEMLOCKHOIST_TEST"
 
 
@@ -122,9 +122,9 @@
         await self._open(context.moves)
         watch = LoadWatch(context.upstreams, context.homes, self.settings.load_poll_ms)
         await self._open(watch)
-        await self._open(PeriodicTask(HOME_TICK_MS, context.homes.tick))
-        await self._open(PeriodicTask(HELD_REPORT_MS, self._report_held))
-        await self._open(PeriodicTask(GAUGE_MS, self._report_gauges))
+        await self._open(PeriodicTask(HOME_TICK_INTERVAL_MS, context.homes.tick))
+        await self._open(PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held))
+        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
         _log.info("host_started", address=context.identity.address)
 
     def _bus(self, clock, incarnation, inbound):
@@ -194,7 +194,7 @@
         )
 
     def _on_silent(self, host_id):
-        self.context.fleet.on_silent(host_id)
+        self.context.fleet.on_unresponsive(host_id)
 
     def _host_of(self, incarnation):
         return self.context.fleet.host_of(incarnation)
@@ -228,12 +228,12 @@
 
     def _on_list(self, members):
         self.context.fleet.on_list(listed_hosts(members))
-        self._upstreams = upstreams_of(members)
+        self._upstreams = listed_upstreams(members)
         self._put_upstreams_in_force()
 
     def _put_upstreams_in_force(self):
         evacuated = self.context.declarations.evacuations()
-        self.context.homes.set_upstreams(in_service(self._upstreams, evacuated))
+        self.context.homes.set_upstreams(mark_evacuated(self._upstreams, evacuated))
 
     def _log_evacuations(self, former, declarations):
         """Say which failure domains go out of use and why, and which are back."""
@@ -300,7 +300,7 @@
             # What can not move, an unstreamed answer or a call of a plain service,
             # is waited for as long again rather than cut.
             await self._wait_idle(self.settings.drain_limit_ms)
-        await context.bus.flush(FLUSH_MS)
+        await context.bus.flush(FLUSH_TIMEOUT_MS)
         _log.info("drain_ended", open_requests=context.open_requests)
         self.finished.set()
 
@@ -320,7 +320,7 @@
         while self.context.open_requests:
             if self.context.clock.now_ms() >= deadline_ms:
                 return
-            await asyncio.sleep(DRAIN_CHECK_MS / MS_PER_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_MS / MS_PER_S)
 
 
 async def _main(settings, announce):
@@ -347,7 +347,7 @@
         with its addresses goes to standard output.
     """
     configure_logs(settings.log_level, for_good=True)
-    with aiomisc.entrypoint(pool_size=THREADS, log_config=False) as loop:
+    with aiomisc.entrypoint(pool_size=THREAD_POOL_SIZE, log_config=False) as loop:
         loop.run_until_complete(_main(settings, announce or _print_addresses))
 
 
--- a/libs/host/src/hemlockhoist/host/relay.py
+++ b/libs/host/src/hemlockhoist/host/relay.py
@@ -22,10 +22,10 @@
 # Resumes for one stream without progress in between: an engine that can not be
 # reached after these is taken for dead.
 MAX_RESUMES = 4
-RESUME_PAUSE_MS = 100
+RESUME_BACKOFF_MS = 100
 
 
-class StreamMoved(Exception):  # noqa: N818
+class StreamHandedOver(Exception):  # noqa: N818
     """This host shuts down: the caller was told where to go on."""
 
 
@@ -60,7 +60,7 @@
         "_start",
         "_written",
         "address",
-        "first_ms",
+        "first_event_ms",
         "last_event",
         "request_id",
     )
@@ -91,11 +91,11 @@
         self._resumes = 0
         self.address = address
         self.request_id = request_id
-        self.first_ms = None
+        self.first_event_ms = None
         self.last_event = None
 
     @property
-    def pieces(self):
+    def event_count(self):
         """Number of pieces passed on."""
         return self._written
 
@@ -111,7 +111,7 @@
         ======
         DispatchError
             When the rest of the stream can not be had.
-        CallerGone, StreamMoved
+        CallerDisconnected, StreamHandedOver
         """
         self._handover.add(self)
         try:
@@ -126,13 +126,13 @@
 
     def interrupt(self):
         """End the present read, so that the stream can move."""
-        if self._sink.can_move and self._answer is not None:
+        if self._sink.supports_handover and self._answer is not None:
             self._answer.close()
 
     async def _move_if_due(self):
-        if self._handover.begun and self._sink.can_move:
-            await self._sink.move(self._checker.expected)
-            raise StreamMoved
+        if self._handover.begun and self._sink.supports_handover:
+            await self._sink.hand_over(self._checker.expected)
+            raise StreamHandedOver
 
     async def _read(self, answer):
         """Read until the stream ends or breaks."""
@@ -158,8 +158,8 @@
         if count:
             self._resumes = 0
             self.last_event = events[count - 1]
-            if self.first_ms is None:
-                self.first_ms = self._clock.now_ms()
+            if self.first_event_ms is None:
+                self.first_event_ms = self._clock.now_ms()
                 self._on_first()
         await self._sink.write(events)
         self._written += count
@@ -184,7 +184,7 @@
                 raise
             _log.warning("resume_failed", request=self.request_id, reason=error.message)
         if not self._checker.done:
-            await asyncio.sleep(RESUME_PAUSE_MS * self._resumes / MS_PER_S)
+            await asyncio.sleep(RESUME_BACKOFF_MS * self._resumes / MS_PER_S)
 
     def _check_answer(self, answer):
         check_answer(answer, self.request_id)
--- a/libs/host/src/hemlockhoist/host/responses.py
+++ b/libs/host/src/hemlockhoist/host/responses.py
@@ -73,7 +73,7 @@
     )
 
 
-def traced(headers):
+def with_trace_context(headers):
     """Return headers for the next hop, with the context of the current span.
 
     Parameters
--- a/libs/host/src/hemlockhoist/host/services.py
+++ b/libs/host/src/hemlockhoist/host/services.py
@@ -11,7 +11,7 @@
 from hemlockhoist.host.callers import TIER_HEADER
 from hemlockhoist.host.dispatcher import EntryRequest
 from hemlockhoist.host.relay import check_answer
-from hemlockhoist.host.responses import result_headers, traced
+from hemlockhoist.host.responses import result_headers, with_trace_context
 from hemlockhoist.messages import StoredAnswer
 from hemlockhoist.upstreams import UpstreamCall
 
@@ -64,7 +64,7 @@
         context = self._context
         caller = context.callers.authenticate(request.headers)
         pool = self._pool(request.match_info["service"])
-        path = path_below(request)
+        path = path_within_service(request)
         idempotent = pool.is_idempotent(request.method, path)
         body = await read_body(
             request, pool.max_body_bytes, context.settings.body_timeout_ms
@@ -89,7 +89,7 @@
         return EntryRequest(
             request_id=request["request_id"],
             pool=pool.name,
-            route=route_of(pool, request.method, path),
+            route=route_label(pool, request.method, path),
             customer=caller.customer.name,
             tier=tier.name,
             tier_rank=tier.rank,
@@ -121,13 +121,13 @@
         )
 
 
-def path_below(request):
+def path_within_service(request):
     """Return a call's path below its service's own, as the caller encoded it."""
     raw_path = request.rel_url.raw_path.removeprefix(SERVICES_PREFIX + "/")
     return "/" + raw_path.partition("/")[2]
 
 
-def route_of(pool, method, path):
+def route_label(pool, method, path):
     """Return the name that evidence for a version is kept apart by.
 
     Parameters
@@ -169,13 +169,13 @@
 
     def _call(self, hold):
         now_ms = self._context.clock.now_ms()
-        path = path_below(self._request)
+        path = path_within_service(self._request)
         query = self._request.rel_url.raw_query_string
         return UpstreamCall(
             address=hold.address,
             method=self._request.method,
             path=path + (f"?{query}" if query else ""),
-            headers=traced(_end_to_end(self._request.headers, _OWN)),
+            headers=with_trace_context(_end_to_end(self._request.headers, _OWN)),
             body=self._body,
             request_id=self._work.request_id,
             idle_timeout_ms=max(1, self._work.deadline_ms - now_ms),
--- a/libs/host/src/hemlockhoist/host/settings.py
+++ b/libs/host/src/hemlockhoist/host/settings.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from hemlockhoist.base import SettingError
-from hemlockhoist.host.settings_kinds import Endpoint, describe, read_value
+from hemlockhoist.host.settings_kinds import Endpoint, describe, parse_value
 from hemlockhoist.host.settings_table import PREFIX, SETTING_NAMES, SETTINGS
 
 MASK = "***"
 # Variables with the product's prefix that are no settings of a host.
-OTHER_VARIABLES = frozenset(
+NON_SETTING_VARIABLES = frozenset(
     {PREFIX + name for name in ("AUTHOR", "CA_FILE", "HOST", "ROOT", "TEST")}
 )
 
@@ -125,7 +125,7 @@
         for variable, text in environment.items():
             if variable in known:
                 values[known[variable]] = text
-            elif variable.startswith(PREFIX) and variable not in OTHER_VARIABLES:
+            elif variable.startswith(PREFIX) and variable not in NON_SETTING_VARIABLES:
                 faults.append(_unknown(variable, tuple(known)))
         given = {name: text for name, text in (flags or {}).items() if text}
         try:
@@ -167,7 +167,7 @@
             faults.append(fault)
         return None
     try:
-        return read_value(setting.kind, text)
+        return parse_value(setting.kind, text)
     except (ValueError, OSError):
         shown = MASK if setting.is_secret else repr(text[:80])
         allowed = describe(setting.kind)
--- a/libs/host/src/hemlockhoist/host/settings_kinds.py
+++ b/libs/host/src/hemlockhoist/host/settings_kinds.py
@@ -8,23 +8,23 @@
 import msgspec
 
 
-class Whole(msgspec.Struct, frozen=True):
+class Integer(msgspec.Struct, frozen=True):
     """A whole number within bounds."""
 
-    least: int
-    greatest: int
+    minimum: int
+    maximum: int
 
 
 class Text(msgspec.Struct, frozen=True):
-    """A word without spaces, of at most ``greatest`` characters."""
+    """A word without spaces, of at most ``max_length`` characters."""
 
-    greatest: int = 64
+    max_length: int = 64
 
 
 class Secret(msgspec.Struct, frozen=True):
     """A key; ``@PATH`` reads it from a file."""
 
-    least_chars: int = 16
+    min_length: int = 16
 
 
 class Address(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
 class Choice(msgspec.Struct, frozen=True):
     """One of several words."""
 
-    words: tuple[str, ...]
+    choices: tuple[str, ...]
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -82,7 +82,7 @@
 
 
 @singledispatch
-def read_value(kind, text):
+def parse_value(kind, text):
     """Return the value that ``text`` stands for.
 
     Raises
@@ -93,31 +93,31 @@
     raise TypeError(kind)
 
 
-@read_value.register
-def _(kind: Whole, text):
+@parse_value.register
+def _(kind: Integer, text):
     value = int(text) if len(str(text)) <= 20 else None
-    if value is None or not kind.least <= value <= kind.greatest:
+    if value is None or not kind.minimum <= value <= kind.maximum:
         raise ValueError(text)
     return value
 
 
-@read_value.register
+@parse_value.register
 def _(kind: Text, text):
-    if len(text) > kind.greatest or len(text.split()) != 1 or not text.isprintable():
+    if len(text) > kind.max_length or len(text.split()) != 1 or not text.isprintable():
         raise ValueError(text)
     return text
 
 
-@read_value.register
+@parse_value.register
 def _(kind: Secret, text):
     if text.startswith("@"):
         text = pathlib.Path(text[1:]).read_text().strip()
-    if len(text) < kind.least_chars or not text.isascii() or not text.isprintable():
+    if len(text) < kind.min_length or not text.isascii() or not text.isprintable():
         raise ValueError("")
     return text
 
 
-@read_value.register
+@parse_value.register
 def _(kind: Address, text):
     endpoint = Endpoint.from_text(text)
     if endpoint.port == 0 and not kind.any_port:
@@ -125,7 +125,7 @@
     return endpoint
 
 
-@read_value.register
+@parse_value.register
 def _(kind: Url, text):
     parts = urllib.parse.urlsplit(text)
     if parts.scheme not in ("http", "https") or not parts.hostname:
@@ -133,16 +133,16 @@
     return text
 
 
-@read_value.register
+@parse_value.register
 def _(kind: File, text):
     if not pathlib.Path(text).is_file():
         raise ValueError(text)
     return text
 
 
-@read_value.register
+@parse_value.register
 def _(kind: Choice, text):
-    if text not in kind.words:
+    if text not in kind.choices:
         raise ValueError(text)
     return text
 
@@ -154,18 +154,18 @@
 
 
 @describe.register
-def _(kind: Whole):
-    return f"{kind.least} to {kind.greatest}"
+def _(kind: Integer):
+    return f"{kind.minimum} to {kind.maximum}"
 
 
 @describe.register
 def _(kind: Text):
-    return f"a word of at most {kind.greatest} characters"
+    return f"a word of at most {kind.max_length} characters"
 
 
 @describe.register
 def _(kind: Secret):
-    return f"{kind.least_chars} or more printable ASCII characters, or @FILE"
+    return f"{kind.min_length} or more printable ASCII characters, or @FILE"
 
 
 @describe.register
@@ -185,4 +185,4 @@
 
 @describe.register
 def _(kind: Choice):
-    return ", ".join(kind.words)
+    return ", ".join(kind.choices)
--- a/libs/host/src/hemlockhoist/host/settings_table.py
+++ b/libs/host/src/hemlockhoist/host/settings_table.py
@@ -6,10 +6,10 @@
     Address,
     Choice,
     File,
+    Integer,
     Secret,
     Text,
     Url,
-    Whole,
 )
 
 PREFIX = "HEMLOCKHOIST_"
@@ -149,14 +149,14 @@
     ),
     Setting(
         "trace_sample_permille",
-        Whole(0, 1_000),
+        Integer(0, 1_000),
         "10",
         "Share of new traces that are recorded; a caller's own decision goes first. "
         "1 in 100 keeps the cost of spans small beside the streams.",
     ),
     Setting(
         "drain_limit_ms",
-        Whole(1_000, 86_400_000),
+        Integer(1_000, 86_400_000),
         "900000",
         "How long a graceful shutdown waits for requests in progress before it is "
         "reported as overrun. Has to exceed the longest tier's deadline, or a planned "
@@ -164,7 +164,7 @@
     ),
     Setting(
         "host_list_poll_ms",
-        Whole(100, 60_000),
+        Integer(100, 60_000),
         "1000",
         "Interval of reading the platform's lists of hosts and upstreams. Below 100 ms "
         "a few hosts use up the service's reads; above a minute a leaving upstream "
@@ -172,7 +172,7 @@
     ),
     Setting(
         "config_poll_ms",
-        Whole(100, 13_000),
+        Integer(100, 13_000),
         "2000",
         "Interval at which the few hosts that read the table service look for a newer "
         "version of the declarations; the others learn it from them. A change must be "
@@ -180,49 +180,49 @@
     ),
     Setting(
         "max_header_bytes",
-        Whole(1_024, 65_536),
+        Integer(1_024, 65_536),
         "16384",
         "Greatest size of a request's headers; bounds the memory an unknown caller "
         "can take before its key is checked.",
     ),
     Setting(
         "body_timeout_ms",
-        Whole(100, 600_000),
+        Integer(100, 600_000),
         "10000",
         "How long a request's body may take to arrive; bounds how long a slow caller "
         "holds a connection.",
     ),
     Setting(
         "ledger_max_records",
-        Whole(1_000, 10_000_000),
+        Integer(1_000, 10_000_000),
         "50000",
         "Idempotency keys kept by this host. At 31 requests a second, all of them "
         "non-idempotent, the default lasts 26 minutes.",
     ),
     Setting(
         "answer_keep_bytes",
-        Whole(65_536, 1_073_741_824),
+        Integer(65_536, 1_073_741_824),
         "8388608",
         "Memory for answers of non-idempotent requests that are kept for a repeat of "
         "the same key.",
     ),
     Setting(
         "stream_buffer_bytes",
-        Whole(16_384, 16_777_216),
+        Integer(16_384, 16_777_216),
         "262144",
         "Bytes of one answer held for a caller that reads slowly, before reading from "
         "the upstream pauses.",
     ),
     Setting(
         "address_ttl_ms",
-        Whole(1_000, 3_600_000),
+        Integer(1_000, 3_600_000),
         "30000",
         "How long a caller may keep the answer to which hosts it should use. Shorter "
         "means more questions, longer means more connections to hosts that have gone.",
     ),
     Setting(
         "load_poll_ms",
-        Whole(50, 60_000),
+        Integer(50, 60_000),
         "500",
         "Interval of reading an upstream's load report.",
     ),
--- a/libs/host/src/hemlockhoist/host/sinks.py
+++ b/libs/host/src/hemlockhoist/host/sinks.py
@@ -15,7 +15,7 @@
 STALL_TIMEOUT_MS = 30_000
 
 
-class CallerGone(Exception):  # noqa: N818
+class CallerDisconnected(Exception):  # noqa: N818
     """The caller closed the connection or stopped reading."""
 
 
@@ -32,7 +32,7 @@
     """
 
     __slots__ = ("_request", "_request_id", "_response", "_token")
-    can_move = True
+    supports_handover = True
 
     def __init__(self, request, request_id, token=""):
         self._request = request
@@ -54,7 +54,7 @@
 
         Raises
         ======
-        CallerGone
+        CallerDisconnected
         """
         if not events:
             return
@@ -71,7 +71,7 @@
         try:
             await response.prepare(self._request)
         except OSError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         self._response = response
 
     async def _write(self, data):
@@ -82,7 +82,7 @@
             async with asyncio.timeout(STALL_TIMEOUT_MS / MS_PER_S):
                 await self._response.write(data)
         except (OSError, TimeoutError) as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
     def _has_room(self):
         # A write waits only when the caller has left much unread. Setting a timer for
@@ -95,7 +95,7 @@
         body = error_body(error.code, error.message, self._request_id)
         await self._write(b"event: error\ndata: " + _line(body) + b"\n\n")
 
-    async def move(self, offset):
+    async def hand_over(self, offset):
         """Tell the caller to go on reading at another host, from ``offset``."""
         if self._response is None:
             await self._start()
@@ -107,7 +107,7 @@
         try:
             await self._response.write_eof()
         except OSError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         return self._response
 
 
@@ -165,7 +165,7 @@
     """Collects a stream into one unstreamed answer."""
 
     __slots__ = ("_chunks",)
-    can_move = False
+    supports_handover = False
     started = False
 
     def __init__(self):
--- a/libs/host/src/hemlockhoist/host/tests/test_settings.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_settings.py
@@ -11,7 +11,7 @@
 from hemlockhoist.host import settings_kinds
 from hemlockhoist.host.settings import SettingFaults, Settings
 from hemlockhoist.host.settings_doc import settings_page
-from hemlockhoist.host.settings_kinds import Endpoint, Whole, read_value
+from hemlockhoist.host.settings_kinds import Endpoint, Integer, parse_value
 from hemlockhoist.host.settings_table import SETTINGS
 
 PAGE = pathlib.Path(__file__).parents[6] / "docs" / "SETTINGS.md"
@@ -39,7 +39,7 @@
         """Each default passes the check of its own kind."""
         for setting in SETTINGS:
             if setting.default:
-                read_value(setting.kind, setting.default)
+                parse_value(setting.kind, setting.default)
 
     def test_every_setting_has_an_effect(self):
         """Each setting is read by a module other than those of the settings."""
@@ -55,7 +55,7 @@
     def test_numbers_carry_their_unit(self):
         """Each whole number's name ends in a unit."""
         for setting in SETTINGS:
-            if isinstance(setting.kind, Whole):
+            if isinstance(setting.kind, Integer):
                 unit = setting.name.rpartition("_")[2]
                 self.assertIn(unit, {"ms", "bytes", "permille", "records"})
 
--- a/libs/host/src/hemlockhoist/host/tests/test_upstream_watch.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_upstream_watch.py
@@ -1,7 +1,7 @@
 import unittest
 
 from hemlockhoist.decisions import Upstream, UpstreamState
-from hemlockhoist.host.upstream_watch import in_service
+from hemlockhoist.host.upstream_watch import mark_evacuated
 
 
 def upstream(name, state=UpstreamState.LIVE):
@@ -19,7 +19,9 @@
     def test_upstreams_of_evacuated_domains_get_nothing(self):
         """An operator empties a zone, and its engines go on getting requests."""
         leaving = upstream("a2", UpstreamState.LEAVING)
-        found = in_service([upstream("a1"), leaving, upstream("b1")], {"a": "repairs"})
+        found = mark_evacuated(
+            [upstream("a1"), leaving, upstream("b1")], {"a": "repairs"}
+        )
         states = {item.upstream_id: item.state for item in found}
         self.assertIs(states["a1"], UpstreamState.EVACUATED)
         self.assertIs(states["a2"], UpstreamState.LEAVING)
--- a/libs/host/src/hemlockhoist/host/upstream_watch.py
+++ b/libs/host/src/hemlockhoist/host/upstream_watch.py
@@ -87,7 +87,7 @@
     ]
 
 
-def upstreams_of(members):
+def listed_upstreams(members):
     """Return the upstreams in the platform's list."""
     return [
         Upstream(
@@ -104,7 +104,7 @@
     ]
 
 
-def in_service(upstreams, evacuated):
+def mark_evacuated(upstreams, evacuated):
     """Return the upstreams, those of evacuated failure domains marked.
 
     Parameters
