--- a/libs/messages/src/hemlockhoist/messages/__init__.py
+++ b/libs/messages/src/hemlockhoist/messages/__init__.py
@@ -1,4 +1,4 @@
-"""The typed messages between hosts and their codec."""
+"""Typed messages between hosts, and their codec."""
 
 from hemlockhoist.messages.codec import (
     MAX_FRAME_BYTES,
--- a/libs/messages/src/hemlockhoist/messages/codec.py
+++ b/libs/messages/src/hemlockhoist/messages/codec.py
@@ -1,9 +1,9 @@
-"""Envelopes: authentic, versioned frames of typed messages.
+"""Encoding of message envelopes as authenticated, versioned frames.
 
 A frame is one byte of wire version, a keyed BLAKE2b digest (RFC 7693) of 16 bytes and
 a MessagePack envelope. The digest covers the version byte, the receiver's address and
-the envelope, and the envelope names sender and sequence number, so a frame can neither
-be forged without the peer key, nor be sent to another host, nor be delivered twice.
+the envelope, and the envelope contains its sender and sequence number. A frame can
+therefore not be forged without the peer key, redirected to another host or replayed.
 """
 
 import functools
@@ -19,32 +19,34 @@
 
 WIRE_VERSION = 4
 _VERSION_BYTE = bytes([WIRE_VERSION])
-# A message is some 100 bytes, and three of four hosts are in another failure domain,
-# where each byte is paid for.
+# Kept short: a message has about 100 bytes, and three of four peers are in another
+# failure domain, to which each byte is charged.
 _DIGEST_BYTES = 16
-_HEAD_BYTES = 1 + _DIGEST_BYTES
-# Begin what was packed, and what goes as text.
+_HEADER_BYTES = 1 + _DIGEST_BYTES
+# First byte of a field in packed form, and of one sent as text.
 _PACKED, _TEXT = b"\x00", b"\x01"
-# A frame is built from at most some hundreds of small messages; declarations of
-# the largest fleet stay under this.
+# A frame holds at most a few hundred small messages; the declarations of the largest
+# fleet also fit.
 MAX_FRAME_BYTES = 4_194_304
 
 Message = functools.reduce(operator.or_, MESSAGE_TYPES)
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True):
-    """Messages from one host's incarnation to another host.
+    """Messages from one incarnation of a host to another host.
 
     Parameters
     ==========
     sender, receiver : str
-        Addresses for peers, ``IP:port``, by which hosts are told apart.
+        Peer addresses, ``IP:port``, which identify the hosts.
     incarnation : str
-        Of the sender.
+        Incarnation of the sender.
     sequence : int
-        Counts up by one for each envelope of a sender's incarnation to a receiver.
+        Number of the envelope among those from this incarnation to the receiver,
+        increasing by one.
     sent_ms : int
-        The sender's clock, from which the receiver works out how late it came.
+        Time of sending on the sender's clock, from which the receiver computes the
+        delay.
     messages : list
     """
 
@@ -57,9 +59,9 @@
 
 
 class _WireEnvelope(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """An envelope as it is sent: addresses and incarnations packed where they can be.
+    """Wire form of an envelope, with addresses and incarnations packed if possible.
 
-    The receiver is not sent: it knows its address, which the digest covers.
+    The receiver is omitted: it knows its own address, which the digest covers.
     """
 
     sender: bytes
@@ -70,12 +72,12 @@
 
 
 class Codec:
-    """Encodes and checks frames.
+    """Encodes envelopes as frames, and verifies and decodes frames.
 
     Parameters
     ==========
     peer_key : bytes
-        The secret that all hosts of a fleet share.
+        Secret that all hosts of a fleet share.
 
     Examples
     ========
@@ -92,7 +94,7 @@
     __slots__ = ("_decoder", "_encoder", "_key")
 
     def __init__(self, peer_key):
-        # A key may be longer than the digest's own bound of 64 bytes.
+        # Hashed first because BLAKE2b accepts keys of at most 64 bytes.
         self._key = hashlib.blake2b(peer_key).digest()
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(_WireEnvelope)
@@ -101,7 +103,7 @@
         """Return the frame of an envelope."""
         wire = _WireEnvelope(
             sender=pack_address(envelope.sender),
-            incarnation=_packed_hex(envelope.incarnation),
+            incarnation=_pack_hex(envelope.incarnation),
             sequence=envelope.sequence,
             sent_ms=envelope.sent_ms,
             messages=envelope.messages,
@@ -110,33 +112,36 @@
         return _VERSION_BYTE + self._digest(envelope.receiver, body) + body
 
     def decode(self, frame, receiver):
-        """Return the envelope of a frame.
+        """Return the envelope in a frame after verifying it.
 
         Parameters
         ==========
         frame : bytes
         receiver : str
-            The address of this host.
+            Address of this host.
 
         Raises
         ======
         PeerError
             With ``PEER_MALFORMED``, ``PEER_VERSION`` or ``PEER_UNAUTHENTIC``.
         """
-        if not _HEAD_BYTES < len(frame) <= MAX_FRAME_BYTES:
-            raise PeerError(f"frame of {len(frame)} bytes", ResultCode.PEER_MALFORMED)
+        if not _HEADER_BYTES < len(frame) <= MAX_FRAME_BYTES:
+            raise PeerError(
+                f"frame length of {len(frame)} bytes is out of range",
+                ResultCode.PEER_MALFORMED,
+            )
         if frame[0] != WIRE_VERSION:
-            text = f"frame of wire version {frame[0]}, this host speaks {WIRE_VERSION}"
+            text = f"frame has wire version {frame[0]}, this host uses {WIRE_VERSION}"
             raise PeerError(text, ResultCode.PEER_VERSION)
-        body = frame[_HEAD_BYTES:]
+        body = frame[_HEADER_BYTES:]
         digest = self._digest(receiver, body)
-        if not hmac.compare_digest(frame[1:_HEAD_BYTES], digest):
-            # Of another fleet, or meant for another host.
-            raise PeerError("digest does not match", ResultCode.PEER_UNAUTHENTIC)
+        if not hmac.compare_digest(frame[1:_HEADER_BYTES], digest):
+            # The frame is from another fleet or addressed to another host.
+            raise PeerError("frame digest mismatch", ResultCode.PEER_UNAUTHENTIC)
         try:
             wire = self._decoder.decode(body)
-            sender = _address_text(wire.sender)
-            incarnation = _hex_text(wire.incarnation)
+            sender = _unpack_address(wire.sender)
+            incarnation = _unpack_hex(wire.incarnation)
         except (msgspec.MsgspecError, OSError, UnicodeDecodeError) as error:
             raise PeerError(str(error), ResultCode.PEER_MALFORMED) from error
         return Envelope(
@@ -158,8 +163,7 @@
 
 
 def pack_address(address):
-    """Return the bytes of an address, fewer where it is one of IPv4.
-
+    """Return the wire form of an address, which is shorter for an IPv4 address.
     Examples
     ========
     >>> from hemlockhoist.messages.codec import pack_address
@@ -171,17 +175,17 @@
         packed = socket.inet_aton(ip) + int(port).to_bytes(2)
     except (OSError, ValueError, OverflowError):
         return _TEXT + address.encode()
-    is_same = _address_text(_PACKED + packed) == address
-    return _PACKED + packed if is_same else _TEXT + address.encode()
+    is_lossless = _unpack_address(_PACKED + packed) == address
+    return _PACKED + packed if is_lossless else _TEXT + address.encode()
 
 
-def _address_text(packed):
+def _unpack_address(packed):
     if packed[:1] == _TEXT:
         return packed[1:].decode()
     return f"{socket.inet_ntoa(packed[1:5])}:{int.from_bytes(packed[5:])}"
 
 
-def _packed_hex(text):
+def _pack_hex(text):
     try:
         packed = bytes.fromhex(text)
     except ValueError:
@@ -189,5 +193,5 @@
     return _PACKED + packed if packed.hex() == text else _TEXT + text.encode()
 
 
-def _hex_text(packed):
+def _unpack_hex(packed):
     return packed[1:].decode() if packed[:1] == _TEXT else packed[1:].hex()
--- a/libs/messages/src/hemlockhoist/messages/codes.py
+++ b/libs/messages/src/hemlockhoist/messages/codes.py
@@ -1,8 +1,8 @@
-"""The number of each message type on the wire.
+"""Numbers that identify the message types on the wire.
 
-A name would be a tenth of a short message, and three of four hosts are in another
-failure domain, where each byte is paid for. A number is never used again for another
-type: hosts of neighbouring releases read one another.
+Numbers are used because a name would be a tenth of a short message, and three of four
+peers are in another failure domain, to which each byte is charged. A number is never
+reused for another type, because hosts of adjacent releases exchange messages.
 """
 
 _CODES = {
@@ -55,5 +55,5 @@
 
 
 def code_of(name):
-    """Return the number of a message type, by its name."""
+    """Return the wire number of the message type with this class name."""
     return _CODES[name]
--- a/libs/messages/src/hemlockhoist/messages/configuration.py
+++ b/libs/messages/src/hemlockhoist/messages/configuration.py
@@ -1,4 +1,4 @@
-"""What hosts tell one another of the configuration in force."""
+"""Messages between hosts about the configuration in force."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class HaltedVersion(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A version that was taken back: no host grants it work under this move again."""
+    """A version that was rolled back: no host grants it work under this move again."""
 
     pool: str
     move_id: str
@@ -17,22 +17,22 @@
 class ConfigurationDigest(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Tells which declarations and halted versions the sender has.
+    """States which declarations and halted versions the sender has.
 
     Parameters
     ==========
     address : str
-        Of the sender.
+        Address of the sender.
     version : int
-        0 for none.
+        Version of the declarations; 0 for none.
     number, reply_to : int
-        The sender's own number, and that of the digest it answers; 0 for none.
+        Number of this digest, and of the digest to which it replies; 0 for none.
     halted_hash : int
-        Equal for equal sets of halted versions.
+        Hash of the set of halted versions.
     wants_reply : bool
-        Whether the receiver answers with its own digest.
+        Whether the receiver must reply with its own digest.
     is_current : bool
-        False from a host that was frozen and has not yet heard what it missed.
+        False for a host that was suspended and has not yet caught up.
     """
 
     address: str
@@ -47,7 +47,7 @@
 class ConfigurationRequest(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Asks for declarations newer than ``have_version``."""
+    """Requests declarations newer than ``have_version``."""
 
     address: str
     have_version: int
@@ -56,18 +56,18 @@
 class ConfigurationContent(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Declarations, whole or as changes.
+    """Declarations in full or as changes to an earlier version.
 
     Parameters
     ==========
     address : str
     version : int
     declarations : Declarations or None
-        Whole.
+        The full declarations.
     base_version : int
-        The version that ``changes`` apply to.
+        Version to which ``changes`` apply.
     changes : bytes
-        Of the sections that differ, where both hosts can work with them.
+        Encoded changes of the sections that differ, if both hosts support them.
     """
 
     address: str
@@ -80,7 +80,7 @@
 class HaltedVersions(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """All halted versions that the sender knows."""
+    """All halted versions known to the sender."""
 
     address: str
     halted: tuple[HaltedVersion, ...] = ()
@@ -89,7 +89,7 @@
 class ConfigurationAck(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The sender has ``version`` in force, and never again an older one."""
+    """States that the sender has ``version`` in force, and never again an older one."""
 
     address: str
     incarnation: str
@@ -99,7 +99,7 @@
 class ConfigurationSummaryRequest(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Asks a collector of acknowledgements for its summary."""
+    """Requests the summary of a collector of acknowledgements."""
 
     address: str
 
@@ -107,19 +107,20 @@
 class ConfigurationSummary(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """What one collector of acknowledgements knows of the hosts that report to it.
+    """Summary that one collector gives of the hosts that acknowledge to it.
 
     Parameters
     ==========
     address : str
-        Of the collector.
+        Address of the collector.
     version : int
-        The one that the summary is about.
+        Version that the summary is about.
     confirmed : int
-        How many hosts have it or a later one in force.
+        Number of hosts that have this or a later version in force.
     lagging : tuple of str
-        Addresses of the first few that do not.
+        Addresses of the first few hosts that do not.
     lagging_count : int
+        Number of all hosts that do not.
     """
 
     address: str
--- a/libs/messages/src/hemlockhoist/messages/feeds.py
+++ b/libs/messages/src/hemlockhoist/messages/feeds.py
@@ -1,4 +1,4 @@
-"""Messages by which hosts pass the store's rows on to one another."""
+"""Messages by which hosts relay rows of the store to one another."""
 
 import enum
 
@@ -8,12 +8,12 @@
 
 
 class FeedState(enum.IntEnum):
-    """What an answer is worth."""
+    """Whether an answer contains the requested changes."""
 
     OK = 0
-    # The reader itself can not reach the store, or does not know the table yet.
+    # The reader cannot reach the store, or has not read the table yet.
     FAILED = 1
-    # The reader no longer knows what was dropped since the version asked for.
+    # The reader no longer knows which rows were dropped since the requested version.
     HISTORY_GONE = 2
 
 
@@ -24,7 +24,7 @@
     ==========
     key : str
     value : bytes or None
-        None where the row was dropped.
+        None if the row was dropped.
     version : int
     """
 
@@ -36,13 +36,13 @@
 class LeftUpstream(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Tells a home that an upstream which it granted has left the platform's list.
+    """Notifies a home that an upstream it granted was removed from the platform's list.
 
     Parameters
     ==========
     upstream_id : str
     version : int
-        Of the list at which it left.
+        Version of the list that removed it.
     """
 
     upstream_id: str
@@ -52,13 +52,13 @@
 class EvacuatedDomain(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Tells a home that the failure domain of an upstream it granted is evacuated.
+    """Notifies a home that the failure domain of an upstream it granted is evacuated.
 
     Parameters
     ==========
     failure_domain : str
     version : int
-        Of the order.
+        Version of the operator's order.
     """
 
     failure_domain: str
@@ -68,15 +68,15 @@
 class ColdUpstream(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Tells a home that an upstream which it granted as a warm one is cold.
+    """Notifies a home that an upstream it granted as warm is cold.
 
     Parameters
     ==========
     upstream_id : str
     version : int
-        Of the upstream's entry in the platform's list.
+        Version of the upstream's row in the platform's list.
     cold_ms : int
-        For how long it is still cold.
+        Remaining time for which it is cold.
     """
 
     upstream_id: str
@@ -87,7 +87,7 @@
 class FeedQuestion(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Asks a host that reads the store for the changes of a table.
+    """Requests the changes of a table from a host that reads the store.
 
     Parameters
     ==========
@@ -95,9 +95,9 @@
         Echoed by the answer.
     table : str
     since_version : int or None
-        None asks for all rows.
+        None requests all rows.
     wait_ms : int
-        How long the answer may wait for a change.
+        Longest time that the answer may wait for a change.
     """
 
     number: int
@@ -109,19 +109,20 @@
 class FeedAnswer(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """What a reader knows of a table.
+    """Rows of a table as last read by a reader.
 
     Parameters
     ==========
     number : int
+        Number of the ``FeedQuestion``.
     state : FeedState
     rows : tuple of FeedRow
     version : int
-        Of the store, at the reader's newest reading of the table.
+        Version of the store at the reader's latest reading of the table.
     store_ms : int
-        The moment of that reading on the store's clock.
+        Time of that reading on the store's clock.
     clock_ms : int
-        The store's clock when the answer left, at the latest that it can be.
+        Upper bound of the time on the store's clock when the answer was sent.
     """
 
     number: int
--- a/libs/messages/src/hemlockhoist/messages/grants.py
+++ b/libs/messages/src/hemlockhoist/messages/grants.py
@@ -1,7 +1,7 @@
 """Messages between an entry host and the home of a pool.
 
-Times are remainders in milliseconds, never points in time: two hosts share no clock.
-The receiver subtracts the age of the envelope that carried them.
+Times are remaining durations in milliseconds and never points in time, because hosts
+have no common clock. The receiver subtracts the delay of the envelope.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 
 
 class RequestBrief(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What a home needs to know about one request.
+    """Description of a request for the home that grants it.
 
     Parameters
     ==========
@@ -19,31 +19,34 @@
     idempotent : bool
     prompt_tokens, output_tokens : int
     prefix_hashes : tuple of int
+        Chained hashes of the prompt's leading blocks, shortest prefix first.
     deadline_in_ms, first_token_in_ms : int
-        Left at the time of sending.
+        Time left at sending until the deadlines of the answer and of its first token.
     failure_domain : str
-        Of the entry host.
+        Failure domain of the entry host.
     trace : str
-        Trace context of the caller's request, as a ``traceparent`` header has it.
+        Trace context of the caller's request, in the format of a ``traceparent``
+        header.
     attempt : int
-        1 for the first send of the request.
+        Number of the attempt; 1 for the first dispatch of the request.
     units : int
-        What the request counts as against its customer's allowance; 0 where that was
-        taken with an earlier grant.
+        Units that the request consumes of its customer's quota; 0 if an earlier grant
+        has already consumed them.
     is_new : bool
-        Whether this is the first that any home hears of the request.
+        Whether no home has received this request before.
     avoid : tuple of str
-        Upstreams that failed the request before.
+        Upstreams on which an earlier attempt failed.
     max_wait_ms : int or None
-        Until its caller leaves if nothing of the answer has come; None where it waits
-        to the deadline.
+        Time left at sending until the caller abandons the request if no part of the
+        answer has arrived; None if it waits until the deadline.
     max_gap_ms : int
-        The longest pause between events of an answer that is in time; 0 where none is
-        declared.
+        Longest gap between events of an answer that still counts as in time; 0 if no
+        limit is declared.
     prefix_tokens : tuple of int
-        Of each block of ``prefix_hashes``; empty where all are of one size.
+        Tokens in each block of ``prefix_hashes``; empty if all blocks have the same
+        size.
     regions : tuple of str
-        Where its upstream has to be; empty for anywhere.
+        Regions in which the upstream must be; empty for any region.
     """
 
     request_id: str
@@ -73,10 +76,10 @@
 class GrantRequest(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """An entry host asks a pool's home for permission to dispatch.
+    """An entry host's request to a pool's home for permission to dispatch.
 
-    Idempotent by request id: it is sent again when no reply came. With ``is_alone`` it
-    is the entry host's question to itself, where no home answers.
+    Idempotent by request id: it is sent again if no reply arrives. With ``is_alone``,
+    the entry host sends it to itself because no home replies.
     """
 
     pool: str
@@ -87,9 +90,9 @@
 class GrantReply(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The home permits one dispatch to one upstream, for a limited time.
+    """The home's permission for one dispatch to one upstream, for a limited time.
 
-    ``is_cold`` says that the home knows the upstream to be cold.
+    ``is_cold`` states whether the home knows the upstream to be cold.
     """
 
     pool: str
@@ -105,9 +108,9 @@
 class GrantRefusal(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The home refuses; nothing of the request has been sent to an upstream.
+    """The home's refusal; no byte of the request was sent to an upstream.
 
-    ``reason`` says by which figures, for the entry host's log.
+    ``reason`` gives the figures behind the refusal, for the entry host's log.
     """
 
     pool: str
@@ -118,9 +121,9 @@
 
 
 class NotHome(msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True):
-    """The receiver of a grant request is not, or no longer, the pool's home.
+    """States that the receiver of a grant request is not or no longer the pool's home.
 
-    ``home_host`` is the host that it takes for the home; empty when it knows none.
+    ``home_host`` is the host that it assumes to be the home; empty if it knows none.
     """
 
     pool: str
@@ -131,7 +134,7 @@
 class GrantQueued(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The request waits in the home's queue; the entry host need not ask elsewhere."""
+    """States that the request is queued, so the entry host contacts no other home."""
 
     pool: str
     request_id: str
@@ -140,7 +143,7 @@
 class GrantCancel(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The entry host no longer wants a place for a queued request."""
+    """Withdraws a grant request; the entry host no longer needs a slot for it."""
 
     pool: str
     request_id: str
@@ -150,7 +153,7 @@
 class GrantRelease(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The entry host gives a grant back, with what came of it.
+    """Releases a grant and reports the outcome of its request.
 
     ``outcome`` is the value of an ``OutcomeKind`` of the decisions library.
     """
@@ -170,9 +173,9 @@
 class FirstToken(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The first token of an answer came; its end may be many seconds off.
+    """Reports the first token of an answer, which may end many seconds later.
 
-    ``first_token_ms`` counts from dispatch.
+    ``first_token_ms`` is the time since dispatch.
     """
 
     pool: str
@@ -182,7 +185,7 @@
 
 
 class HeldGrant(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A grant that an entry host holds, with the request it is for."""
+    """A grant held by an entry host, and the request to which it belongs."""
 
     brief: RequestBrief
     grant_id: str
@@ -194,7 +197,7 @@
 class HomeTakeover(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """A host has become home of a pool and asks what the entry hosts hold."""
+    """States that a host has become the home of a pool and requests the held grants."""
 
     pool: str
     home_incarnation: str
@@ -203,7 +206,7 @@
 class HomeClosed(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """A former home of a pool tells the next one that it grants nothing more."""
+    """Notifies the new home of a pool that its predecessor issues no more grants."""
 
     pool: str
 
@@ -211,7 +214,7 @@
 class HeldGrants(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The answer to ``HomeTakeover``: all grants of the pool held by the sender.
+    """Reply to ``HomeTakeover`` with all grants of the pool held by the sender.
 
     ``usage`` is the recent usage of each customer at the sender: ages in milliseconds,
     with the units. ``incarnation`` is that of the sender. ``up_ms`` is how long it has
@@ -229,10 +232,10 @@
 class HeldGrantIds(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The grants that an entry host holds of a pool, told from time to time.
+    """Periodic report of the grants of a pool that an entry host holds.
 
-    A grant whose reply was lost on the way is in no such list: the home frees its
-    place. Only ids are sent, so that it stays cheap with hundreds of open streams.
+    A grant whose reply was lost is missing from the report, so the home frees its
+    slot. Only ids are sent, to keep the report small with hundreds of open streams.
     """
 
     pool: str
--- a/libs/messages/src/hemlockhoist/messages/ledger.py
+++ b/libs/messages/src/hemlockhoist/messages/ledger.py
@@ -1,4 +1,4 @@
-"""What hosts tell one another of idempotency keys."""
+"""Messages between hosts about idempotency keys."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """An upstream's whole answer, kept to be replayed to a repeated call.
+    """An upstream's complete answer, kept for replay to a repeated call.
 
     Parameters
     ==========
@@ -21,28 +21,29 @@
     body: bytes = b""
 
     def size_bytes(self):
-        """Return about how much memory the answer takes, in bytes."""
+        """Return the approximate memory use of the answer in bytes."""
         return len(self.body) + sum(len(name) + len(v) for name, v in self.headers)
 
 
 class KeyLookup(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Asks a key's holder for the outcome, or else for the right to dispatch it.
+    """Requests the outcome of a key from its holder, or else the right to dispatch it.
 
     Parameters
     ==========
-    asker, holder : str
-        Incarnations. A process that is not ``holder`` can tell nothing.
+    requester, holder : str
+        Incarnations. A process other than ``holder`` cannot answer.
     query_number : int
-        Names the asker's wish for this key. Repeats of the question carry the same
-        number, so that a grant whose reply was lost is given again, and only again
-        to the wish that it was given to.
+        Identifies the requester's query for this key. Repeats carry the same number,
+        so that a grant whose reply was lost is repeated, and only to the query to
+        which it was issued.
     sent_number : int
-        Differs for each sending: tells a late reply from the current one.
+        Differs for each transmission, to distinguish late replies from the current
+        one.
     customer, key : str
     fingerprint : bytes
-        Of the request.
+        Fingerprint of the request.
     """
 
     requester: str
@@ -57,7 +58,7 @@
 class LookupReply(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Base of the replies to ``KeyLookup``; echoes what it answers."""
+    """Base of the replies to ``KeyLookup``; echoes the fields of the lookup."""
 
     requester: str
     responder: str
@@ -68,7 +69,7 @@
 
 
 class LookupDone(LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True):
-    """The request ran; ``answer`` is None when it is no longer kept."""
+    """States that the request ran; ``answer`` is None if it is no longer kept."""
 
     answer: StoredAnswer | None = None
 
@@ -76,39 +77,39 @@
 class LookupInProgress(
     LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The request is queued or running."""
+    """States that the request is queued or running."""
 
 
 class LookupUnknown(
     LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The request may have run, or the replier can not tell."""
+    """States that the request may have run, or that the responder has no record."""
 
 
 class LookupExpired(
     LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The key is past its retention: its record is no longer kept."""
+    """States that the key has expired and its record is no longer kept."""
 
 
 class LookupReused(
     LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The key belongs to another request of the same customer."""
+    """States that the key belongs to another request of the same customer."""
 
 
 class LookupFull(LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True):
-    """The key never ran, and its holder has no room to record passing it on."""
+    """States that the key never ran, and the holder has no room to record a grant."""
 
 
 class LookupGranted(
     LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The key never ran; only the asker may dispatch it from now on."""
+    """States that the key never ran; from now on only the requester may dispatch it."""
 
 
 class LookupMoved(LookupReply, frozen=True, kw_only=True, tag=code_of, array_like=True):
-    """The right to dispatch the key went to another incarnation, ``holder``."""
+    """States that another incarnation, ``holder``, has the key's dispatch right."""
 
     holder: str
 
@@ -123,11 +124,11 @@
     state : str
         Value of the ledger's ``RecordState``.
     holder : str
-        Who has the right to dispatch, where it is not the leaving host.
+        Incarnation with the right to dispatch, if it is not the leaving host.
     direct : bool
-        Whether ``holder`` is asked itself, although it leaves.
+        Whether lookups go to ``holder`` itself, although it is leaving.
     given_to, given_ask_number : str, int
-        The lookup by which the right was last passed on; empty for none.
+        Requester and query number of the last transfer of the right; empty for none.
     answer : StoredAnswer or None
     """
 
@@ -143,16 +144,16 @@
 
 
 class HandedRange(msgspec.Struct, frozen=True, kw_only=True):
-    """Keys of one incarnation whose right to dispatch passes to the successor.
+    """Keys of one incarnation whose dispatch right is transferred to the successor.
 
     Parameters
     ==========
     incarnation : str
-        That minted them.
+        Incarnation that minted the keys.
     last_epoch : int
-        None of a later epoch was minted.
+        Last epoch in which keys were minted.
     epoch : int
-        Of the range's own clock when the message was made.
+        Epoch of the range's own clock when the message was created.
     epoch_ms : int
         Length of an epoch.
     """
@@ -164,17 +165,17 @@
 
 
 class Handover(msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True):
-    """One part of a leaving host's ledger, for its only successor.
+    """One part of a leaving host's ledger, sent to its only successor.
 
     Parameters
     ==========
     leaver, successor : str
         Incarnations.
-    part, parts : int
+    part, part_count : int
         The successor may dispatch once it has all ``part_count`` parts.
     update : int
-        0 for the ledger itself; counts up with each later change of a request that
-        was in progress, which is a message of one part.
+        0 for the ledger itself; increases by one with each later change of a request
+        that was in progress, which is a message of one part.
     ranges : tuple of HandedRange
     records : tuple of HandedRecord
     """
@@ -191,7 +192,7 @@
 class HandoverAck(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The successor has taken a part, or never will (``accepted`` is false)."""
+    """States that the successor has stored a part, or never will if not accepted."""
 
     leaver: str
     successor: str
--- a/libs/messages/src/hemlockhoist/messages/membership.py
+++ b/libs/messages/src/hemlockhoist/messages/membership.py
@@ -1,4 +1,4 @@
-"""What hosts tell one another of which hosts there are."""
+"""Messages by which hosts maintain the list of members."""
 
 import enum
 
@@ -8,7 +8,10 @@
 
 
 class Health(enum.IntEnum):
-    """What probes say of a host; of equal revisions the higher value counts."""
+    """Health of a host according to probes.
+
+    Of two updates with equal revisions the higher value applies.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -16,21 +19,21 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One run of a host process.
+    """One incarnation of a host.
 
     Parameters
     ==========
     address : str
-        ``IP:port`` for peers; what hosts are told apart by.
+        ``IP:port`` for peers, which identifies the host.
     incarnation : str
-        Empty as long as only the platform's list has named the host.
+        Empty while the host is known from the platform's list only.
     started_unix_ms : int
-        Orders the runs at one address.
+        Start time, which orders the incarnations at one address.
     caller_address : str
         ``IP:port`` for callers.
     failure_domain : str
     processor_millicores : int
-        What the host may use, in thousandths of a core; 0 where it is not told.
+        Processor time available to the host, in thousandths of a core; 0 if unknown.
     """
 
     address: str
@@ -44,16 +47,16 @@
 class MemberUpdate(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """What a host knows of one member, passed on with probes.
+    """State of one member as known to a host, gossiped with probes.
 
     Parameters
     ==========
     member : Member
     health : Health
     revision : int
-        Raised by the member alone, to refute a suspicion.
+        Increased by the member only, to refute a suspicion.
     leaving : bool
-        Never taken back for one incarnation.
+        Never reset within one incarnation.
     successor : str
         Incarnation that has the member's key ledger; empty for none.
     """
@@ -66,16 +69,16 @@
 
 
 class Probe(msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True):
-    """Asks a host for a sign of life.
+    """Checks whether a host is alive.
 
     Parameters
     ==========
     number : int
         Echoed by the acknowledgement.
     sender : MemberUpdate
-        The sender on itself.
+        State of the sender.
     updates : tuple of MemberUpdate
-        On others; a bounded number.
+        States of a bounded number of other members.
     """
 
     number: int
@@ -84,7 +87,7 @@
 
 
 class ProbeAck(msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True):
-    """A probed host's sign of life, given directly or passed on for it."""
+    """Acknowledgement by a probed host, received directly or through a relay."""
 
     number: int
     sender: MemberUpdate
@@ -94,7 +97,7 @@
 class ProbeRequest(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Asks a host to probe ``target_address`` and to pass its answer on."""
+    """Asks a host to probe ``target_address`` and to relay its acknowledgement."""
 
     number: int
     sender: MemberUpdate
@@ -105,7 +108,7 @@
 class MembersRequest(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Asks for one page of the members with an address after ``after``."""
+    """Requests one page of the members whose addresses follow ``after``."""
 
     sender: MemberUpdate
     after: str = ""
@@ -114,7 +117,7 @@
 class MembersPage(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """One page of members; ``next_after`` is empty on the last page."""
+    """One page of the members; ``next_after`` is empty on the last page."""
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...] = ()
--- a/libs/messages/src/hemlockhoist/messages/moves.py
+++ b/libs/messages/src/hemlockhoist/messages/moves.py
@@ -8,9 +8,9 @@
 class VersionHalted(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """A version was seen to be bad: no host grants or dispatches to it any more.
+    """States that a version is bad: no host grants or dispatches to it any more.
 
-    Grow-only: nothing takes it back but a new move with another ``move_id``.
+    Halts are grow-only: only a new move with another ``move_id`` can use the version.
     """
 
     pool: str
@@ -22,9 +22,9 @@
 class MoveAnnounced(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The home's present view of a pool's move, for whoever is home next.
+    """The home's current state of a pool's move, for the next home of the pool.
 
-    ``row`` is the encoded move record, as it stands in the table service.
+    ``row`` is the encoded move record as stored in the table service.
     """
 
     pool: str
@@ -34,6 +34,9 @@
 class StreamTaken(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """A caller resumed a stream at the sender: its former host must not cancel it."""
+    """States that a caller resumed a stream at the sender.
+
+    The host that served the stream before must not cancel the request.
+    """
 
     request_id: str
--- a/libs/messages/src/hemlockhoist/messages/registry.py
+++ b/libs/messages/src/hemlockhoist/messages/registry.py
@@ -1,8 +1,8 @@
-"""The list of all message types; a new message is added here.
+"""Registry of all message types, to which every new message type is added.
 
-Messages are encoded as arrays, without the names of their fields, which were more than
-half of the bytes between hosts. A later release may add fields at the end, with
-defaults, and may not reorder or remove any.
+Messages are encoded as arrays without field names, because the names made up more than
+half of the bytes between hosts. A later release may append fields with defaults, but
+must not reorder or remove fields.
 """
 
 from hemlockhoist.messages.configuration import (
--- a/libs/messages/src/hemlockhoist/messages/tests/test_codec.py
+++ b/libs/messages/src/hemlockhoist/messages/tests/test_codec.py
@@ -37,29 +37,29 @@
             Codec(b"k").decode(frame, "b")
         return caught.exception.code
 
-    def test_a_frame_under_another_key_is_refused(self):
-        """A host with another peer key is not believed."""
+    def test_frame_under_another_key_is_rejected(self):
+        """Frames of a host with another peer key are unauthentic."""
         self.assertIs(self._code(_frame(b"other")), ResultCode.PEER_UNAUTHENTIC)
 
-    def test_a_frame_of_another_wire_version_is_refused_by_that_name(self):
-        """The version is looked at first, so the log names the real cause."""
+    def test_frame_of_another_wire_version_is_reported_as_such(self):
+        """The version is checked before the digest, so the log names the real cause."""
         frame = bytes([WIRE_VERSION + 1]) + _frame()[1:]
         self.assertIs(self._code(frame), ResultCode.PEER_VERSION)
 
     @given(st.integers(min_value=0, max_value=len(_frame()) - 1))
-    def test_a_truncated_frame_is_refused(self, length):
-        """No prefix of a frame is taken for a frame."""
+    def test_truncated_frame_is_rejected(self, length):
+        """No proper prefix of a frame is accepted as a frame."""
         code = self._code(_frame()[:length])
         self.assertIn(code, (ResultCode.PEER_MALFORMED, ResultCode.PEER_UNAUTHENTIC))
 
     @given(st.binary(max_size=200))
     def test_arbitrary_bytes_raise_only_peer_errors(self, frame):
-        """Garbage from the network ends in a numbered error."""
+        """Invalid input from the network raises an error with a result code."""
         with self.assertRaises(PeerError):
             Codec(b"k").decode(frame, "b")
 
-    def test_a_frame_for_another_host_is_refused(self):
-        """A frame that was taken on the way does nothing elsewhere."""
+    def test_frame_for_another_host_is_rejected(self):
+        """A captured frame cannot be sent to a host other than its receiver."""
         with self.assertRaises(PeerError) as caught:
             Codec(b"k").decode(_frame(), "c")
         self.assertIs(caught.exception.code, ResultCode.PEER_UNAUTHENTIC)
@@ -68,13 +68,13 @@
         st.sampled_from(["10.1.0.35:7600", "[::1]:7600", "h1", "1.2.3.4:007", ""]),
         st.sampled_from(["00ff12", "1", "", "XY", "0F"]),
     )
-    def test_names_arrive_as_they_were(self, sender, incarnation):
-        """Packed for the way, a name that only looks like an address would change."""
+    def test_names_round_trip_unchanged(self, sender, incarnation):
+        """Packing must not alter a name that only resembles an address."""
         envelope = _envelope(sender, incarnation)
         codec_ = Codec(b"k")
         self.assertEqual(codec_.decode(codec_.encode(envelope), "b"), envelope)
 
-    def test_a_sender_that_is_no_address_is_refused(self):
+    def test_sender_that_is_not_an_address_is_rejected(self):
         made = Codec(b"k")
         wire = codec._WireEnvelope(
             sender=b"\x00123", incarnation=b"\x011", sequence=1, sent_ms=1, messages=[]
@@ -85,11 +85,11 @@
             made.decode(frame, "b")
         self.assertIs(caught.exception.code, ResultCode.PEER_MALFORMED)
 
-    def test_each_message_has_a_number_of_its_own(self):
-        """Two types under one number: a host reads a message as another one."""
+    def test_message_numbers_are_unique(self):
+        """With a shared number, a message would be decoded as another type."""
         numbers = [kind.__struct_config__.tag for kind in MESSAGE_TYPES]
         self.assertEqual(len(set(numbers)), len(numbers))
 
     def test_docstring_examples_run(self):
-        """The examples in the docstrings give what they show."""
+        """The examples in the docstrings produce the output shown."""
         self.assertEqual(doctest.testmod(codec).failed, 0)
