--- a/libs/peers/src/hemlockhoist/peers/__init__.py
+++ b/libs/peers/src/hemlockhoist/peers/__init__.py
@@ -1,4 +1,4 @@
-"""The transport between hosts."""
+"""Message transport between hosts."""
 
 from hemlockhoist.peers.bus import PeerBus
 from hemlockhoist.peers.inbox import Inbox
--- a/libs/peers/src/hemlockhoist/peers/bus.py
+++ b/libs/peers/src/hemlockhoist/peers/bus.py
@@ -1,4 +1,4 @@
-"""All of a host's links to its peers, and where it listens for them."""
+"""Exchange of messages with all peers of a host."""
 
 import asyncio
 
@@ -12,17 +12,17 @@
 
 
 class PeerBus:
-    """Sends typed messages to hosts by address, hands received ones to a handler.
+    """Sends typed messages to hosts by address, and passes received ones to a handler.
 
-    A host is known to its peers by the address that it listens on for them.
+    Peers identify a host by its advertised address.
 
     Parameters
     ==========
     incarnation : str
     listen : str
-        ``IP:port``; port 0 takes a free one, see ``address`` after ``start``.
+        ``IP:port``; with port 0 a free port is chosen, see ``address`` after ``start``.
     advertise : str or None
-        The address that peers use, where it is another.
+        Address that peers use, if it differs from the listening address.
     peer_key : bytes
     clock : Clock
     handler : callable
@@ -58,7 +58,7 @@
     ):
         self._on_connection_lost = on_connection_lost
         self._incarnation = incarnation
-        self._listener = PeerListener(listen, self._take, self._reject)
+        self._listener = PeerListener(listen, self._on_frame, self._reject)
         self._advertise = advertise
         self._codec = Codec(peer_key)
         self._clock = clock
@@ -70,8 +70,8 @@
         self.rejected_count = 0
 
     async def start(self):
-        """Listen for peers."""
-        # What arrives before this host knows its address is dropped, as if lost.
+        """Start listening for peers."""
+        # Frames that arrive before this host knows its address are dropped.
         await self._listener.start()
         self.address = self._advertise or self._listener.address
         self._inbox = Inbox(self.address)
@@ -83,25 +83,26 @@
         self._links.clear()
 
     async def disconnect(self, address):
-        """Drop the link to a peer that has left."""
+        """Close the link to a peer that has left, and drop its state."""
         link = self._links.pop(address, None)
         if link is not None:
             await link.close()
         self._inbox.forget(address)
 
     async def flush(self, timeout_ms):
-        """Wait until queued messages have left, at most ``timeout_ms``."""
+        """Wait until queued messages are sent, at most ``timeout_ms``."""
         links = list(self._links.values())
         await asyncio.gather(*(link.flush(timeout_ms) for link in links))
 
     def peers(self):
-        """Return the addresses of the hosts that have a link."""
+        """Return the addresses of the hosts to which there is a link."""
         return tuple(self._links)
 
     def send(self, address, message):
-        """Queue a message; one to this host itself is handled in the next turn.
+        """Queue a message to a host.
 
-        The link is made with the first message to a peer.
+        The link to a peer is created with the first message. A message to this host
+        itself is handled in the next iteration of the event loop.
         """
         if address == self.address:
             loop = asyncio.get_running_loop()
@@ -113,12 +114,12 @@
         link.send(message)
 
     def received_within(self, address, within_ms):
-        """Return whether a peer was heard from within a time."""
-        heard_ms = self._inbox.last_received_ms(address)
-        return heard_ms is not None and self._clock.now_ms() - heard_ms <= within_ms
+        """Return whether a message of a peer arrived in the last ``within_ms``."""
+        last_ms = self._inbox.last_received_ms(address)
+        return last_ms is not None and self._clock.now_ms() - last_ms <= within_ms
 
     def reconnect(self, address):
-        """Take a new connection to a peer that seems not to hear this host."""
+        """Replace the connection to a peer that seems not to receive messages."""
         link = self._links.get(address)
         if link is not None:
             link.reconnect()
@@ -136,11 +137,11 @@
         return link
 
     def bytes_sent(self):
-        """Return the bytes sent on all present links."""
+        """Return the bytes sent on all current links."""
         return sum(link.bytes_sent for link in self._links.values())
 
-    def _take(self, frame):
-        """Take a frame of a peer; one that can not be trusted is dropped alone."""
+    def _on_frame(self, frame):
+        """Handle a frame of a peer; drop the frame if it fails verification."""
         self.bytes_received += len(frame)
         if self._inbox is None:
             return
@@ -151,7 +152,7 @@
             self._reject(error)
             return
         if self._inbox.is_new_incarnation(envelope.sender):
-            # The connection was to the run before, and may hang.
+            # The connection leads to the previous incarnation and may hang.
             self.reconnect(envelope.sender)
         for message in envelope.messages:
             self._deliver(envelope.sender, message, late_ms)
@@ -161,8 +162,8 @@
         _log.warning("peer_rejected", code=int(error.code), reason=error.message)
 
     def _deliver(self, sender, message, late_ms):
-        # One message that a handler fails on must not end the task that all peers'
-        # messages come through: the host would look alive and answer nobody.
+        # An exception in a handler must not end the task that receives the messages,
+        # or the host would look alive but answer no peer.
         try:
             self._handler(sender, message, late_ms)
         except HemlockhoistError as error:
--- a/libs/peers/src/hemlockhoist/peers/connection.py
+++ b/libs/peers/src/hemlockhoist/peers/connection.py
@@ -1,4 +1,4 @@
-"""The connection by which a host sends to one peer."""
+"""Connection on which a host sends to one peer."""
 
 import asyncio
 
@@ -6,14 +6,14 @@
 
 
 class Connection(asyncio.Protocol):
-    """Writes frames, and tells when the connection has ended.
+    """Writes frames, and reports the end of the connection.
 
-    Nothing is ever received on it: a peer answers on its own connection.
+    Nothing is received on it: a peer replies on its own connection.
 
     Parameters
     ==========
     on_lost : callable
-        ``on_lost(connection)`` is called once, when it has ended.
+        ``on_lost(connection)`` is called once, when the connection has ended.
     """
 
     __slots__ = ("_on_lost", "_transport", "_writable")
@@ -25,44 +25,44 @@
         self._writable.set()
 
     def connection_made(self, transport):
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def connection_lost(self, error):
-        """Tell the end; whoever waits to write finds the connection closed."""
+        """Report the end and wake waiting writers, which find the connection closed."""
         self._writable.set()
         self._on_lost(self)
 
     def pause_writing(self):
-        """Let writers wait: the peer takes nothing at present."""
+        """Make writers wait while the write buffer is full."""
         self._writable.clear()
 
     def resume_writing(self):
-        """Let writers go on."""
+        """Wake waiting writers."""
         self._writable.set()
 
     @property
     def is_closing(self):
-        """Whether nothing more can be sent."""
+        """Whether the connection is closed or closing, so that nothing can be sent."""
         return self._transport.is_closing()
 
     @property
     def unsent_bytes(self):
-        """What the peer's side has not taken yet, as far as this process knows."""
+        """Number of bytes in this process's write buffer."""
         return self._transport.get_write_buffer_size()
 
     def write(self, frame):
-        """Send a frame, without waiting."""
+        """Write a frame without waiting."""
         self._transport.write(encode_frame(frame))
 
     async def wait_writable(self):
-        """Wait until the peer takes more."""
+        """Wait until the write buffer has space."""
         await self._writable.wait()
 
     def close(self):
-        """Send what was written, and end."""
+        """Close the connection after sending the write buffer."""
         self._transport.close()
 
     def abort(self):
-        """End at once."""
+        """Close the connection at once."""
         self._transport.abort()
--- a/libs/peers/src/hemlockhoist/peers/frames.py
+++ b/libs/peers/src/hemlockhoist/peers/frames.py
@@ -1,4 +1,4 @@
-"""Frames on a stream of bytes: the length of each, then its bytes."""
+"""Length-prefixed frames on a byte stream."""
 
 import struct
 
@@ -9,7 +9,7 @@
 
 
 def encode_frame(frame):
-    """Return a frame as it goes over a connection.
+    """Return a frame with its length prefix.
 
     Examples
     ========
@@ -21,7 +21,7 @@
 
 
 class FrameReader:
-    """Cuts what arrives on one connection into frames.
+    """Splits the bytes received on one connection into frames.
 
     Examples
     ========
@@ -33,29 +33,32 @@
     [b'cde']
     """
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_remainder",)
 
     def __init__(self):
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, data):
-        """Return the frames that are whole with some more bytes.
+        """Add received bytes and return the frames that are now complete.
 
         Raises
         ======
         PeerError
-            ``PEER_MALFORMED`` where a frame is longer than any that hosts send.
+            ``PEER_MALFORMED`` if a frame exceeds the maximum length.
         """
-        data = self._rest + data
-        frames, at = [], 0
-        while len(data) - at >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(data, at)
+        data = self._remainder + data
+        frames, start = [], 0
+        while len(data) - start >= _LENGTH.size:
+            (length,) = _LENGTH.unpack_from(data, start)
             if length > MAX_FRAME_BYTES:
-                raise PeerError(f"frame of {length} bytes", ResultCode.PEER_MALFORMED)
-            end = at + _LENGTH.size + length
+                raise PeerError(
+                    f"frame length of {length} bytes is out of range",
+                    ResultCode.PEER_MALFORMED,
+                )
+            end = start + _LENGTH.size + length
             if end > len(data):
                 break
-            frames.append(data[at + _LENGTH.size : end])
-            at = end
-        self._rest = data[at:]
+            frames.append(data[start + _LENGTH.size : end])
+            start = end
+        self._remainder = data[start:]
         return frames
--- a/libs/peers/src/hemlockhoist/peers/inbox.py
+++ b/libs/peers/src/hemlockhoist/peers/inbox.py
@@ -1,14 +1,14 @@
-"""The receiving side's checks: order, duplicates and lateness of envelopes."""
+"""Checks of received envelopes: order, duplicates and delay."""
 
 from hemlockhoist.base import PeerError, ResultCode
 
-# Incarnations of one sender remembered as ended; a host restarts less than once a
-# day, and a frame of an earlier process is not delayed for days.
+# Number of past incarnations remembered for each sender. A host restarts less than
+# once a day, and a frame of an earlier process is not delayed for days.
 MAX_PAST_INCARNATIONS = 16
 
 
 class _SenderState:
-    """What is known of one incarnation of a sender."""
+    """State of one incarnation of a sender."""
 
     __slots__ = (
         "incarnation",
@@ -27,17 +27,17 @@
 
 
 class Inbox:
-    """Accepts each envelope once and tells how late it came.
+    """Accepts each envelope once and measures its delay.
 
-    A grant that waited in the socket of a frozen process looks fresh when it is
-    read. The difference between arrival and sending, less the smallest difference
-    seen from that sender, is the time it was under way beyond the usual: the two
-    clocks need not agree, only run at one speed.
+    A grant that waited in the socket buffer of a suspended process looks new when it
+    is read. The delay is the difference between the times of arrival and sending, less
+    the smallest such difference of that sender, which is the delay beyond the minimum.
+    The two clocks need not agree but must run at the same rate.
 
     Parameters
     ==========
     address : str
-        Of the receiver.
+        Address of the receiver.
 
     Examples
     ========
@@ -63,20 +63,20 @@
         self._new_incarnation_of = ""
 
     def accept(self, envelope, now_ms):
-        """Return the lateness of an envelope in milliseconds.
+        """Return the delay of an envelope beyond the minimum, in milliseconds.
 
         Raises
         ======
         PeerError
-            ``PEER_UNAUTHENTIC`` when the envelope is for another host or was
-            delivered before.
+            ``PEER_UNAUTHENTIC`` if the envelope is for another host, belongs to a past
+            incarnation of its sender, or is a duplicate.
         """
         if envelope.receiver != self._address:
-            text = f"envelope for {envelope.receiver}"
+            text = f"envelope is addressed to {envelope.receiver}"
             raise PeerError(text, ResultCode.PEER_UNAUTHENTIC)
-        state = self._state(envelope)
+        state = self._update_state(envelope)
         if envelope.sequence <= state.sequence:
-            text = f"envelope {envelope.sequence} of {envelope.sender} came twice"
+            text = f"envelope {envelope.sequence} of {envelope.sender} is a duplicate"
             raise PeerError(text, ResultCode.PEER_UNAUTHENTIC)
         state.sequence = envelope.sequence
         state.last_received_ms = now_ms
@@ -86,27 +86,28 @@
         return offset_ms - state.min_offset_ms
 
     def last_received_ms(self, sender):
-        """Return when the last envelope of a sender came, or None."""
+        """Return when the last envelope of a sender arrived, or None."""
         state = self._senders.get(sender)
         return state.last_received_ms if state is not None else None
 
     def is_new_incarnation(self, sender):
-        """Return whether the last envelope began another run of a known sender."""
+        """Return whether the last envelope was a sender's first after a restart."""
         return self._new_incarnation_of == sender
 
     def forget(self, sender):
-        """Drop what is known of a host that has left the fleet."""
+        """Drop the state of a host that has left the fleet."""
         self._senders.pop(sender, None)
 
-    def _state(self, envelope):
+    def _update_state(self, envelope):
+        """Return the state of the sender's incarnation, which is reset on a restart."""
         state = self._senders.get(envelope.sender)
         self._new_incarnation_of = ""
         if state is None:
             state = _SenderState(envelope.incarnation, ())
         elif envelope.incarnation in state.past_incarnations:
-            # A delayed frame of the process before a restart would otherwise begin
-            # that incarnation's numbering anew, and be accepted again and again.
-            text = f"envelope of an ended incarnation of {envelope.sender}"
+            # Otherwise a delayed frame from before a restart would reset the sequence
+            # numbers of that incarnation and could be accepted repeatedly.
+            text = f"envelope of a past incarnation of {envelope.sender}"
             raise PeerError(text, ResultCode.PEER_UNAUTHENTIC)
         elif state.incarnation != envelope.incarnation:
             past_incarnations = (*state.past_incarnations, state.incarnation)[
--- a/libs/peers/src/hemlockhoist/peers/link.py
+++ b/libs/peers/src/hemlockhoist/peers/link.py
@@ -1,4 +1,4 @@
-"""The sending side: one task and one connection for each peer, messages in batches."""
+"""Sending to a peer: one task and one connection for each peer, messages in batches."""
 
 import asyncio
 import collections
@@ -9,36 +9,36 @@
 
 _log = get_logger("peers.link")
 
-# Bounds what one envelope may hold up behind it.
+# Limits the time for which one envelope can delay the messages queued behind it.
 MAX_BATCH = 256
-# A peer that takes nothing for this long is dead or cut off: what is queued for it
-# is stale by then, and every exchange between hosts is repeated by its sender.
+# A peer that accepts nothing for this long is dead or partitioned. Messages queued for
+# it are stale by then, and every sender repeats its requests.
 MAX_QUEUED_MS = 1_000
-# Bounds the memory that an unreachable peer can cost; the oldest go first.
+# Limits the memory used for an unreachable peer; the oldest messages are dropped first.
 MAX_QUEUED = 4_096
-# Pause after a connection that was refused, twice as long after each in a row.
+# Wait after a refused connection, doubled after each consecutive refusal.
 INITIAL_BACKOFF_MS = 50
 MAX_BACKOFF_MS = 1_000
-# A peer is dialled again after this while no connection is there, and twice as long
-# each further time. Many round trips, and much less than the second after which the
-# kernel repeats the first packet of a connection.
+# Timeout of an attempt to connect, doubled for each further attempt. It is many round
+# trips, but much less than the second after which the kernel retransmits the first
+# packet of a connection.
 INITIAL_CONNECT_TIMEOUT_MS = 150
 MAX_CONNECT_TIMEOUT_MS = 1_000
-# Between two renewals of a connection: a new one is there within a few round trips,
-# and whoever has no answer asks for a renewal with each question.
+# A new connection is established within a few round trips, and a sender without a reply
+# asks for a reconnection with each repeated request.
 MIN_RECONNECT_INTERVAL_MS = 400
 FLUSH_POLL_INTERVAL_MS = 5
 
 
 class PeerLink:
-    """Sends envelopes to one peer; messages may be lost, never doubled.
+    """Sends envelopes to one peer; messages may be lost but are never duplicated.
 
     Parameters
     ==========
     codec : Codec
     clock : Clock
     sender, incarnation : str
-        Of this host.
+        Address and incarnation of this host.
     address : str
         ``IP:port`` of the peer.
     on_connection_lost : callable
@@ -54,7 +54,7 @@
         "_on_connection_lost",
         "_queue",
         "_reachable",
-        "_renewed_ms",
+        "_reconnected_ms",
         "_sender",
         "_sequence",
         "_task",
@@ -76,18 +76,18 @@
         self._sequence = 0
         self._reachable = True
         self._closed = False
-        self._renewed_ms = None
+        self._reconnected_ms = None
         self._connection = None
         self._task = None
         self.bytes_sent = 0
         self.dropped_count = 0
 
     def start(self):
-        """Begin to send; the peer is dialled with the first message."""
+        """Start the sending task, which connects to the peer with the first message."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self):
-        """Stop sending; what is still queued is dropped."""
+        """Stop sending and drop the queued messages."""
         self._closed = True
         if self._task is not None:
             self._task.cancel()
@@ -96,7 +96,7 @@
             self._connection.close()
 
     async def flush(self, timeout_ms):
-        """Wait until all that was queued has left, at most ``timeout_ms``."""
+        """Wait until all queued messages are sent, at most ``timeout_ms``."""
         deadline_ms = self._clock.now_ms() + timeout_ms
         while self._is_sending and self._clock.now_ms() < deadline_ms:
             await asyncio.sleep(FLUSH_POLL_INTERVAL_MS / MS_PER_S)
@@ -107,86 +107,87 @@
         return bool(self._queue or (connection and connection.unsent_bytes))
 
     def send(self, message):
-        """Queue a message; it leaves with the next envelope."""
+        """Queue a message for the next envelope."""
         if len(self._queue) == MAX_QUEUED:
             self.dropped_count += 1
         self._queue.append((self._clock.now_ms(), message))
         self._wake.set()
 
     def reconnect(self):
-        """Take a new connection in the place of one that may carry nothing.
-
-        Failure: a peer's machine lost its power, or a connection has gone silent; what
-        is sent on it is lost, without an error, for as long as the kernel tries. The
-        peer's own messages still arrive, so that it looks well. Whoever misses answers
-        asks for this. What is still queued goes by the new connection, under numbers
-        that go on: the receiver takes no envelope twice.
+        """Replace the connection if it may no longer deliver anything.
+
+        Failure: a peer's machine lost power, or the connection stopped delivering. What
+        is sent on it is lost without an error for as long as the kernel retransmits,
+        while the peer's own messages still arrive, so that it looks healthy. A sender
+        that misses replies calls this method. Queued messages go over the new
+        connection with continued sequence numbers, so the receiver accepts no envelope
+        twice.
         """
         now_ms = self._clock.now_ms()
         if (
-            self._renewed_ms is not None
-            and now_ms - self._renewed_ms < MIN_RECONNECT_INTERVAL_MS
+            self._reconnected_ms is not None
+            and now_ms - self._reconnected_ms < MIN_RECONNECT_INTERVAL_MS
         ):
             return
-        self._renewed_ms = now_ms
-        former, self._connection = self._connection, None
-        if former is not None:
-            former.close()
+        self._reconnected_ms = now_ms
+        previous, self._connection = self._connection, None
+        if previous is not None:
+            previous.close()
 
     async def _run(self):
         while True:
             await self._wake.wait()
             self._wake.clear()
             while self._queue:
-                connection = await self._connected()
+                connection = await self._get_connection()
                 await connection.wait_writable()
                 self._send_queued(connection)
 
-    async def _connected(self):
-        """Return the present connection; dial the peer where there is none.
+    async def _get_connection(self):
+        """Return the current connection, or connect to the peer if there is none.
 
-        A connection that is closing counts as none, though its end was not told yet:
-        nothing can be sent on it.
+        A closing connection is treated as lost even before ``connection_lost`` is
+        called, because nothing can be sent on it.
         """
         if self._connection is not None and self._connection.is_closing:
-            self._note_lost(self._connection)
+            self._on_lost(self._connection)
         if self._connection is None:
-            self._connection = await self._dial()
+            self._connection = await self._connect()
         return self._connection
 
-    async def _dial(self):
-        """Return a new connection.
+    async def _connect(self):
+        """Return a new connection, retrying until one is established.
 
-        Failure: hosts come up one after the other, and the first dials one that has no
-        power yet. Its packet is lost, and the kernel sends it again only after a
-        second, in which the two do not hear each other and each makes itself home. So
-        it is dialled anew where the connection is not there soon.
+        Failure: hosts start one after the other, and the first connects to one that
+        has no power yet. The packet is lost, and the kernel retransmits it only after a
+        second. In that second the two do not learn of each other, and each makes itself
+        home. A new attempt is therefore made after a short timeout.
         """
-        limit_ms, rest_ms = INITIAL_CONNECT_TIMEOUT_MS, INITIAL_BACKOFF_MS
+        timeout_ms, backoff_ms = INITIAL_CONNECT_TIMEOUT_MS, INITIAL_BACKOFF_MS
         while True:
             try:
-                return await self._dial_once(limit_ms)
+                return await self._connect_once(timeout_ms)
             except TimeoutError:
-                self._note_state(reachable=False, reason="no connection in time")
-                limit_ms = min(MAX_CONNECT_TIMEOUT_MS, 2 * limit_ms)
+                self._set_reachable(reachable=False, reason="connection timed out")
+                timeout_ms = min(MAX_CONNECT_TIMEOUT_MS, 2 * timeout_ms)
             except OSError as error:
-                self._note_state(reachable=False, reason=str(error))
-                await asyncio.sleep(rest_ms / MS_PER_S)
-                rest_ms = min(MAX_BACKOFF_MS, 2 * rest_ms)
+                self._set_reachable(reachable=False, reason=str(error))
+                await asyncio.sleep(backoff_ms / MS_PER_S)
+                backoff_ms = min(MAX_BACKOFF_MS, 2 * backoff_ms)
             self._drop_stale()
 
-    async def _dial_once(self, limit_ms):
+    async def _connect_once(self, timeout_ms):
         ip, _, port = self.address.rpartition(":")
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(limit_ms / MS_PER_S):
+        async with asyncio.timeout(timeout_ms / MS_PER_S):
             _, connection = await loop.create_connection(
-                lambda: Connection(self._note_lost), ip.strip("[]"), int(port)
+                lambda: Connection(self._on_lost), ip.strip("[]"), int(port)
             )
-        self._note_state(reachable=True)
+        self._set_reachable(reachable=True)
         return connection
 
-    def _note_lost(self, connection):
-        """Forget a connection that has ended, and tell it where it was in use."""
+    def _on_lost(self, connection):
+        """Drop a connection that has ended, and report it if it was in use."""
         if connection is self._connection:
             self._connection = None
             if not self._closed:
@@ -200,7 +201,7 @@
 
     def _send_queued(self, connection):
         if connection is not self._connection or connection.is_closing:
-            # It ended, or was renewed, while this waited.
+            # It ended or was replaced while this task was waiting.
             return
         self._drop_stale()
         count = min(MAX_BATCH, len(self._queue))
@@ -220,9 +221,9 @@
             sent_ms=self._clock.now_ms(),
             messages=batch,
         )
-        # A message that can not be encoded is a fault of this program, and must not
-        # end this task: the peer would hear nothing more from a host that looks
-        # alive to all others.
+        # A message that cannot be encoded is an error of this program and must not end
+        # the task: the peer would receive nothing more from a host that looks alive to
+        # all others.
         try:
             return self._codec.encode(envelope)
         except (TypeError, ValueError, OverflowError) as error:
@@ -231,8 +232,8 @@
             _log.error("peer_encode_failed", kinds=kinds, reason=str(error))
             return None
 
-    def _note_state(self, reachable, reason=""):
-        """Log the first failure and the first success after it, not each one."""
+    def _set_reachable(self, reachable, reason=""):
+        """Record whether the peer is reachable, and log only changes."""
         if reachable == self._reachable:
             return
         self._reachable = reachable
--- a/libs/peers/src/hemlockhoist/peers/listener.py
+++ b/libs/peers/src/hemlockhoist/peers/listener.py
@@ -1,4 +1,4 @@
-"""The receiving side: one task for each connection that a peer has opened."""
+"""Receiving from peers: one task for each connection that a peer has opened."""
 
 import asyncio
 
@@ -8,22 +8,22 @@
 _log = get_logger("peers.listener")
 
 READ_BYTES = 65_536
-# Connections of a fleet that starts at once.
+# Covers the connections of a whole fleet that starts at the same time.
 BACKLOG = 1_024
 
 
 class PeerListener:
-    """Takes peers' connections and hands their frames on.
+    """Accepts connections of peers and passes their frames to a handler.
 
     Parameters
     ==========
     address : str
-        ``IP:port``; port 0 takes a free one, see ``address`` after ``start``.
+        ``IP:port``; with port 0 a free port is chosen, see ``address`` after ``start``.
     on_frame : callable
         ``on_frame(frame)``; must neither block nor raise.
     on_rejected : callable
-        ``on_rejected(error)`` is called with a ``PeerError`` where a connection is
-        ended for what came on it.
+        ``on_rejected(error)`` is called with a ``PeerError`` if a connection is closed
+        because of malformed input.
     """
 
     __slots__ = ("_on_frame", "_on_rejected", "_server", "_tasks", "address")
@@ -36,7 +36,7 @@
         self.address = address
 
     async def start(self):
-        """Listen for peers."""
+        """Start listening for peers."""
         ip, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(
             self._serve, ip.strip("[]"), int(port), backlog=BACKLOG
@@ -45,7 +45,7 @@
         self.address = f"{ip}:{port}"
 
     async def close(self):
-        """Stop listening, and end all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         tasks = list(self._tasks)
@@ -61,11 +61,11 @@
         except PeerError as error:
             self._on_rejected(error)
         except OSError as error:
-            # The peer's process or machine is gone; its host shows so to the probes.
+            # The peer's process or machine has failed, which probes detect.
             _log.info("peer_connection_lost", reason=str(error))
         except asyncio.CancelledError:
-            # Only ``close`` cancels. Raised on, the stream's own callback would log it
-            # as a fault.
+            # Only ``close`` cancels this task. If raised further, the exception would
+            # be logged as an error by the callback of the stream.
             return
         finally:
             self._tasks.discard(task)
--- a/libs/peers/src/hemlockhoist/peers/tests/test_bus.py
+++ b/libs/peers/src/hemlockhoist/peers/tests/test_bus.py
@@ -32,18 +32,18 @@
 
 
 class InboxTests(unittest.TestCase):
-    def test_an_envelope_is_accepted_once(self):
-        """The same envelope, delivered twice, is refused the second time."""
+    def test_envelope_is_accepted_once(self):
+        """The second delivery of the same envelope is rejected."""
         box = Inbox("b")
         box.accept(_envelope(1), 10)
         with self.assertRaises(PeerError):
             box.accept(_envelope(1), 11)
 
-    def test_delayed_frame_of_an_ended_incarnation_is_refused(self):
-        """A host restarts, and a frame of its former process arrives afterwards.
+    def test_delayed_frame_of_a_past_incarnation_is_rejected(self):
+        """A frame of a host's previous process arrives after the host restarted.
 
-        Taken for a newcomer, the former process would be heard again, and each
-        switch between the two would let all their frames in a second time.
+        If it were treated as a new incarnation, each switch between the two would
+        reset the sequence numbers, and all their frames would be accepted again.
         """
         box = Inbox("b")
         box.accept(_envelope(1, incarnation="1"), 10)
@@ -52,23 +52,23 @@
             box.accept(_envelope(2, incarnation="1"), 30)
         box.accept(_envelope(2, incarnation="2"), 40)
 
-    def test_an_envelope_for_another_host_is_refused(self):
-        """A frame recorded on one link is of no use on another."""
+    def test_envelope_for_another_host_is_rejected(self):
+        """A frame captured on one link cannot be replayed on another."""
         with self.assertRaises(PeerError):
             Inbox("b").accept(_envelope(1, receiver="c"), 10)
 
-    def test_a_frozen_receiver_sees_that_what_it_reads_is_old(self):
-        """The receiver was stopped for 4 s while a grant waited in its socket.
+    def test_suspended_receiver_measures_the_delay_of_what_it_reads(self):
+        """The receiver was suspended for 4 s while a grant waited in its socket buffer.
 
-        When it goes on, the grant looks as if it had just come. Its lateness has
-        to show, or the host would dispatch under a grant that ended long ago.
+        When it resumes, the grant seems to have just arrived. Without the measured
+        delay, the host would dispatch under a grant that expired long ago.
         """
         box = Inbox("b")
         box.accept(_envelope(1, sent_ms=1000), 501_000)
         self.assertEqual(box.accept(_envelope(2, sent_ms=1100), 505_100), 4000)
 
     def test_docstring_examples_run(self):
-        """The examples in the docstrings give what they show."""
+        """The examples in the docstrings produce the output shown."""
         for module in (frames, inbox):
             self.assertEqual(doctest.testmod(module).failed, 0)
 
@@ -100,26 +100,26 @@
             sender, message = await asyncio.wait_for(self.received.get(), WAIT_S)
             self.assertEqual((sender, message), (self.a.address, _message(number)))
 
-    async def test_a_message_to_oneself_needs_no_link(self):
-        """A host that is its own home takes the same path as any other."""
+    async def test_message_to_the_host_itself_needs_no_link(self):
+        """A host that is its own home sends messages like any other host."""
         self.a.send(self.a.address, _message(1))
         sender, _ = await asyncio.wait_for(self.received.get(), WAIT_S)
         self.assertEqual(sender, self.a.address)
 
-    async def test_a_host_with_another_key_is_not_heard(self):
+    async def test_frames_of_a_host_with_another_key_are_rejected(self):
         """Frames under another peer key are counted and dropped; others pass."""
-        stranger = self._bus(b"other")
-        await stranger.start()
-        stranger.send(self.b.address, _message(1))
+        foreign = self._bus(b"other")
+        await foreign.start()
+        foreign.send(self.b.address, _message(1))
         while not self.b.rejected_count:
             await asyncio.sleep(0.01)
-        await stranger.close()
+        await foreign.close()
         self.a.send(self.b.address, _message(2))
         sender, message = await asyncio.wait_for(self.received.get(), WAIT_S)
         self.assertEqual((sender, message), (self.a.address, _message(2)))
 
-    async def test_garbage_ends_neither_the_task_nor_the_host(self):
-        """Truncated and random frames are dropped; the next message arrives."""
+    async def test_invalid_frames_end_neither_the_task_nor_the_host(self):
+        """Truncated and random frames are dropped, and the next message arrives."""
         for frame in (
             b"",
             b"\x01",
@@ -131,8 +131,8 @@
         self.a.send(self.b.address, _message(2))
         await asyncio.wait_for(self.received.get(), WAIT_S)
 
-    async def test_frame_longer_than_any_ends_its_connection_alone(self):
-        """A host is told to keep four gigabytes, and has 64 MB for control."""
+    async def test_frame_over_the_maximum_length_closes_only_its_connection(self):
+        """A length prefix of 4 GB must not be buffered by a host with 64 MB."""
         raw = await self._send_raw(b"\xff\xff\xff\xff", close=False)
         await self._wait_rejected(1)
         async with asyncio.timeout(WAIT_S):
@@ -141,7 +141,7 @@
         await asyncio.wait_for(self.received.get(), WAIT_S)
 
     async def _send_raw(self, data, close=True):
-        """Send bytes on a connection of its own; return what reads its end."""
+        """Send bytes on a new connection, and return the reader of the connection."""
         ip, _, port = self.b.address.rpartition(":")
         reader, writer = await asyncio.open_connection(ip, int(port))
         self.addCleanup(writer.close)
@@ -156,41 +156,40 @@
             while self.b.rejected_count < count:
                 await asyncio.sleep(0.01)
 
-    async def test_message_that_can_not_be_encoded_does_not_end_the_link(self):
-        """A booking is repeated at a second host, which asks the first for its answer.
+    async def test_message_that_cannot_be_encoded_does_not_end_the_link(self):
+        """An exception while encoding must not end the link's sending task.
 
-        The first host's reply held a header name of the HTTP library's own string
-        type. Encoding it raised, the task of the link ended, and from then on that
-        peer heard nothing: each repeat was told "outcome unknown" after 2 s.
+        The reply to a key lookup contained a header name of the HTTP library's own
+        string type, which cannot be encoded. The task ended, the peer received nothing
+        more, and each repeated call got "outcome unknown" after 2 s.
         """
 
-        class OwnStr(str):
+        class StrSubclass(str):
             pass
 
-        self.a.send(self.b.address, GrantCancel(pool=OwnStr("x"), request_id="1"))
+        self.a.send(self.b.address, GrantCancel(pool=StrSubclass("x"), request_id="1"))
         await asyncio.sleep(0.05)
         self.a.send(self.b.address, _message(2))
         _, message = await asyncio.wait_for(self.received.get(), WAIT_S)
         self.assertEqual(message, _message(2))
 
-    async def test_message_that_arrives_with_the_stop_keeps_the_host_from_ending(self):
-        """A stopping host's receiving task misses its cancellation while messages come,
-        and the host is killed by its supervisor."""
+    async def test_messages_that_arrive_during_the_stop_do_not_block_it(self):
+        """A receiving task that misses its cancellation while messages arrive keeps a
+        stopping host running until its supervisor kills it."""
         for round_ in range(20):
             peer = self._bus(b"k")
             await peer.start()
             for number in range(50):
                 self.a.send(peer.address, _message(number))
-            # A different moment of the messages' way each time.
+            # Stops at a different point of the transmission in each round.
             await asyncio.sleep(round_ / 2_000)
             await asyncio.wait_for(peer.close(), 2)
 
-    async def test_peer_that_ended_is_told_and_reached_again_at_its_address(self):
-        """A host restarts at its address, and is taken for lost by those who sent to
-        it before."""
-        broken = asyncio.Queue()
+    async def test_lost_connection_is_reported_and_restarted_peer_is_reached(self):
+        """A host that restarts at its address must be reachable for earlier senders."""
+        lost = asyncio.Queue()
         sender = PeerBus(
-            "1", "127.0.0.1:0", None, b"k", self.clock, self._take, broken.put_nowait
+            "1", "127.0.0.1:0", None, b"k", self.clock, self._take, lost.put_nowait
         )
         await sender.start()
         self.addAsyncCleanup(sender.close)
@@ -198,25 +197,25 @@
         sender.send(address, _message(1))
         await asyncio.wait_for(self.received.get(), WAIT_S)
         await self.b.close()
-        self.assertEqual(await asyncio.wait_for(broken.get(), WAIT_S), address)
-        again = PeerBus("2", address, None, b"k", self.clock, self._take)
-        await again.start()
-        self.addAsyncCleanup(again.close)
+        self.assertEqual(await asyncio.wait_for(lost.get(), WAIT_S), address)
+        restarted = PeerBus("2", address, None, b"k", self.clock, self._take)
+        await restarted.start()
+        self.addAsyncCleanup(restarted.close)
         sender.send(address, _message(2))
         _, message = await asyncio.wait_for(self.received.get(), WAIT_S)
         self.assertEqual(message, _message(2))
-        self.assertTrue(broken.empty())
+        self.assertTrue(lost.empty())
 
-    async def test_connection_that_is_closing_does_not_stop_the_host(self):
-        """A host hangs with its processor full as a peer's connection ends."""
+    async def test_closing_connection_does_not_block_the_event_loop(self):
+        """When a connection ended, a busy loop over it used all processor time."""
         self.a.send(self.b.address, _message(1))
         await asyncio.wait_for(self.received.get(), WAIT_S)
         is_closing = Connection.is_closing.fget
-        asked = itertools.count()
+        calls = itertools.count()
 
         def is_closing_counted(connection):
-            if next(asked) > 1_000:
-                raise RecursionError("nothing else runs")
+            if next(calls) > 1_000:
+                raise RecursionError("the event loop is blocked")
             return is_closing(connection)
 
         with unittest.mock.patch.object(
@@ -227,9 +226,9 @@
             link._connection.close()
             _, message = await asyncio.wait_for(self.received.get(), WAIT_S)
         self.assertEqual(message, _message(2))
-        self.assertLess(next(asked), 10)
+        self.assertLess(next(calls), 10)
 
-    async def test_a_peer_that_is_not_there_costs_bounded_memory(self):
+    async def test_unreachable_peer_uses_bounded_memory(self):
         """Messages to an unreachable peer are dropped, the oldest first."""
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
@@ -242,12 +241,12 @@
 
 
 class LostPacketTests(unittest.IsolatedAsyncioTestCase):
-    async def test_peer_that_was_not_there_yet_is_dialled_again_soon(self):
-        """After a loss of all hosts, five of eight make themselves home for a second.
+    async def test_connecting_is_retried_before_the_kernel_retransmits(self):
+        """After all hosts lost power, five of eight made themselves home for a second.
 
-        A host dials one that has no power yet. The packet is lost, the kernel sends it
-        again after a second, and only then do the two hear of each other. Here the
-        packet is lost at a listener whose queue is full.
+        A host connects to one that has no power yet. The packet is lost, the kernel
+        retransmits it after a second, and only then do the two learn of each other.
+        Here the packet is lost at a listener whose queue is full.
         """
         with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
             address = listener.getsockname()
@@ -272,15 +271,15 @@
             accepted = []
             try:
                 async with asyncio.timeout(0.6):
-                    while not await self._is_link(loop, listener, accepted):
+                    while not await self._accept_link(loop, listener, accepted):
                         pass
             finally:
                 await link.close()
                 for found in accepted:
                     found.close()
 
-    async def _is_link(self, loop, listener, accepted):
-        """Accept a connection; return whether the message comes by it."""
+    async def _accept_link(self, loop, listener, accepted):
+        """Accept a connection and return whether the message arrives on it."""
         found, _ = await loop.sock_accept(listener)
         accepted.append(found)
         found.setblocking(False)
@@ -290,26 +289,26 @@
             return False
 
 
-class SilentConnectionTests(unittest.IsolatedAsyncioTestCase):
-    async def test_renewed_link_reaches_a_peer_behind_a_silent_connection(self):
-        """Requests of one host get no place, though every host looks well.
+class UnresponsiveConnectionTests(unittest.IsolatedAsyncioTestCase):
+    async def test_reconnecting_reaches_a_peer_behind_a_dead_connection(self):
+        """Requests of one host get no slot although every host looks healthy.
 
-        The peer's machine lost its power and is back. This host's connection to it
-        never broke; what is sent on it is lost, for as long as the kernel tries.
+        The peer's machine lost power and is back. The connection to it was never
+        reset, and what is sent on it is lost for as long as the kernel retransmits.
         """
         received = asyncio.Queue()
         accepted = []
-        silent = await asyncio.start_server(
+        unresponsive = await asyncio.start_server(
             lambda reader, writer: accepted.append(writer), "127.0.0.1", 0
         )
-        port = silent.sockets[0].getsockname()[1]
+        port = unresponsive.sockets[0].getsockname()[1]
         clock = Clock.from_running_loop()
         sender = PeerBus("1", "127.0.0.1:0", None, b"k", clock, lambda *message: None)
         await sender.start()
         sender.send(f"127.0.0.1:{port}", _message(1))
         while not accepted:
             await asyncio.sleep(0.01)
-        silent.close()
+        unresponsive.close()
         peer = PeerBus(
             "1",
             f"127.0.0.1:{port}",
@@ -329,7 +328,7 @@
         for writer in accepted:
             writer.close()
 
-    def test_another_run_of_a_sender_shows(self):
+    def test_new_incarnation_of_a_sender_is_detected(self):
         box = Inbox("b")
         box.accept(_envelope(1, incarnation="1"), 10)
         self.assertFalse(box.is_new_incarnation("a"))
