--- a/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
@@ -38,10 +38,10 @@
         self.overshoot = overshoot
         self.tolerance = tolerance
 
-    def units(self, allowance):
+    def units(self, quota):
         """Return the maximum units that a customer may run in one window."""
-        declared = allowance.units_per_s * self.window_ms / 1_000
-        declared += allowance.burst_units
+        declared = quota.units_per_s * self.window_ms / 1_000
+        declared += quota.burst_units
         return declared * (1.0 + self.overshoot) + self.tolerance
 
 
@@ -59,11 +59,11 @@
 
     Examples
     ========
-    >>> from hemlockhoist.declarations import Allowance, KeyedCustomer
+    >>> from hemlockhoist.declarations import Quota, KeyedCustomer
     >>> from hemlockhoist.decisions.limits import QuotaTracker, QuotaBounds
     >>> tracker = QuotaTracker(QuotaBounds(window_ms=8_000))
-    >>> allowance = Allowance(units_per_s=10, burst_units=20)
-    >>> tracker.declare([KeyedCustomer(name="port", allowance=allowance)])
+    >>> quota = Quota(units_per_s=10, burst_units=20)
+    >>> tracker.declare([KeyedCustomer(name="port", quota=quota)])
     >>> tracker.acquire("port", 90, now_ms=0), tracker.acquire("port", 5, now_ms=0)
     (0, 8500)
     >>> tracker.acquire("port", 5, now_ms=9_000)
@@ -88,12 +88,12 @@
         previous = self._usage
         self._usage = {}
         for customer in customers:
-            if customer.allowance is None:
+            if customer.quota is None:
                 continue
             usage = previous.get(customer.name)
             if usage is None:
                 usage = CustomerUsage(self._bounds.window_ms)
-            usage.allowance = customer.allowance
+            usage.quota = customer.quota
             self._usage[customer.name] = usage
 
     def set_share(self, share):
@@ -178,7 +178,7 @@
         found = []
         for customer, usage in self._usage.items():
             usage.expire(now_ms)
-            limit = RECORDED_FRACTION * self._bounds.units(usage.allowance)
+            limit = RECORDED_FRACTION * self._bounds.units(usage.quota)
             if usage.total > limit:
                 found.append((customer, usage.by_age(now_ms)))
         return tuple(found)
@@ -211,7 +211,7 @@
         usage = self._usage.get(customer)
         if usage is None:
             return 0.0
-        return usage.counted / max(1.0, self._bounds.units(usage.allowance))
+        return usage.counted / max(1.0, self._bounds.units(usage.quota))
 
     def units_left(self, customer, now_ms):
         """Return the units that a customer has left, or None without a limit."""
@@ -223,7 +223,7 @@
 
     def _max_units(self, usage):
         """Return the maximum that all homes together may grant in a window."""
-        return int(USED_FRACTION * self._bounds.units(usage.allowance))
+        return int(USED_FRACTION * self._bounds.units(usage.quota))
 
     def _unknown_fraction(self, usage, now_ms):
         recorded_ms = usage.recorded_ms
@@ -235,7 +235,7 @@
         fraction = USED_FRACTION - RECORDED_FRACTION * self._unknown_fraction(
             usage, now_ms
         )
-        return fraction * self._share * self._bounds.units(usage.allowance)
+        return fraction * self._share * self._bounds.units(usage.quota)
 
 
 class UsageLog:
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
@@ -13,16 +13,16 @@
     usage,
 )
 from hemlockhoist.decisions.limits.quotas import USED_FRACTION
-from hemlockhoist.declarations import Allowance, KeyedCustomer
+from hemlockhoist.declarations import KeyedCustomer, Quota
 
 WINDOW_MS = 8_000
-ALLOWANCE = Allowance(units_per_s=1_000, burst_units=2_000)
+QUOTA = Quota(units_per_s=1_000, burst_units=2_000)
 BOUND = 8 * 1_000 + 2_000
 
 
 def new_tracker(overshoot=0.0, tolerance=0.0):
     tracker = QuotaTracker(QuotaBounds(WINDOW_MS, overshoot, tolerance))
-    tracker.declare([KeyedCustomer(name="port", allowance=ALLOWANCE)])
+    tracker.declare([KeyedCustomer(name="port", quota=QUOTA)])
     return tracker
 
 
@@ -66,8 +66,8 @@
     def test_usage_before_a_lower_limit_is_counted(self):
         tracker = new_tracker()
         tracker.acquire("port", 9_000, 0)
-        lower = Allowance(units_per_s=100, burst_units=0)
-        tracker.declare([KeyedCustomer(name="port", allowance=lower)])
+        lower = Quota(units_per_s=100, burst_units=0)
+        tracker.declare([KeyedCustomer(name="port", quota=lower)])
         self.assertGreater(tracker.acquire("port", 10, 100), 0)
 
     def check_total_loss(self, previous, request_times_ms, back_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/limits/usage.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/usage.py
@@ -158,13 +158,13 @@
         "_remote",
         "_reports",
         "_window_ms",
-        "allowance",
         "counted",
+        "quota",
         "recorded_ms",
     )
 
     def __init__(self, window_ms):
-        self.allowance = None
+        self.quota = None
         # When a record of a previous home was last taken into account, if ever.
         self.recorded_ms = None
         self.counted = 0
--- a/libs/declarations/src/hemlockhoist/declarations/__init__.py
+++ b/libs/declarations/src/hemlockhoist/declarations/__init__.py
@@ -24,11 +24,11 @@
 )
 from hemlockhoist.declarations.record_checks import check_declarations
 from hemlockhoist.declarations.routes import (
-    Allowance,
     CallKind,
-    EngineShape,
+    EngineSpec,
     KeyedCustomer,
     PoolShare,
+    Quota,
     RequestLimits,
     Route,
     RoutedPool,
@@ -42,16 +42,16 @@
     Sections,
     changed_sections,
     from_sections,
-    lacking_sections,
     merge_sections,
+    missing_sections,
     sections,
 )
 from hemlockhoist.declarations.stored import HistoryEntry, StoredDeclarations
 
 __all__ = [
-    "Allowance",
+    "Quota",
     "CallKind",
-    "EngineShape",
+    "EngineSpec",
     "KeyedCustomer",
     "PoolShare",
     "RequestLimits",
@@ -90,7 +90,7 @@
     "diff_text",
     "encode_declarations",
     "from_sections",
-    "lacking_sections",
+    "missing_sections",
     "merge_sections",
     "sections",
     "parse_declarations",
--- a/libs/declarations/src/hemlockhoist/declarations/checks.py
+++ b/libs/declarations/src/hemlockhoist/declarations/checks.py
@@ -6,7 +6,7 @@
 _SECTION_OF = {"tier": "tiers", "customer": "customers", "pool": "pools"}
 
 
-class RecordChecks:
+class CrossRecordChecks:
     """Finds what no single record shows.
 
     Parameters
@@ -120,7 +120,7 @@
                 self._report(entry, "field", problem, "one exception for one field")
 
 
-def check_shares(path, rules, file="", line=0):
+def check_version_shares(path, rules, file="", line=0):
     """Return the faults between the fields of effective version rules.
 
     Parameters
--- a/libs/declarations/src/hemlockhoist/declarations/difference.py
+++ b/libs/declarations/src/hemlockhoist/declarations/difference.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from hemlockhoist.declarations import schema
-from hemlockhoist.declarations.effective import departures, facts_of, value_of
+from hemlockhoist.declarations.effective import overridden_values, own_values, value_of
 
 _RECORDS = {"tier": "tiers", "customer": "customers", "pool": "pools"}
 
@@ -126,9 +126,9 @@
         for item in declarations.exceptions
         if item.kind == kind and item.name == record.name
     }
-    own = departures(kind, record, declarations.defaults)
+    own = overridden_values(kind, record, declarations.defaults)
     unexplained = {f: value for f, value in own.items() if f not in excepted}
-    return {**facts_of(kind, record), **unexplained}
+    return {**own_values(kind, record), **unexplained}
 
 
 def _exception_changes(old, new):
--- a/libs/declarations/src/hemlockhoist/declarations/document.py
+++ b/libs/declarations/src/hemlockhoist/declarations/document.py
@@ -1,7 +1,7 @@
 """A declarations file to ``Declarations``, or to all of its faults."""
 
 from hemlockhoist.declarations import schema
-from hemlockhoist.declarations.checks import RecordChecks, check_shares
+from hemlockhoist.declarations.checks import CrossRecordChecks, check_version_shares
 from hemlockhoist.declarations.effective import canonical, effective_record
 from hemlockhoist.declarations.faults import DeclarationFaults
 from hemlockhoist.declarations.model import Declarations, Defaults, FleetException
@@ -42,7 +42,7 @@
     reader = Reader(file)
     reader.read(compose(data, file))
     faults = list(reader.faults)
-    faults += RecordChecks(file, reader.entries).run()
+    faults += CrossRecordChecks(file, reader.entries).run()
     defaults = _defaults(reader.defaults)
     exceptions = _exceptions(reader.entries["exception"])
     faults += _share_faults(file, reader, defaults, exceptions)
@@ -91,7 +91,9 @@
     """Return the faults of version rules, each on the line that caused it."""
     entry = reader.defaults.get("pool")
     line = entry.line_of("version_rules") if entry else 0
-    faults = check_shares("defaults.pool", defaults.pool.version_rules, file, line)
+    faults = check_version_shares(
+        "defaults.pool", defaults.pool.version_rules, file, line
+    )
     for pool in reader.entries["pool"]:
         if not pool.complete:
             continue
@@ -105,5 +107,5 @@
         if own:
             record = effective_record("pool", pool.values, defaults, exceptions)
             rules = record.version_rules
-            faults += check_shares(own[0].path, rules, file, own[0].line)
+            faults += check_version_shares(own[0].path, rules, file, own[0].line)
     return faults
--- a/libs/declarations/src/hemlockhoist/declarations/effective.py
+++ b/libs/declarations/src/hemlockhoist/declarations/effective.py
@@ -56,7 +56,7 @@
     return record
 
 
-def facts_of(kind, record):
+def own_values(kind, record):
     """Return what a record states itself, without what defaults set."""
     return {name: getattr(record, name) for name in schema.record_fields(kind)}
 
@@ -81,7 +81,7 @@
     )
 
 
-def departures(kind, record, defaults):
+def overridden_values(kind, record, defaults):
     """Return the fields in which a record departs from the defaults.
 
     Returns
--- a/libs/declarations/src/hemlockhoist/declarations/reader.py
+++ b/libs/declarations/src/hemlockhoist/declarations/reader.py
@@ -213,7 +213,7 @@
             sound = value in schema.EXCEPTION_KINDS
             allowed = "one of " + ", ".join(schema.EXCEPTION_KINDS)
         elif name == "reason":
-            sound = value is not None and is_reason(value)
+            sound = value is not None and is_valid_reason(value)
             allowed = REASON_ALLOWED
         else:
             sound, allowed = bool(value), "a name, in quotes where it looks otherwise"
@@ -275,7 +275,7 @@
     return [name for name, spec in specs.items() if spec.required]
 
 
-def is_reason(text):
+def is_valid_reason(text):
     """Return whether a text can serve as the reason of an exception."""
     return _MIN_REASON_CHARS <= len(text.strip()) <= _MAX_REASON_CHARS
 
--- a/libs/declarations/src/hemlockhoist/declarations/record_checks.py
+++ b/libs/declarations/src/hemlockhoist/declarations/record_checks.py
@@ -1,10 +1,10 @@
 """Checks of declarations that came as records, not as a file."""
 
 from hemlockhoist.declarations import schema
-from hemlockhoist.declarations.checks import RecordChecks, check_shares
-from hemlockhoist.declarations.effective import departures
+from hemlockhoist.declarations.checks import CrossRecordChecks, check_version_shares
+from hemlockhoist.declarations.effective import overridden_values
 from hemlockhoist.declarations.faults import DeclarationFaults, Fault
-from hemlockhoist.declarations.reader import REASON_ALLOWED, Entry, is_reason
+from hemlockhoist.declarations.reader import REASON_ALLOWED, Entry, is_valid_reason
 
 _SECTIONS = {
     "tier": "tiers",
@@ -46,9 +46,9 @@
         faults += _value_faults(path, default, schema.defaulted_fields(kind))
     for entry in entries["exception"]:
         faults += _exception_faults(entry)
-    faults += RecordChecks("", entries).run()
+    faults += CrossRecordChecks("", entries).run()
     for position, pool in enumerate(declarations.pools):
-        faults += check_shares(f"pools[{position}]", pool.version_rules)
+        faults += check_version_shares(f"pools[{position}]", pool.version_rules)
     faults += _unexplained(declarations)
     if faults:
         raise DeclarationFaults(faults)
@@ -82,7 +82,7 @@
 def _exception_faults(entry):
     values = entry.values
     faults = []
-    if not is_reason(values["reason"]):
+    if not is_valid_reason(values["reason"]):
         problem = f"is {values['reason'][:60]!r}"
         faults.append(_fault(f"{entry.path}.reason", problem, REASON_ALLOWED))
     if values["kind"] not in schema.EXCEPTION_KINDS:
@@ -109,7 +109,7 @@
     faults = []
     for kind in schema.RECORD_TYPES:
         for position, record in enumerate(getattr(declarations, _SECTIONS[kind])):
-            own = departures(kind, record, declarations.defaults)
+            own = overridden_values(kind, record, declarations.defaults)
             path = f"{_SECTIONS[kind]}[{position}]"
             for field, value in own.items():
                 if stated.get((kind, record.name, field)) != value:
--- a/libs/declarations/src/hemlockhoist/declarations/routes.py
+++ b/libs/declarations/src/hemlockhoist/declarations/routes.py
@@ -51,7 +51,7 @@
     max_gap_ms : int
         Of a stream: the longest pause between events of an answer that is in time; 0
         where none is declared.
-    caller_patience_ms : int
+    caller_wait_limit_ms : int
         Of a stream: a caller that gets no event for this long leaves; 0 where callers
         wait for the whole time that they state.
     rank : int
@@ -59,7 +59,7 @@
     shares : tuple of PoolShare
     max_attempts : int
         Upstreams that one request may be sent to, the first included.
-    is_open : bool
+    allows_anonymous : bool
         Whether it takes requests without a key.
     is_resumable : bool
         Whether a stream may be continued by another upstream.
@@ -74,11 +74,11 @@
     timeout_ms: int
     target_ms: int
     max_gap_ms: int = 0
-    caller_patience_ms: int = 0
+    caller_wait_limit_ms: int = 0
     rank: int = 0
     shares: tuple[PoolShare, ...] = ()
     max_attempts: int = 1
-    is_open: bool = False
+    allows_anonymous: bool = False
     is_resumable: bool = False
     regions: tuple[str, ...] = ()
 
@@ -88,7 +88,7 @@
         return self.kind is CallKind.IDEMPOTENT or self.is_resumable
 
 
-class EngineShape(msgspec.Struct, frozen=True, kw_only=True):
+class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
     """What is declared of the engines of a model pool.
 
     Parameters
@@ -123,7 +123,7 @@
 
     name: str
     max_connections: int
-    engine: EngineShape | None = None
+    engine: EngineSpec | None = None
     cold_ms: int = 0
     cold_requests_per_s: float = 0.0
 
@@ -137,7 +137,7 @@
     idle_timeout_ms: int = 15_000
 
 
-class Allowance(msgspec.Struct, frozen=True, kw_only=True):
+class Quota(msgspec.Struct, frozen=True, kw_only=True):
     """How much a customer may send, over all hosts.
 
     Parameters
@@ -145,14 +145,14 @@
     units_per_s, burst_units : int
         Tokens where ``counts_tokens``, else requests.
     counts_tokens : bool
-    plain_request_units : int
+    default_request_units : int
         What a request without a token count counts as.
     """
 
     units_per_s: int
     burst_units: int
     counts_tokens: bool = False
-    plain_request_units: int = 1
+    default_request_units: int = 1
 
 
 class KeyedCustomer(msgspec.Struct, frozen=True, kw_only=True):
@@ -164,7 +164,7 @@
     keys : tuple of str
     rank : int
         Goes before the route's rank.
-    allowance : Allowance or None
+    quota : Quota or None
         None for no limit.
     regions : tuple of str
         Where its requests may be sent; empty for anywhere.
@@ -173,7 +173,7 @@
     name: str
     keys: tuple[str, ...] = ()
     rank: int = DEFAULT_CUSTOMER_RANK
-    allowance: Allowance | None = None
+    quota: Quota | None = None
     regions: tuple[str, ...] = ()
 
 
@@ -226,7 +226,7 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     @property
-    def asks_for_keys(self):
+    def requires_keys(self):
         """Whether requests carry a key, but on open routes."""
         return bool(self._customers)
 
--- a/libs/declarations/src/hemlockhoist/declarations/sectioning.py
+++ b/libs/declarations/src/hemlockhoist/declarations/sectioning.py
@@ -10,7 +10,7 @@
 
 from hemlockhoist.base import DeclarationError, ResultCode
 from hemlockhoist.declarations import schema
-from hemlockhoist.declarations.effective import canonical, departures, facts_of
+from hemlockhoist.declarations.effective import canonical, overridden_values, own_values
 from hemlockhoist.declarations.model import (
     Customer,
     Declarations,
@@ -132,10 +132,10 @@
     ==========
     old, new : Sections
     """
-    return lacking_sections(old.manifest, new)
+    return missing_sections(old.manifest, new)
 
 
-def lacking_sections(manifest, new):
+def missing_sections(manifest, new):
     """Return what a holder of sections with these digests needs to have ``new``.
 
     Parameters
@@ -206,7 +206,7 @@
     bucket.
     """
 
-    __slots__ = ("_records", "_head_digest")
+    __slots__ = ("_head_digest", "_records")
 
     def __init__(self):
         self._records = {}
@@ -272,8 +272,8 @@
 
 def _stored(kind, record, defaults):
     """Return a record's own facts, and where it departs from the defaults."""
-    own = departures(kind, record, defaults)
-    return {**facts_of(kind, record), **({"departs": own} if own else {})}
+    own = overridden_values(kind, record, defaults)
+    return {**own_values(kind, record), **({"departs": own} if own else {})}
 
 
 def _restored(record_type, kind, stored, defaults):
--- a/libs/declarations/src/hemlockhoist/declarations/stored.py
+++ b/libs/declarations/src/hemlockhoist/declarations/stored.py
@@ -12,9 +12,9 @@
 VERSION_KEY = "version"
 # Enough to settle a lost answer long after, few enough for a row that is read often;
 # what is older stands in version control.
-HISTORY_KEPT = 200
-LINES_KEPT = 8
-LINE_CHARS = 240
+MAX_HISTORY = 200
+MAX_CHANGE_LINES = 8
+MAX_LINE_CHARS = 240
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
@@ -29,7 +29,7 @@
         When a host accepted it.
     changes : tuple of str
         One line for each difference, the reasons of exceptions among them; cut to
-        ``LINES_KEPT``.
+        ``MAX_CHANGE_LINES``.
     """
 
     version: int
@@ -52,15 +52,15 @@
     declarations: Declarations = Declarations()
     history: tuple[HistoryEntry, ...] = ()
 
-    def entry_of(self, change_id):
+    def entry_for_change(self, change_id):
         """Return the history's entry of a change, or None."""
         return next((e for e in self.history if e.change_id == change_id), None)
 
-    def entry_at(self, version):
+    def entry_for_version(self, version):
         """Return the entry of the change that made a version, or None."""
         return next((e for e in self.history if e.version == version), None)
 
-    def changed(self, declarations, change_id, author, unix_ms):
+    def with_change(self, declarations, change_id, author, unix_ms):
         """Return the row's next content.
 
         Parameters
@@ -79,13 +79,13 @@
             unix_ms=unix_ms,
             changes=_lines(self.declarations, following),
         )
-        history = (entry, *self.history)[:HISTORY_KEPT]
+        history = (entry, *self.history)[:MAX_HISTORY]
         return StoredDeclarations(declarations=following, history=history)
 
 
 def _lines(old, new):
-    lines = tuple(str(change)[:LINE_CHARS] for change in diff(old, new))
-    if len(lines) <= LINES_KEPT:
+    lines = tuple(str(change)[:MAX_LINE_CHARS] for change in diff(old, new))
+    if len(lines) <= MAX_CHANGE_LINES:
         return lines
-    more = len(lines) - LINES_KEPT + 1
-    return (*lines[: LINES_KEPT - 1], f"and {more} more")
+    more = len(lines) - MAX_CHANGE_LINES + 1
+    return (*lines[: MAX_CHANGE_LINES - 1], f"and {more} more")
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_sectioning.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_sectioning.py
@@ -13,8 +13,8 @@
     decode_declarations,
     encode_declarations,
     from_sections,
-    lacking_sections,
     merge_sections,
+    missing_sections,
     sections,
 )
 from hemlockhoist.declarations.tests.samples import any_declarations, example, fleet
@@ -95,7 +95,7 @@
     def test_a_new_host_gets_everything(self):
         """A holder of nothing lacks every section."""
         whole = sections(example())
-        self.assertEqual(lacking_sections({}, whole).changed, whole.items)
+        self.assertEqual(missing_sections({}, whole).changed, whole.items)
 
     def test_an_old_delta_does_not_revert(self):
         """
--- a/libs/entry/src/hemlockhoist/entry/admission.py
+++ b/libs/entry/src/hemlockhoist/entry/admission.py
@@ -68,12 +68,12 @@
     @property
     def units(self):
         """What it counts as against its customer's allowance."""
-        allowance = self.customer.allowance if self.customer else None
-        if allowance is None:
+        quota = self.customer.quota if self.customer else None
+        if quota is None:
             return 0
-        if allowance.counts_tokens and self.call.states_tokens:
+        if quota.counts_tokens and self.call.states_tokens:
             return self.call.prompt_tokens + self.call.max_output_tokens
-        return allowance.plain_request_units
+        return quota.default_request_units
 
     @property
     def output_tokens(self):
@@ -134,15 +134,15 @@
         if route is None:
             self._refuse_for_good("no route", ResultCode.NOT_FOUND)
         customer = None
-        if table.asks_for_keys and not route.is_open:
+        if table.requires_keys and not route.allows_anonymous:
             customer = self.customer_of(call)
         patience_ms = call.patience_ms
         if patience_ms is None:
             patience_ms = DEFAULT_PATIENCE_MS
         deadline_ms = arrived_ms + min(patience_ms, route.timeout_ms)
         leaves_ms = deadline_ms
-        if route.caller_patience_ms:
-            leaves_ms = min(leaves_ms, arrived_ms + route.caller_patience_ms)
+        if route.caller_wait_limit_ms:
+            leaves_ms = min(leaves_ms, arrived_ms + route.caller_wait_limit_ms)
         return AdmittedCall(
             call=call,
             route=route,
--- a/libs/entry/src/hemlockhoist/entry/attempt.py
+++ b/libs/entry/src/hemlockhoist/entry/attempt.py
@@ -59,7 +59,7 @@
 
     def outcome(self, now_ms):
         """Return the outcome, for the home of the pool."""
-        sent_ms = self.guard.opened_ms
+        sent_ms = self.guard.dispatched_ms
         if sent_ms is None or self.is_misdirected:
             kind = OutcomeKind.NOT_SENT
             if not self.may_connect:
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -276,8 +276,8 @@
             self._failed_upstreams.append(attempt.hold.upstream_id)
 
     def _note_sent(self, attempt):
-        self._arrivals += attempt.guard.opened
-        if attempt.is_misdirected or not attempt.guard.opened:
+        self._arrivals += attempt.guard.dispatched
+        if attempt.is_misdirected or not attempt.guard.dispatched:
             self._unsent += 1
         else:
             self._sends += 1
@@ -346,7 +346,7 @@
         if head.is_not_run:
             attempt.reason = attempt.reason or "it did not run the request"
             return None, AttemptEnd.NOT_RUN
-        if not answer.is_for(self._admitted.call.request_id):
+        if not answer.matches_request(self._admitted.call.request_id):
             attempt.reason = "the answer is another request's"
             return None, AttemptEnd.BROKEN
         if head.status < 300 and not head.has_receipt:
@@ -373,7 +373,7 @@
 
         def on_first():
             attempt.first_ms = self._context.clock.now_ms()
-            first_ms = attempt.first_ms - attempt.guard.opened_ms
+            first_ms = attempt.first_ms - attempt.guard.dispatched_ms
             grants.report_first_token(attempt.hold, first_ms)
 
         before = self._relay.events
@@ -459,7 +459,7 @@
             version=hold.version,
             home=hold.home,
             outcome=outcome.kind.value,
-            sent=attempt.guard.opened,
+            sent=attempt.guard.dispatched,
             waited_ms=attempt.waited_ms,
             first_ms=outcome.first_token_ms,
             total_ms=outcome.total_ms,
--- a/libs/entry/src/hemlockhoist/entry/knowledge.py
+++ b/libs/entry/src/hemlockhoist/entry/knowledge.py
@@ -155,9 +155,9 @@
         if not self.is_complete:
             raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_MS)
 
-    def take_config_rows(self, reading, is_whole):
+    def take_config_rows(self, reading, is_snapshot):
         """Take rows of the table that holds the routes and the operators' orders."""
-        self._take_domain_orders(reading, is_whole)
+        self._take_domain_orders(reading, is_snapshot)
         for row in reading.rows:
             if row.value is None:
                 continue
@@ -168,10 +168,10 @@
             if order is not None:
                 self._on_order(order)
 
-    def _take_domain_orders(self, reading, is_whole):
+    def _take_domain_orders(self, reading, is_snapshot):
         found = (self._platform.decode_domain_order(row) for row in reading.rows)
         orders = [order for order in found if order is not None]
-        if is_whole:
+        if is_snapshot:
             changed = self.evacuated.replace(orders, reading.version)
         else:
             taken = [order for order in orders if self.evacuated.apply(order)]
@@ -227,11 +227,11 @@
         else:
             self.freshness.record_relayed(sent_ms, store_ms, reading.clock_ms)
 
-    def take_upstream_rows(self, reading, is_whole):
+    def take_upstream_rows(self, reading, is_snapshot):
         """Take rows of the list of upstreams."""
         now_ms = self._clock.now_ms()
         self.has_upstreams = True
-        if is_whole:
+        if is_snapshot:
             decode = self._platform.decode_upstream
             found = [decode(row, now_ms) for row in reading.rows if row.value]
             self.listing.replace([item for item in found if item], now_ms)
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -57,7 +57,7 @@
 from hemlockhoist.host.identity import HostIdentity, new_incarnation
 from hemlockhoist.host.inbound import Inbound
 from hemlockhoist.peers import PeerBus
-from hemlockhoist.store import PATIENT, TableWatch, TypedRows
+from hemlockhoist.store import SLOW_RETRY, TableWatch, TypedRows
 from hemlockhoist.upstreams import DispatchRegister, UpstreamClient
 
 _log = get_logger("entry.process")
@@ -249,7 +249,7 @@
             platform.upstream_table,
             UPSTREAMS_WAIT_MS,
             knowledge.take_upstream_rows,
-            pace=PATIENT,
+            retry_delay=SLOW_RETRY,
         )
         self._roster = Roster(context)
         self._watches = (upstreams, self._roster)
--- a/libs/entry/src/hemlockhoist/entry/stream.py
+++ b/libs/entry/src/hemlockhoist/entry/stream.py
@@ -32,7 +32,7 @@
 
     Parameters
     ==========
-    answer : UpstreamAnswer
+    answer : UpstreamResponse
     limit_ms : int or None
         None watches nothing.
     clock : Clock
@@ -164,7 +164,7 @@
 
         Parameters
         ==========
-        answer : UpstreamAnswer
+        answer : UpstreamResponse
         head : AnswerHead
             Of this upstream; the caller gets that of the first one.
         on_first : callable
--- a/libs/entry/src/hemlockhoist/entry/surface.py
+++ b/libs/entry/src/hemlockhoist/entry/surface.py
@@ -291,7 +291,7 @@
         if context.leaving or not context.knowledge.is_complete:
             return False
         routes = context.knowledge.routes
-        return not routes.asks_for_keys or context.knowledge.is_fresh()
+        return not routes.requires_keys or context.knowledge.is_fresh()
 
     def _directory(self, question):
         context = self._context
--- a/libs/entry/src/hemlockhoist/entry/tests/builders.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/builders.py
@@ -3,10 +3,10 @@
 from hemlockhoist.base import Clock, InvariantLog, SuspendAwareClock
 from hemlockhoist.decisions.entry import DomainOrder
 from hemlockhoist.declarations import (
-    Allowance,
     CallKind,
     KeyedCustomer,
     PoolShare,
+    Quota,
     Route,
     RoutedPool,
     RouteTable,
@@ -35,10 +35,10 @@
 
 def customer(name="aulas", key=KEY, units_per_s=0, **fields):
     """Return a customer, with an allowance where ``units_per_s`` is given."""
-    allowance = None
+    quota = None
     if units_per_s:
-        allowance = Allowance(units_per_s=units_per_s, burst_units=units_per_s)
-    return KeyedCustomer(name=name, keys=(key,), allowance=allowance, **fields)
+        quota = Quota(units_per_s=units_per_s, burst_units=units_per_s)
+    return KeyedCustomer(name=name, keys=(key,), quota=quota, **fields)
 
 
 def table(version=1, routes=None, customers=None):
--- a/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
@@ -61,7 +61,7 @@
             self.assertIs(code, ResultCode.CONFIGURATION_STALE)
 
     async def test_open_route_is_served_on_old_routes(self):
-        self.host.know_all(table(routes=[route(is_open=True)]))
+        self.host.know_all(table(routes=[route(allows_anonymous=True)]))
         self.host.boot_ms += 60_000
         admitted = self.admission.admit(call(key=""), 0)
         self.assertIsNone(admitted.customer)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
@@ -107,7 +107,7 @@
     def proof_age_ms(self):
         return self.freshness.age_ms(self.boot_clock.now_ms())
 
-    def take_rows(self, reading, is_whole):
+    def take_rows(self, reading, is_snapshot):
         self.rows.update({row.key: row.value for row in reading.rows})
 
     def take_reading(self, reading):
--- a/libs/host/src/hemlockhoist/host/chat.py
+++ b/libs/host/src/hemlockhoist/host/chat.py
@@ -257,7 +257,7 @@
             self._fill(report)
 
     def _report_first(self, hold, report):
-        first_token_ms = self.relay.first_ms - report.guard.opened_ms
+        first_token_ms = self.relay.first_ms - report.guard.dispatched_ms
         self._context.grants.report_first_token(hold, first_token_ms)
 
     async def _exchange(self, hold, report):
--- a/libs/host/src/hemlockhoist/host/dispatcher.py
+++ b/libs/host/src/hemlockhoist/host/dispatcher.py
@@ -103,7 +103,7 @@
 
     def outcome(self, now_ms):
         """Return the outcome at the end of the dispatch."""
-        sent_ms = self.guard.opened_ms
+        sent_ms = self.guard.dispatched_ms
         if sent_ms is None:
             return Outcome(kind=self.kind)
         first_ms = -1 if self.first_ms is None else self.first_ms - sent_ms
@@ -147,7 +147,7 @@
         self._budgets = {}
         self.register = DispatchRegister(invariants)
 
-    async def run(self, work, consume, on_open=None):
+    async def run(self, work, consume, on_dispatch=None):
         """Dispatch a request, once, and return what ``consume`` returns.
 
         Parameters
@@ -156,7 +156,7 @@
         consume : coroutine function
             ``consume(hold, report)`` sends the request through ``report.guard``,
             reads the answer and sets ``report.kind``.
-        on_open : callable, optional
+        on_dispatch : callable, optional
             Called just before the first byte leaves.
 
         Raises
@@ -174,7 +174,7 @@
             attempt += 1
             hold = await self._acquire(work)
             try:
-                return await self._attempt(work, hold, consume, on_open)
+                return await self._attempt(work, hold, consume, on_dispatch)
             except Refused as error:
                 kind = _KIND_OF_CODE.get(error.code, OutcomeKind.FAILED)
                 if not budget.take(kind, attempt, self._clock.now_ms()):
@@ -194,9 +194,9 @@
         self._metrics.time(QUEUE_WAIT_MS, waited_ms, work.tier)
         return hold
 
-    async def _attempt(self, work, hold, consume, on_open):
+    async def _attempt(self, work, hold, consume, on_dispatch):
         guard = SendGuard(
-            self._clock, hold.expires_ms, self.register, work.request_id, on_open
+            self._clock, hold.expires_ms, self.register, work.request_id, on_dispatch
         )
         report = DispatchReport(guard)
         self._guards[hold.grant_id] = (hold, guard)
@@ -217,7 +217,7 @@
 
     def _count(self, work, report):
         """Count goodput: a whole answer whose first token came within the target."""
-        if report.guard.opened:
+        if report.guard.dispatched:
             self._metrics.count(PROMPT_TOKENS, work.pool, work.prompt_tokens)
         if report.kind is not OutcomeKind.SUCCESS:
             self._count_wasted(work, report)
--- a/libs/host/src/hemlockhoist/host/ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/ledger_service.py
@@ -159,7 +159,7 @@
         ==========
         attempt : Attempt
         dispatch : callable
-            ``dispatch(on_open)`` returns an awaitable of the ``StoredAnswer``.
+            ``dispatch(on_dispatch)`` returns an awaitable of the ``StoredAnswer``.
 
         Notes
         =====
@@ -170,9 +170,9 @@
         return await asyncio.shield(task)
 
     async def _run(self, attempt, dispatch):
-        on_open = functools.partial(self._dispatching, attempt)
+        on_dispatch = functools.partial(self._dispatching, attempt)
         try:
-            answer = await dispatch(on_open)
+            answer = await dispatch(on_dispatch)
         except (Refused, BadRequest):
             self._ledger.mark_not_run(attempt, self._clock.now_ms())
             raise
--- a/libs/host/src/hemlockhoist/host/operator_declarations.py
+++ b/libs/host/src/hemlockhoist/host/operator_declarations.py
@@ -98,12 +98,12 @@
         # which every stream of this host would stand still.
         await asyncio.to_thread(check_declarations, change.declarations)
         stored, row_version = await self._row.read()
-        entry = stored.entry_of(change.change_id)
+        entry = stored.entry_for_change(change.change_id)
         if entry is not None:
             return _result(entry, repeated=True)
         if stored.declarations.version != change.read_version:
             raise _conflict(stored, change)
-        following = stored.changed(
+        following = stored.with_change(
             change.declarations, change.change_id, change.author, self._clock.unix_ms()
         )
         try:
@@ -123,7 +123,7 @@
         every change by its id, also when others have been accepted on top of it.
         """
         stored, _ = await self._row.read()
-        entry = stored.entry_of(change.change_id)
+        entry = stored.entry_for_change(change.change_id)
         if entry is not None:
             return _result(entry, repeated=True)
         if stored.declarations.version != change.read_version:
@@ -145,7 +145,7 @@
     if change.read_version > current:
         message = f"version {change.read_version} was never accepted; {current} is"
         return DeclarationError(message, code=ResultCode.DECLARATION_CONFLICT)
-    entry = stored.entry_at(change.read_version + 1)
+    entry = stored.entry_for_version(change.read_version + 1)
     who = f"by {entry.author}" if entry else "long ago"
     what = "; ".join(entry.changes) if entry else "its entry is no longer kept"
     message = (
--- a/libs/host/src/hemlockhoist/host/relay.py
+++ b/libs/host/src/hemlockhoist/host/relay.py
@@ -13,7 +13,7 @@
 from hemlockhoist.upstreams import (
     EventSplitter,
     OffsetChecker,
-    StreamGapAfter,
+    StreamGapWithEvents,
     UpstreamCall,
 )
 
@@ -84,7 +84,7 @@
         self._sink = sink
         self._handover = handover
         self._answer = None
-        name = client.answer_names.name_of(address, request_id)
+        name = client.response_ids.checker_for(address, request_id)
         self._checker = OffsetChecker(offset, name)
         self._start = offset
         self._written = 0
@@ -104,7 +104,7 @@
 
         Parameters
         ==========
-        answer : UpstreamAnswer
+        answer : UpstreamResponse
             To the dispatch; None to attach at the offset first.
 
         Raises
@@ -140,11 +140,11 @@
         self._answer = answer
         try:
             async for chunk in answer.chunks():
-                await self._pass_on(self._checker.take(splitter.feed(chunk)))
+                await self._pass_on(self._checker.check(splitter.feed(chunk)))
                 if self._checker.done:
                     return
-        except StreamGapAfter as gap:
-            await self._pass_on(gap.fresh)
+        except StreamGapWithEvents as gap:
+            await self._pass_on(gap.new_events)
             _log.warning("stream_gap", request=self.request_id, expected=gap.expected)
         except DispatchError as error:
             _log.warning("stream_broke", request=self.request_id, reason=error.message)
@@ -209,6 +209,6 @@
     DispatchError
         ``ANSWER_MISMATCH``: the caller must not read somebody else's answer.
     """
-    if not answer.is_for(request_id):
+    if not answer.matches_request(request_id):
         text = f"the upstream answered another request than {request_id}"
         raise DispatchError(text, ResultCode.ANSWER_MISMATCH)
--- a/libs/host/src/hemlockhoist/host/section_content.py
+++ b/libs/host/src/hemlockhoist/host/section_content.py
@@ -9,8 +9,8 @@
 from hemlockhoist.declarations import (
     SectionDelta,
     SectionReader,
-    lacking_sections,
     merge_sections,
+    missing_sections,
     sections,
 )
 from hemlockhoist.messages.configuration import ConfigurationContent
@@ -43,7 +43,7 @@
         manifest = self._manifests.get(have_version)
         if manifest is None:
             return super().pack(declarations, have_version, address)
-        delta = lacking_sections(manifest, whole)
+        delta = missing_sections(manifest, whole)
         return ConfigurationContent(
             address=address,
             version=declarations.version,
--- a/libs/host/src/hemlockhoist/host/services.py
+++ b/libs/host/src/hemlockhoist/host/services.py
@@ -115,8 +115,8 @@
             return claim.answer
         return await ledger.run(
             claim.attempt,
-            lambda on_open: self._context.dispatcher.run(
-                work, exchange.consume, on_open
+            lambda on_dispatch: self._context.dispatcher.run(
+                work, exchange.consume, on_dispatch
             ),
         )
 
--- a/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
@@ -44,10 +44,10 @@
         if claim.answer is not None:
             return claim.answer
 
-        async def dispatch(on_open):
+        async def dispatch(on_dispatch):
             if isinstance(outcome, Refused):
                 raise outcome
-            on_open()
+            on_dispatch()
             self.runs += 1
             if isinstance(outcome, Exception):
                 raise outcome
--- a/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
@@ -11,7 +11,7 @@
     StoreConflict,
 )
 from hemlockhoist.declarations import DeclarationFaults
-from hemlockhoist.declarations.stored import HISTORY_KEPT, VERSION_KEY
+from hemlockhoist.declarations.stored import MAX_HISTORY, VERSION_KEY
 from hemlockhoist.declarations.tests.samples import example
 from hemlockhoist.host.declarations_row import DeclarationsRow
 from hemlockhoist.host.operator_declarations import OperatorDeclarations
@@ -201,10 +201,10 @@
     async def test_history_is_bounded(self):
         """The row keeps the newest changes only."""
         stored = await self.operator.current()
-        for number in range(HISTORY_KEPT + 5):
-            stored = stored.changed(example(), f"change-{number}", "one", 0)
-        self.assertEqual(len(stored.history), HISTORY_KEPT)
-        self.assertEqual(stored.declarations.version, HISTORY_KEPT + 5)
+        for number in range(MAX_HISTORY + 5):
+            stored = stored.with_change(example(), f"change-{number}", "one", 0)
+        self.assertEqual(len(stored.history), MAX_HISTORY)
+        self.assertEqual(stored.declarations.version, MAX_HISTORY + 5)
 
 
 class RowTests(unittest.IsolatedAsyncioTestCase):
--- a/libs/store/src/hemlockhoist/store/__init__.py
+++ b/libs/store/src/hemlockhoist/store/__init__.py
@@ -19,14 +19,14 @@
 )
 from hemlockhoist.store.transport import PlatformTransport
 from hemlockhoist.store.typed_rows import TypedRows
-from hemlockhoist.store.watch import PATIENT, RetryPace, TableWatch
+from hemlockhoist.store.watch import SLOW_RETRY, RetryDelay, TableWatch
 
 __all__ = [
-    "PATIENT",
+    "SLOW_RETRY",
     "HistoryGone",
     "Reading",
     "RowChange",
-    "RetryPace",
+    "RetryDelay",
     "RowStore",
     "StoreRow",
     "TableWatch",
--- a/libs/store/src/hemlockhoist/store/config.py
+++ b/libs/store/src/hemlockhoist/store/config.py
@@ -19,7 +19,7 @@
         Upper bound of the random pause before the first retry, and of any.
     retry_permille : int
         Retries allowed for each thousand calls, over all calls of the process.
-    max_saved_retries : int
+    retry_burst : int
         Retries that a quiet time may save up.
     max_connections : int
     """
@@ -31,5 +31,5 @@
     backoff_base_ms: int = 50
     backoff_max_ms: int = 1_000
     retry_permille: int = 200
-    max_saved_retries: int = 10
+    retry_burst: int = 10
     max_connections: int = 16
--- a/libs/store/src/hemlockhoist/store/retries.py
+++ b/libs/store/src/hemlockhoist/store/retries.py
@@ -16,14 +16,14 @@
     Parameters
     ==========
     permille : int
-    max_saved : int
+    burst : int
     """
 
     __slots__ = ("_max_saved", "_permille", "_saved")
 
-    def __init__(self, permille, max_saved):
+    def __init__(self, permille, burst):
         self._permille = permille
-        self._max_saved = max_saved * _PERMILLE
+        self._max_saved = burst * _PERMILLE
         self._saved = self._max_saved
 
     @classmethod
@@ -34,7 +34,7 @@
         ==========
         config : PlatformConfig
         """
-        return cls(config.retry_permille, config.max_saved_retries)
+        return cls(config.retry_permille, config.retry_burst)
 
     def on_call(self):
         """Count a call, which earns a part of a retry."""
--- a/libs/store/src/hemlockhoist/store/tables.py
+++ b/libs/store/src/hemlockhoist/store/tables.py
@@ -196,7 +196,7 @@
                     return _next_versions(puts)
             except PlatformError as error:
                 failure = error
-            if not await self._transport.may_retry(attempt):
+            if not await self._transport.wait_before_retry(attempt):
                 raise lost or failure
             attempt += 1
 
--- a/libs/store/src/hemlockhoist/store/tests/test_retries.py
+++ b/libs/store/src/hemlockhoist/store/tests/test_retries.py
@@ -10,7 +10,7 @@
         The store is down for a thousand calls, each of which would be tried four
         times. Beyond the saved retries, the budget lets a fifth through again.
         """
-        budget = RetryBudget(permille=200, max_saved=10)
+        budget = RetryBudget(permille=200, burst=10)
         retries = 0
         for _ in range(1_000):
             budget.on_call()
--- a/libs/store/src/hemlockhoist/store/tests/test_watch.py
+++ b/libs/store/src/hemlockhoist/store/tests/test_watch.py
@@ -2,7 +2,7 @@
 
 from hemlockhoist.base import PlatformError
 from hemlockhoist.base.testing import PausedTestCase
-from hemlockhoist.store import PATIENT, HistoryGone, Reading, StoreRow, TableWatch
+from hemlockhoist.store import SLOW_RETRY, HistoryGone, Reading, StoreRow, TableWatch
 
 
 class FakeStore:
@@ -47,7 +47,7 @@
             self.store,
             "op",
             1_000,
-            lambda reading, is_whole: self.taken.append((reading.rows, is_whole)),
+            lambda reading, is_snapshot: self.taken.append((reading.rows, is_snapshot)),
             self.readings.append,
             **options,
         )
@@ -58,7 +58,7 @@
         await self.start()
         await asyncio.sleep(2.5)
         self.assertEqual(self.store.calls, ["table", "changes", "changes", "changes"])
-        self.assertEqual([is_whole for _, is_whole in self.taken], [True])
+        self.assertEqual([is_snapshot for _, is_snapshot in self.taken], [True])
         self.assertEqual(len(self.readings), 3)
 
     async def test_lost_history_is_read_anew(self):
@@ -70,7 +70,7 @@
         await self.start()
         await asyncio.sleep(0.5)
         self.assertEqual(self.store.calls[:3], ["table", "changes", "table"])
-        self.assertEqual([is_whole for _, is_whole in self.taken], [True, True])
+        self.assertEqual([is_snapshot for _, is_snapshot in self.taken], [True, True])
 
     async def test_outage_is_retried_at_a_bounded_rate(self):
         self.store.script = [PlatformError("down")] * 1_000
@@ -82,7 +82,7 @@
     async def test_patient_watch_is_woken_when_the_store_is_back(self):
         """Replicas that left during an outage get work for two seconds after it."""
         self.store.script = [PlatformError("down")] * 99
-        await self.start(pace=PATIENT)
+        await self.start(retry_delay=SLOW_RETRY)
         await asyncio.sleep(3)
         self.store.script = []
         calls = len(self.store.calls)
@@ -101,7 +101,7 @@
         """One row that can not be taken stops a host from ever hearing of another."""
         self.store.rows = {"config": b"x"}
 
-        def fail(rows, is_whole):
+        def fail(rows, is_snapshot):
             raise ValueError("a fault")
 
         watch = TableWatch(self.store, "op", 1_000, fail)
--- a/libs/store/src/hemlockhoist/store/transport.py
+++ b/libs/store/src/hemlockhoist/store/transport.py
@@ -22,7 +22,7 @@
 _FIRST_SERVER_ERROR_STATUS = 500
 
 
-class Fetched(msgspec.Struct, frozen=True):
+class FetchResult(msgspec.Struct, frozen=True):
     """What a read found.
 
     Parameters
@@ -132,7 +132,7 @@
             try:
                 return await self._fetch_once(path, etag)
             except PlatformError:
-                if not await self.may_retry(attempt):
+                if not await self.wait_before_retry(attempt):
                     raise
             attempt += 1
 
@@ -179,7 +179,7 @@
         """Count a call of several attempts, which earns a part of a retry."""
         self._budget.on_call()
 
-    async def may_retry(self, attempt):
+    async def wait_before_retry(self, attempt):
         """Pause before another attempt; return False when there may be none.
 
         Parameters
@@ -201,12 +201,12 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PlatformError(f"GET {path} failed: {error!r}") from error
         if response.status == _NOT_FOUND:
-            return Fetched(None)
+            return FetchResult(None)
         if response.status == _NOT_MODIFIED:
-            return Fetched(None, etag, changed=False)
+            return FetchResult(None, etag, changed=False)
         if response.status >= _FIRST_ERROR_STATUS:
             raise PlatformError(f"GET {path} gave status {response.status}")
-        return Fetched(answer, response.headers.get("ETag", ""))
+        return FetchResult(answer, response.headers.get("ETag", ""))
 
     def _check_write(self, path, status, answer):
         if status < _FIRST_ERROR_STATUS:
--- a/libs/store/src/hemlockhoist/store/watch.py
+++ b/libs/store/src/hemlockhoist/store/watch.py
@@ -13,7 +13,7 @@
 _log = get_logger("store.watch")
 
 
-class RetryPace(msgspec.Struct, frozen=True, kw_only=True):
+class RetryDelay(msgspec.Struct, frozen=True, kw_only=True):
     """Bounds of the random pause between attempts while the store fails."""
 
     min_ms: int
@@ -22,9 +22,9 @@
 
 # For the table that proves freshness: a single lost answer must not cost the proof. The
 # bound keeps some hundred hosts from spending the store's rate on an outage.
-SOON = RetryPace(min_ms=60, max_ms=400)
+FAST_RETRY = RetryDelay(min_ms=60, max_ms=400)
 # For tables whose watch is told when the store is back: each call of an outage costs.
-PATIENT = RetryPace(min_ms=300, max_ms=2_000)
+SLOW_RETRY = RetryDelay(min_ms=300, max_ms=2_000)
 
 
 class TableWatch:
@@ -38,12 +38,12 @@
         The longest that a call waits for changes; also the longest time between two
         proofs that nothing has changed.
     on_rows : callable
-        ``on_rows(reading, is_whole)``; with ``is_whole`` its rows are all there are.
+        ``on_rows(reading, is_snapshot)``; with ``is_snapshot`` its rows are all there are.
     on_reading : callable, optional
         ``on_reading(reading)`` after each successful call.
     on_failure : callable, optional
         ``on_failure()`` after each failed one.
-    pace : RetryPace, optional
+    retry_delay : RetryPace, optional
     rng : random.Random, optional
         Of the pauses between attempts.
     """
@@ -54,7 +54,7 @@
         "_on_failure",
         "_on_reading",
         "_on_rows",
-        "_pace",
+        "_retry_delay",
         "_store",
         "_table",
         "_task",
@@ -71,7 +71,7 @@
         on_rows,
         on_reading=lambda reading: None,
         on_failure=lambda: None,
-        pace=SOON,
+        retry_delay=FAST_RETRY,
         rng=None,
     ):
         self._store = store
@@ -80,8 +80,10 @@
         self._on_rows = on_rows
         self._on_reading = on_reading
         self._on_failure = on_failure
-        self._pace = pace
-        self._backoff = Backoff(pace.min_ms, pace.max_ms, rng or random.Random())
+        self._retry_delay = retry_delay
+        self._backoff = Backoff(
+            retry_delay.min_ms, retry_delay.max_ms, rng or random.Random()
+        )
         self._failures = 0
         self._version = None
         self._task = None
@@ -146,10 +148,12 @@
         if self._failures == 1:
             _log.warning("store_lost", table=self._table, reason=error.message)
         self._on_failure()
-        delay_ms = self._pace.min_ms + self._backoff.delay_ms(self._failures)
+        delay_ms = self._retry_delay.min_ms + self._backoff.delay_ms(self._failures)
         # Whoever hears that the store is back ends the pause.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(min(self._pace.max_ms, delay_ms) / MS_PER_S):
+            async with asyncio.timeout(
+                min(self._retry_delay.max_ms, delay_ms) / MS_PER_S
+            ):
                 await self._wake.wait()
         self._wake.clear()
 
@@ -157,12 +161,12 @@
         if self._failures:
             _log.info("store_regained", table=self._table, failed_calls=self._failures)
         self._failures = 0
-        is_whole = self._version is None
+        is_snapshot = self._version is None
         # A handler that fails on a row must not end the watch: the host would go on
         # for good with what it knew.
         try:
-            if reading.rows or is_whole:
-                self._on_rows(reading, is_whole)
+            if reading.rows or is_snapshot:
+                self._on_rows(reading, is_snapshot)
             self._note_version(reading)
             self._on_reading(reading)
         except Exception:
--- a/libs/upstreams/src/hemlockhoist/upstreams/__init__.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/__init__.py
@@ -3,43 +3,43 @@
 from hemlockhoist.upstreams.client import (
     REQUEST_ID_HEADER,
     VERSION_HEADER,
-    UpstreamAnswer,
     UpstreamCall,
     UpstreamClient,
+    UpstreamResponse,
     cancel_stream,
 )
 from hemlockhoist.upstreams.connections import (
     DirectConnector,
-    ExactEndConnector,
-    guard_socket,
+    ResetDetectingConnector,
+    enable_tcp_keepalive,
 )
 from hemlockhoist.upstreams.events import (
     EventSplitter,
     OffsetChecker,
     StreamEvent,
     StreamGap,
-    StreamGapAfter,
+    StreamGapWithEvents,
 )
 from hemlockhoist.upstreams.guard import DispatchRegister, SendGuard
-from hemlockhoist.upstreams.names import AnswerName, AnswerNames
+from hemlockhoist.upstreams.response_ids import ResponseIdChecker, ResponseIdTracker
 
 __all__ = [
-    "ExactEndConnector",
+    "ResetDetectingConnector",
     "REQUEST_ID_HEADER",
     "VERSION_HEADER",
-    "AnswerName",
-    "AnswerNames",
+    "ResponseIdChecker",
+    "ResponseIdTracker",
     "DispatchRegister",
     "EventSplitter",
     "OffsetChecker",
     "SendGuard",
     "StreamEvent",
     "StreamGap",
-    "StreamGapAfter",
-    "UpstreamAnswer",
+    "StreamGapWithEvents",
+    "UpstreamResponse",
     "UpstreamCall",
     "UpstreamClient",
     "cancel_stream",
-    "guard_socket",
+    "enable_tcp_keepalive",
     "DirectConnector",
 ]
--- a/libs/upstreams/src/hemlockhoist/upstreams/client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/client.py
@@ -14,9 +14,9 @@
     Refused,
     ResultCode,
 )
-from hemlockhoist.upstreams.connections import DirectConnector, ExactEndConnector
+from hemlockhoist.upstreams.connections import DirectConnector, ResetDetectingConnector
 from hemlockhoist.upstreams.guard import RepeatedDispatch
-from hemlockhoist.upstreams.names import AnswerNames
+from hemlockhoist.upstreams.response_ids import ResponseIdTracker
 
 REQUEST_ID_HEADER = "X-Request-Id"
 VERSION_HEADER = "X-Upstream-Version"
@@ -52,7 +52,7 @@
     idle_timeout_ms: int = 30_000
 
 
-class UpstreamAnswer:
+class UpstreamResponse:
     """The answer of an upstream, body still to be read.
 
     Parameters
@@ -83,7 +83,7 @@
         """The version that the upstream says it runs; empty when it says none."""
         return self._response.headers.get(VERSION_HEADER, "")
 
-    def is_for(self, request_id):
+    def matches_request(self, request_id):
         """Return whether the answer says it belongs to another request.
 
         An upstream that echoes no request id is believed: the connection carried
@@ -157,7 +157,7 @@
 
     Attributes
     ==========
-    answer_names : AnswerNames
+    response_ids : ResponseIdTracker
     """
 
     __slots__ = (
@@ -165,7 +165,7 @@
         "_own_session",
         "_request_id_header",
         "_session",
-        "answer_names",
+        "response_ids",
     )
 
     def __init__(
@@ -177,13 +177,13 @@
         self._connect_timeout_ms = connect_timeout_ms
         self._session = None
         self._own_session = None
-        self.answer_names = AnswerNames()
+        self.response_ids = ResponseIdTracker()
 
     async def start(self):
         """Open the session."""
         trace = aiohttp.TraceConfig()
-        trace.on_connection_create_end.append(_open_guard)
-        connector = ExactEndConnector(force_close=True, limit=0)
+        trace.on_connection_create_end.append(_check_guard)
+        connector = ResetDetectingConnector(force_close=True, limit=0)
         self._session = _open_session(connector, [trace])
         # Load reports change nothing and are asked for all the time: they may use a
         # kept connection, and the library may repeat them.
@@ -214,7 +214,7 @@
         """
         response = await self._send(call, guard)
         try:
-            yield UpstreamAnswer(response, self._request_id_header)
+            yield UpstreamResponse(response, self._request_id_header)
         finally:
             response.close()
 
@@ -243,7 +243,7 @@
             raise _classify(guard, error, ResultCode.OUTCOME_UNKNOWN) from error
         except ValueError as error:
             # A header or path that the library will not send.
-            if guard.opened:
+            if guard.dispatched:
                 raise _classify(guard, error, ResultCode.OUTCOME_UNKNOWN) from error
             raise BadRequest(str(error)) from error
 
@@ -261,18 +261,18 @@
             When no whole answer came.
         """
         with _dispatch_errors():
-            response = await self._send(call, _OpenGuard(), self._own_session)
+            response = await self._send(call, _NoGuard(), self._own_session)
         async with response:
-            answer = UpstreamAnswer(response)
+            answer = UpstreamResponse(response)
             return answer.status, await answer.read(MAX_OWN_ANSWER_BYTES)
 
     @contextlib.asynccontextmanager
     async def attach(self, call):
         """Make a request that is no dispatch (resume, cancel, load report)."""
         with _dispatch_errors():
-            response = await self._send(call, _OpenGuard())
+            response = await self._send(call, _NoGuard())
         try:
-            yield UpstreamAnswer(response)
+            yield UpstreamResponse(response)
         finally:
             response.close()
 
@@ -291,31 +291,31 @@
 MAX_OWN_ANSWER_BYTES = 1_048_576
 
 
-class _OpenGuard:
+class _NoGuard:
     """A guard for requests that are no dispatch: it lets all through."""
 
     __slots__ = ()
-    opened = True
+    dispatched = True
 
-    def open(self):
+    def begin_dispatch(self):
         """Do nothing."""
 
 
 def _classify(guard, error, code):
     """Return the error to raise: refused while nothing was sent."""
-    if guard.opened:
+    if guard.dispatched:
         return DispatchError(repr(error), code)
     return Refused(f"no connection: {error!r}", ResultCode.CONNECT_FAILED)
 
 
-async def _open_guard(_session, context, _params):
+async def _check_guard(_session, context, _params):
     """Check the grant on the new connection, before the library writes to it.
 
     aiohttp writes the head in the step that follows without another wait for input
     or output, so nothing can come between the check and the first byte but a stop
     of the whole process.
     """
-    context.trace_request_ctx.open()
+    context.trace_request_ctx.begin_dispatch()
 
 
 async def cancel_stream(client, address, request_id):
--- a/libs/upstreams/src/hemlockhoist/upstreams/connections.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/connections.py
@@ -12,20 +12,20 @@
 # for as long as the kernel repeats what was sent, which is many minutes. With these it
 # ends within about three seconds, sending or idle. Not for connections to upstreams:
 # an answer that a short cut held back still comes, and may be the only one there is.
-UNANSWERED_LIMIT_MS = 3_000
+TCP_USER_TIMEOUT_MS = 3_000
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 
 
-def guard_socket(found):
+def enable_tcp_keepalive(found):
     """Set the options that end a connection whose other end is silent."""
     found.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     found.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     found.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     found.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     found.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNANSWERED_LIMIT_MS)
+    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 class _ExactEndHandler(ResponseHandler):
@@ -73,17 +73,17 @@
     ==========
     protocol : type, optional
         Of the connections.
-    is_guarded : bool, optional
+    tcp_keepalive : bool, optional
         Whether a connection whose other end is silent ends by itself.
     options
         Those of ``aiohttp.BaseConnector``.
     """
 
-    def __init__(self, protocol=ResponseHandler, is_guarded=False, **options):
+    def __init__(self, protocol=ResponseHandler, tcp_keepalive=False, **options):
         super().__init__(**options)
         # The library has no public way to give a protocol of one's own.
         self._factory = functools.partial(protocol, loop=self._loop)
-        self._is_guarded = is_guarded
+        self._is_guarded = tcp_keepalive
 
     async def _create_connection(self, req, traces, timeout):
         try:
@@ -97,11 +97,11 @@
         except OSError as error:
             raise aiohttp.ClientConnectorError(req.connection_key, error) from error
         if self._is_guarded:
-            guard_socket(transport.get_extra_info("socket"))
+            enable_tcp_keepalive(transport.get_extra_info("socket"))
         return protocol
 
 
-class ExactEndConnector(DirectConnector):
+class ResetDetectingConnector(DirectConnector):
     """A connector whose connections report exactly how an answer ended."""
 
     def __init__(self, **options):
--- a/libs/upstreams/src/hemlockhoist/upstreams/events.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/events.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from hemlockhoist.base import DispatchError, ResultCode
-from hemlockhoist.upstreams.names import AnswerNames
+from hemlockhoist.upstreams.response_ids import ResponseIdTracker
 
 # A piece of an answer is a few hundred bytes; a stream that sends this much without
 # an end of event is broken, and must not fill the memory.
@@ -37,7 +37,7 @@
         start += len(_DATA)
         return self.raw[start : self.raw.find(b"\n", start)]
 
-    def answer_id(self):
+    def response_id(self):
         """Return the id of the answer that the piece says it belongs to, or ""."""
         try:
             return _piece_decoder.decode(self.data()).id
@@ -122,7 +122,7 @@
     ==========
     expected : int
         Offset of the first piece to pass on.
-    name : AnswerName, optional
+    name : ResponseIdChecker, optional
         The id that the pieces have to carry.
     """
 
@@ -131,9 +131,9 @@
     def __init__(self, expected=0, name=None):
         self.expected = expected
         self.done = False
-        self._name = name or AnswerNames().name_of("", "")
+        self._name = name or ResponseIdTracker().checker_for("", "")
 
-    def take(self, events):
+    def check(self, events):
         """Return the events to pass on.
 
         Raises
@@ -141,25 +141,25 @@
         StreamGap
             With nothing of ``events`` after the gap taken in.
         """
-        fresh = []
+        new_events = []
         for event in events:
             if event.done:
                 self.done = True
-                fresh.append(event)
+                new_events.append(event)
                 break
             if event.offset < self.expected:
                 continue
-            crossed = not self._name.accepts(event.answer_id())
+            crossed = not self._name.accepts(event.response_id())
             if event.offset > self.expected or crossed:
-                raise StreamGapAfter(fresh, self.expected, event.offset)
+                raise StreamGapWithEvents(new_events, self.expected, event.offset)
             self.expected += 1
-            fresh.append(event)
-        return fresh
+            new_events.append(event)
+        return new_events
 
 
-class StreamGapAfter(StreamGap):
+class StreamGapWithEvents(StreamGap):
     """A gap, with the good events before it."""
 
-    def __init__(self, fresh, expected, got):
+    def __init__(self, new_events, expected, got):
         super().__init__(expected, got)
-        self.fresh = fresh
+        self.new_events = new_events
--- a/libs/upstreams/src/hemlockhoist/upstreams/guard.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/guard.py
@@ -62,7 +62,7 @@
       (aiohttp does for GET and some others): the second pass finds the guard used;
     * an error of this program dispatches twice: the same.
 
-    Until ``open`` has returned nothing has been sent, so "not run" is true; from then
+    Until ``begin_dispatch`` has returned nothing has been sent, so "not run" is true; from then
     on it may never be said.
 
     Parameters
@@ -72,39 +72,39 @@
         On that clock.
     register : DispatchRegister
     request_id : str
-    on_open : callable, optional
+    on_dispatch : callable, optional
         Called without arguments when the guard opens, before the first byte.
     """
 
     __slots__ = (
         "_clock",
-        "_on_open",
+        "_on_dispatch",
         "_register",
+        "dispatched_ms",
         "expires_ms",
-        "opened_ms",
         "request_id",
         "revoked",
     )
 
-    def __init__(self, clock, expires_ms, register, request_id, on_open=None):
+    def __init__(self, clock, expires_ms, register, request_id, on_dispatch=None):
         self._clock = clock
         self._register = register
-        self._on_open = on_open
+        self._on_dispatch = on_dispatch
         self.expires_ms = expires_ms
         self.request_id = request_id
-        self.opened_ms = None
+        self.dispatched_ms = None
         self.revoked = None
 
     @property
-    def opened(self):
+    def dispatched(self):
         """Whether a byte may have left."""
-        return self.opened_ms is not None
+        return self.dispatched_ms is not None
 
     def revoke(self, reason):
         """Forbid the dispatch; without effect once it has begun."""
         self.revoked = reason
 
-    def open(self):
+    def begin_dispatch(self):
         """Pass the point of no return.
 
         Raises
@@ -115,16 +115,16 @@
             When the guard was open before.
         """
         now_ms = self._clock.now_ms()
-        if self.opened:
+        if self.dispatched:
             raise RepeatedDispatch(self.request_id)
         if self.revoked is not None:
             raise Refused(f"grant revoked: {self.revoked}", ResultCode.GRANT_EXPIRED)
         if now_ms >= self.expires_ms:
             late_ms = now_ms - self.expires_ms
             raise Refused(f"grant lapsed {late_ms} ms ago", ResultCode.GRANT_EXPIRED)
-        if self._on_open is not None:
-            self._on_open()
-        self.opened_ms = now_ms
+        if self._on_dispatch is not None:
+            self._on_dispatch()
+        self.dispatched_ms = now_ms
         self._register.record(self.request_id)
 
 
--- a/libs/upstreams/src/hemlockhoist/upstreams/names.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/response_ids.py
@@ -7,7 +7,7 @@
 MAX_ADDRESSES = 16_384
 
 
-class AnswerNames:
+class ResponseIdTracker:
     """Which upstreams name their answers after the request's id.
 
     Engines do so in ways of their own (``chatcmpl-ID``), or not at all. It is learnt
@@ -28,17 +28,17 @@
         if len(self._addresses) > MAX_ADDRESSES:
             self._addresses.popitem(last=False)
 
-    def name_of(self, address, request_id):
+    def checker_for(self, address, request_id):
         """Return the name to expect on the pieces of one answer."""
-        return AnswerName(self, address, request_id)
+        return ResponseIdChecker(self, address, request_id)
 
 
-class AnswerName:
+class ResponseIdChecker:
     """The id on the pieces of one answer, over all connections it came by.
 
     Parameters
     ==========
-    names : AnswerNames
+    names : ResponseIdTracker
     address, request_id : str
     """
 
@@ -50,19 +50,19 @@
         self._request_id = request_id
         self._first = None
 
-    def accepts(self, answer_id):
+    def accepts(self, response_id):
         """Return whether a piece with this id belongs to the answer.
 
         Parameters
         ==========
-        answer_id : str
+        response_id : str
             Empty where a piece carries none.
         """
         if self._first is not None:
-            return answer_id == self._first
-        if self._request_id and self._request_id in answer_id:
+            return response_id == self._first
+        if self._request_id and self._request_id in response_id:
             self._names.add(self._address)
         elif self._address in self._names:
             return False
-        self._first = answer_id
+        self._first = response_id
         return True
--- a/libs/upstreams/src/hemlockhoist/upstreams/tests/test_client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/tests/test_client.py
@@ -72,7 +72,7 @@
             guard = SendGuard(clock, clock.now_ms() + 50, register, "r1")
             time.sleep(0.1)
             with self.assertRaises(Refused) as caught:
-                guard.open()
+                guard.begin_dispatch()
             return caught.exception.code
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -150,7 +150,7 @@
         with self.assertRaises(Refused) as caught:
             await self._dispatch(address, guard)
         self.assertIs(caught.exception.code, ResultCode.CONNECT_FAILED)
-        self.assertFalse(guard.opened)
+        self.assertFalse(guard.dispatched)
 
     async def test_a_body_cut_short_is_not_taken_for_whole(self):
         """The upstream promised ten bytes and died after two."""
--- a/libs/upstreams/src/hemlockhoist/upstreams/tests/test_events.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/tests/test_events.py
@@ -6,10 +6,10 @@
 
 from hemlockhoist.base import DispatchError
 from hemlockhoist.upstreams import (
-    AnswerNames,
     EventSplitter,
     OffsetChecker,
-    StreamGapAfter,
+    ResponseIdTracker,
+    StreamGapWithEvents,
     events,
 )
 
@@ -17,9 +17,9 @@
 STREAM += b"data: [DONE]\n\n"
 
 
-def _named(answer_id, first, until):
+def _named(response_id, first, until):
     """Return the pieces of an answer that carry its id."""
-    body = f'data: {{"id": "{answer_id}"}}\n\n'
+    body = f'data: {{"id": "{response_id}"}}\n\n'
     text = "".join(f"id: {n}\n{body}" for n in range(first, until))
     return EventSplitter().feed(text.encode())
 
@@ -37,8 +37,8 @@
     def test_repeated_pieces_are_dropped(self):
         """An engine that starts two pieces too early at a resume harms nobody."""
         checker = OffsetChecker(expected=4)
-        fresh = checker.take(EventSplitter().feed(STREAM)[2:6])
-        self.assertEqual([event.offset for event in fresh], [4, 5])
+        new_events = checker.check(EventSplitter().feed(STREAM)[2:6])
+        self.assertEqual([event.offset for event in new_events], [4, 5])
 
     def test_a_skipped_piece_is_seen(self):
         """An engine skips a piece at a resume, and goes on to the end.
@@ -48,9 +48,9 @@
         """
         whole = EventSplitter().feed(STREAM)
         checker = OffsetChecker()
-        with self.assertRaises(StreamGapAfter) as caught:
-            checker.take(whole[:3] + whole[4:])
-        self.assertEqual(len(caught.exception.fresh), 3)
+        with self.assertRaises(StreamGapWithEvents) as caught:
+            checker.check(whole[:3] + whole[4:])
+        self.assertEqual(len(caught.exception.new_events), 3)
         self.assertEqual((checker.expected, checker.done), (3, False))
 
     def test_a_crossed_piece_is_seen(self):
@@ -61,12 +61,12 @@
         there.
         """
         checker = OffsetChecker()
-        with self.assertRaises(StreamGapAfter) as caught:
-            checker.take(_named("own", 0, 3) + _named("other", 3, 6))
-        self.assertEqual(len(caught.exception.fresh), 3)
+        with self.assertRaises(StreamGapWithEvents) as caught:
+            checker.check(_named("own", 0, 3) + _named("other", 3, 6))
+        self.assertEqual(len(caught.exception.new_events), 3)
         self.assertEqual((checker.expected, checker.done), (3, False))
-        fresh = checker.take(_named("own", 2, 6))
-        self.assertEqual([event.offset for event in fresh], [3, 4, 5])
+        new_events = checker.check(_named("own", 2, 6))
+        self.assertEqual([event.offset for event in new_events], [3, 4, 5])
 
     def test_an_answer_crossed_from_its_first_piece_is_seen(self):
         """The head is the caller's own, and all pieces are another answer's.
@@ -75,13 +75,13 @@
         to do so from any answer before. Of an engine that does not, the first piece's
         id has to be believed.
         """
-        names = AnswerNames()
+        names = ResponseIdTracker()
         crossed = _named("chatcmpl-r1", 0, 2)
-        OffsetChecker(0, names.name_of("a:1", "r1")).take(crossed)
-        with self.assertRaises(StreamGapAfter):
-            OffsetChecker(0, names.name_of("a:1", "r2")).take(crossed)
-        fresh = OffsetChecker(0, names.name_of("b:1", "r2")).take(crossed)
-        self.assertEqual(len(fresh), 2)
+        OffsetChecker(0, names.checker_for("a:1", "r1")).check(crossed)
+        with self.assertRaises(StreamGapWithEvents):
+            OffsetChecker(0, names.checker_for("a:1", "r2")).check(crossed)
+        new_events = OffsetChecker(0, names.checker_for("b:1", "r2")).check(crossed)
+        self.assertEqual(len(new_events), 2)
 
     def test_an_endless_event_is_refused(self):
         """An upstream that never ends an event does not fill the memory."""
