--- a/libs/entry/src/hemlockhoist/entry/servers.py
+++ b/libs/entry/src/hemlockhoist/entry/servers.py
@@ -291,7 +291,7 @@
         if context.leaving or not context.store_view.is_complete:
             return False
         routes = context.store_view.routes
-        return not routes.asks_for_keys or context.store_view.is_fresh()
+        return not routes.requires_keys or context.store_view.is_fresh()
 
     def _directory(self, question):
         context = self._context
