--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -1,4 +1,4 @@
-"""The home side of grants: one pool's scheduler between peers' messages."""
+"""The home side of grants: runs one pool's scheduler on behalf of the entry hosts."""
 
 import msgspec
 
@@ -24,16 +24,17 @@
 
 _log = get_logger("host.home")
 
-# An entry host that is up answers a new home within milliseconds; after this the
-# question is taken for lost and is sent again.
+# A running entry host answers a new home within milliseconds; after this time the
+# query is assumed to be lost and is sent again.
 TAKEOVER_RESEND_MS = 300
-# Beyond its expiry, a grant that its entry host does not list was never used: a list
-# that was under way when the grant was given is older than this.
+# A grant that expired longer ago than this and is missing from its entry host's list
+# was never used: a list already in transit when the grant was issued would have
+# arrived before.
 LOST_GRANT_MS = 5_000
 
 
 class GateRefusal(msgspec.Struct, frozen=True):
-    """Why a request does not come to the scheduler.
+    """A refusal of a request before it reaches the scheduler.
 
     Parameters
     ==========
@@ -47,13 +48,14 @@
     reason: str
 
 
-class Queued(msgspec.Struct, frozen=True):
-    """A request that waits for a place.
+class QueueEntry(msgspec.Struct, frozen=True):
+    """A request that waits for a slot.
 
     Parameters
     ==========
     request : WorkRequest
     since_ms : int
+        When it was queued.
     """
 
     request: WorkRequest
@@ -61,25 +63,25 @@
 
 
 class AllowAllGate:
-    """Lets every request through to the scheduler."""
+    """A gate that admits every request to the scheduler."""
 
     __slots__ = ()
 
     def refusal(self, pool, request, now_ms):
-        """Return the ``GateRefusal`` of a request, or None."""
+        """Return the ``GateRefusal`` of a request, or None when it is admitted."""
         return
 
     def on_not_run(self, request, now_ms):
-        """Take notice that a request which was let through did not run."""
+        """Handle the end of an admitted request that did not run."""
 
     def on_dequeued(self, request, since_ms, now_ms):
-        """Take notice that a request which was let through earlier runs from now on."""
+        """Handle the grant of an admitted request that was queued at ``since_ms``."""
 
     def on_takeover(self, hosts, now_ms):
-        """Take notice that this host decides from here on, and which hosts it asks."""
+        """Handle the start of a home at this host, which queries ``hosts``."""
 
     def on_usage_report(self, host, held, now_ms):
-        """Take what an entry host says was spent under a home before this one.
+        """Handle an entry host's report of usage under an earlier home.
 
         Parameters
         ==========
@@ -90,7 +92,7 @@
 
 
 class PoolHome:
-    """The home of one pool.
+    """The home of one pool: queues requests and issues grants for its upstreams.
 
     Parameters
     ==========
@@ -101,28 +103,28 @@
     send : callable
         ``send(host_id, message)``.
     declared : tuple
-        The pool's record and the tiers that the scheduler was built from.
+        The pool's declaration and the tiers that the scheduler was built from.
     traces : Traces
     metrics : Metrics, optional
     gate : Gate, optional
-        Refuses before the scheduler is asked.
+        Refuses requests before they reach the scheduler.
     reconnect : callable, optional
-        ``reconnect(host_id)`` takes a new connection to a host that missed an answer.
+        ``reconnect(host_id)`` replaces the connection to a host that missed a reply.
     """
 
     __slots__ = (
-        "_asked",
-        "_asked_ms",
-        "_awaited",
+        "_cached_elsewhere_tokens",
         "_clock",
         "_gate",
         "_granted",
-        "_held_elsewhere",
         "_identity",
+        "_last_request_ms",
         "_metrics",
+        "_pending_hosts",
+        "_queried_hosts",
         "_queued",
         "_reconnect",
-        "_resend_ms",
+        "_requery_ms",
         "_send",
         "_spans",
         "_started_ms",
@@ -157,66 +159,67 @@
         self._traces = traces
         self._metrics = metrics or Metrics(None)
         self._gate = gate or AllowAllGate()
-        self._held_elsewhere = {}
-        self._asked = set()
-        self._awaited = set()
+        self._cached_elsewhere_tokens = {}
+        self._queried_hosts = set()
+        self._pending_hosts = set()
         self._queued = {}
         self._granted = {}
         self._spans = {}
         self._started_ms = 0
-        self._asked_ms = clock.now_ms()
-        self._resend_ms = 0
+        self._last_request_ms = clock.now_ms()
+        self._requery_ms = 0
         self.first_grant_ms = None
         self.recovered_ms = None
 
     def start(self, hosts):
-        """Ask all live hosts what they hold of this pool.
+        """Begin recovery: query all live hosts for the pool's grants that they hold.
 
         Parameters
         ==========
         hosts : iterable of str
-            This host included.
+            Includes this host.
         """
         now_ms = self._clock.now_ms()
         self._started_ms = now_ms
-        self._awaited = set(hosts)
-        self._asked = set(hosts)
-        self._gate.on_takeover(self._asked, now_ms)
+        self._pending_hosts = set(hosts)
+        self._queried_hosts = set(hosts)
+        self._gate.on_takeover(self._queried_hosts, now_ms)
         self._emit(self.scheduler.begin_recovery(now_ms), now_ms)
-        self._ask_holders(now_ms)
-        _log.info("home_started", pool=self.pool, asked=len(self._awaited))
+        self._query_holders(now_ms)
+        _log.info("home_started", pool=self.pool, asked=len(self._pending_hosts))
 
     def on_host_joined(self, host_id):
-        """Ask a host that was not known yet what it holds.
+        """Query a host that was not known before for the grants that it holds.
 
-        Failure: a home has just started itself, and knows half of the fleet. What the
-        other half holds, and what its customers have spent, would never be counted.
+        Failure: a home that has just started knows only half of the fleet. The grants
+        that the other half holds, and its customers' usage, would never be counted.
         """
-        if host_id not in self._asked:
-            self._asked.add(host_id)
-            self._awaited.add(host_id)
-            self._ask_holders(self._clock.now_ms())
+        if host_id not in self._queried_hosts:
+            self._queried_hosts.add(host_id)
+            self._pending_hosts.add(host_id)
+            self._query_holders(self._clock.now_ms())
 
-    def _ask_holders(self, now_ms):
-        self._resend_ms = now_ms + TAKEOVER_RESEND_MS
+    def _query_holders(self, now_ms):
+        self._requery_ms = now_ms + TAKEOVER_RESEND_MS
         message = HomeTakeover(
             pool=self.pool, home_incarnation=self._identity.incarnation
         )
-        for host in self._awaited:
+        for host in self._pending_hosts:
             self._send(host, message)
 
     def on_predecessor_closed(self):
-        """Ask all hosts once more, as the home before this one has only now ended.
+        """Query all hosts again, since the previous home has only now closed.
 
-        Failure: hosts disagree for a second on which of two is home, and both give out
-        customers' allowances. What the former gave after this one had asked would never
-        be counted, and a customer at its bound gets as much more.
+        Failure: hosts disagree for a second on which of two hosts is home, and both
+        admit requests against customers' quotas. What the previous home admitted after
+        this one had sent its queries would never be counted, and a customer at its
+        quota would get that much on top.
         """
-        self._awaited = set(self._asked)
-        self._ask_holders(self._clock.now_ms())
+        self._pending_hosts = set(self._queried_hosts)
+        self._query_holders(self._clock.now_ms())
 
     def close(self, new_home):
-        """Stop granting; send waiting requests on to the new home."""
+        """Stop issuing grants and refer queued requests to the new home."""
         if new_home:
             self._send(new_home, HomeClosed(pool=self.pool))
         for queued in list(self._queued.values()):
@@ -230,17 +233,17 @@
 
     @property
     def recovering(self):
-        """Whether some entry host has not told yet what it holds."""
-        return bool(self._awaited)
+        """Whether some entry host has not reported the grants that it holds."""
+        return bool(self._pending_hosts)
 
     def reconfigure(self, declared):
-        """Put a changed record of the pool, or of the tiers, in force."""
+        """Apply a changed declaration of the pool or of the tiers."""
         self.declared = declared
         now_ms = self._clock.now_ms()
         self._emit(self.scheduler.reconfigure(*declared, now_ms), now_ms)
 
     def on_request(self, sender, message, late_ms):
-        """Take a grant request, or a repeat of one."""
+        """Handle a grant request, or a repeat of one."""
         brief = message.brief
         granted = self._granted.get(brief.request_id)
         if granted is not None:
@@ -248,28 +251,28 @@
             self._resend(sender, granted[0])
             return
         if brief.request_id in self._queued:
-            self._send(sender, self._queued_note(brief.request_id))
+            self._send(sender, self._queued_message(brief.request_id))
             return
-        now_ms = self._asked_ms = self._clock.now_ms()
+        now_ms = self._last_request_ms = self._clock.now_ms()
         request = work_request(brief, sender, now_ms - late_ms)
         refusal = self._gate.refusal(self.pool, request, now_ms)
         if refusal is not None:
             self._refuse(request, refusal.code, refusal.retry_after_ms, refusal.reason)
             return
         self._begin_span(brief)
-        returned = self.scheduler.client_retry_count
+        retries_before = self.scheduler.client_retry_count
         decisions = self.scheduler.submit(request, now_ms)
-        if self.scheduler.client_retry_count > returned:
+        if self.scheduler.client_retry_count > retries_before:
             self._metrics.count(CALLERS_RETURNED, self.pool)
         request_id = request.request_id
         is_decided = any(item.request.request_id == request_id for item in decisions)
         if not is_decided:
-            self._queued[request.request_id] = Queued(request, now_ms)
+            self._queued[request.request_id] = QueueEntry(request, now_ms)
         self._emit(decisions, now_ms)
         if not is_decided:
-            self._tell_queued(request)
+            self._notify_queued(request)
 
-    def _tell_queued(self, request):
+    def _notify_queued(self, request):
         _log.info(
             "request_queued",
             request=request.request_id,
@@ -278,7 +281,7 @@
             queued=len(self._queued),
             granted=len(self._granted),
         )
-        self._send(request.entry_host, self._queued_note(request.request_id))
+        self._send(request.entry_host, self._queued_message(request.request_id))
 
     def _begin_span(self, brief):
         parent = parent_of_text(brief.trace)
@@ -293,9 +296,9 @@
             span.end()
 
     def on_cancel(self, message):
-        """Forget a request whose caller has gone."""
+        """Drop a request whose caller has disconnected."""
         now_ms = self._clock.now_ms()
-        self._leave_queue(message.request_id, now_ms)
+        self._remove_queued(message.request_id, now_ms)
         self._end_span(message.request_id, cancelled=True)
         self._emit(self.scheduler.cancel(message.request_id, now_ms), now_ms)
         granted = self._granted.get(message.request_id)
@@ -303,14 +306,14 @@
             outcome = Outcome(kind=OutcomeKind.NOT_SENT)
             self._release(granted[0].grant_id, message.request_id, outcome, now_ms)
 
-    def _leave_queue(self, request_id, now_ms):
-        """Forget a waiting request, which has run nowhere."""
+    def _remove_queued(self, request_id, now_ms):
+        """Drop a queued request and report to the gate that it did not run."""
         queued = self._queued.pop(request_id, None)
         if queued is not None:
             self._gate.on_not_run(queued.request, now_ms)
 
     def on_first_token(self, message):
-        """Learn an upstream's speed while its answer is still under way."""
+        """Record the time to first token of an answer that is still in progress."""
         now_ms = self._clock.now_ms()
         decisions = self.scheduler.observe_first_token(
             message.grant_id, message.first_token_ms, now_ms
@@ -318,7 +321,7 @@
         self._emit(decisions, now_ms)
 
     def on_release(self, message):
-        """Take a grant back with its outcome."""
+        """Release a grant and record its outcome."""
         outcome = Outcome(
             kind=OutcomeKind(message.outcome),
             first_token_ms=message.first_token_ms,
@@ -338,17 +341,17 @@
         self._emit(self.scheduler.release(grant_id, outcome, now_ms), now_ms)
 
     def _count_wasted(self, request_id, outcome):
-        """Count what was computed again although another upstream held it.
+        """Count prompt tokens computed again although another upstream had them cached.
 
-        Answers that did not become whole are counted by their entry host.
+        Incomplete answers are counted by their entry host.
         """
-        held = self._held_elsewhere.pop(request_id, 0)
-        if outcome.kind is OutcomeKind.SUCCESS and held > outcome.cached_tokens:
-            wasted = held - outcome.cached_tokens
+        cached = self._cached_elsewhere_tokens.pop(request_id, 0)
+        if outcome.kind is OutcomeKind.SUCCESS and cached > outcome.cached_tokens:
+            wasted = cached - outcome.cached_tokens
             self._metrics.count(WASTED_TOKENS, self.pool, wasted)
 
     def on_held_grants(self, sender, message):
-        """Count the grants of a former home that an entry host still holds."""
+        """Adopt the grants of an earlier home that an entry host still holds."""
         if message.home_incarnation != self._identity.incarnation:
             return
         now_ms = self._clock.now_ms()
@@ -364,17 +367,17 @@
             )
             self._granted[request.request_id] = (grant, sender)
             self._emit(self.scheduler.adopt(request, grant, now_ms), now_ms)
-        if sender in self._awaited:
+        if sender in self._pending_hosts:
             self._gate.on_usage_report(sender, message, now_ms)
-            self._awaited.discard(sender)
-            if not self._awaited:
+            self._pending_hosts.discard(sender)
+            if not self._pending_hosts:
                 self._end_recovery(now_ms)
 
     def on_held_ids(self, sender, message):
-        """Free the places of grants that their entry host does not hold.
+        """Free the slots of grants that their entry host does not hold.
 
-        The reply that carried such a grant was lost, or the message that released
-        it: without this the place would stay taken until the request's deadline.
+        Either the reply with the grant or the message that released it was lost.
+        Without this the slot would stay occupied until the request's deadline.
         """
         now_ms = self._clock.now_ms()
         held = frozenset(message.grant_ids)
@@ -385,24 +388,24 @@
                 self._release(grant.grant_id, request_id, outcome, now_ms)
 
     def forget_host(self, host_id):
-        """Do not wait for, or count the grants of, a host that is gone."""
+        """Drop the requests, grants and pending report of a host that is gone."""
         now_ms = self._clock.now_ms()
         self._emit(self.scheduler.forget_entry_host(host_id, now_ms), now_ms)
         waiting = [queued.request for queued in self._queued.values()]
         gone = [request for request in waiting if request.entry_host == host_id]
         for request in gone:
-            self._leave_queue(request.request_id, now_ms)
+            self._remove_queued(request.request_id, now_ms)
             self._end_span(request.request_id, cancelled=True)
-        # The scheduler has forgotten these; kept here, they would be shown as granted
-        # and take memory until this host is no longer home.
+        # The scheduler has already dropped these grants. Kept here, they would be
+        # reported as granted and use memory for as long as this host is home.
         lost = [r for r, (_, host) in self._granted.items() if host == host_id]
         for request_id in lost:
             del self._granted[request_id]
-            self._held_elsewhere.pop(request_id, None)
-        self._asked.discard(host_id)
-        if host_id in self._awaited:
-            self._awaited.discard(host_id)
-            if not self._awaited:
+            self._cached_elsewhere_tokens.pop(request_id, None)
+        self._queried_hosts.discard(host_id)
+        if host_id in self._pending_hosts:
+            self._pending_hosts.discard(host_id)
+            if not self._pending_hosts:
                 self._end_recovery(now_ms)
 
     def _end_recovery(self, now_ms):
@@ -411,30 +414,30 @@
         self._emit(self.scheduler.end_recovery(now_ms), now_ms)
 
     def tick(self):
-        """Do what time alone brings about."""
+        """Do the periodic work: repeat unanswered queries, let the scheduler tick."""
         now_ms = self._clock.now_ms()
-        if self.recovering and now_ms >= self._resend_ms:
-            self._ask_holders(now_ms)
+        if self.recovering and now_ms >= self._requery_ms:
+            self._query_holders(now_ms)
         self._emit(self.scheduler.tick(now_ms), now_ms)
 
     def set_upstreams(self, upstreams):
-        """Take the pool's upstreams from the platform's list."""
+        """Set the pool's upstreams, as the platform lists them."""
         now_ms = self._clock.now_ms()
         self._emit(self.scheduler.set_upstreams(upstreams, now_ms), now_ms)
 
     def observe_load(self, report):
-        """Take an upstream's load report."""
+        """Pass an upstream's load report to the scheduler."""
         now_ms = self._clock.now_ms()
         self._emit(self.scheduler.observe_load(report, now_ms), now_ms)
 
     def is_idle(self, idle_ms):
-        """Return whether it has nothing in hand, and was asked for nothing lately."""
+        """Return whether no request is open and none came within ``idle_ms``."""
         if self._queued or self._granted:
             return False
-        return self._clock.now_ms() - self._asked_ms >= idle_ms
+        return self._clock.now_ms() - self._last_request_ms >= idle_ms
 
     def counts(self):
-        """Return (queued, granted) requests."""
+        """Return the numbers of queued and of granted requests."""
         return len(self._queued), len(self._granted)
 
     def _emit(self, decisions, now_ms):
@@ -449,10 +452,12 @@
                 self._end_span(request.request_id, code=int(decision.code))
                 self._gate.on_not_run(request, now_ms)
                 code = decision.code
-                self._refuse(request, code, decision.retry_after_ms, self._reason())
+                self._refuse(
+                    request, code, decision.retry_after_ms, self._refusal_reason()
+                )
 
-    def _reason(self):
-        """Return by which figures a request is refused."""
+    def _refusal_reason(self):
+        """Return the state that explains a refusal, for the entry host's log."""
         reason = f"queued {len(self._queued)} granted {len(self._granted)}"
         evacuated = self.scheduler.evacuated_domains()
         if evacuated:
@@ -460,7 +465,7 @@
         return reason
 
     def _refuse(self, request, code, retry_after_ms, reason):
-        """Refuse a request; its entry host writes the line that says why."""
+        """Send a refusal; the entry host logs it with its reason."""
         refusal = GrantRefusal(
             pool=self.pool,
             request_id=request.request_id,
@@ -478,14 +483,14 @@
             grant.request_id, upstream=grant.upstream_id, version=grant.version
         )
         entry_host = decision.request.entry_host
-        # One that did not wait is told by its entry host's line of the attempt: at the
-        # home of a hundred upstreams lines were a fifth of a grant's processor time.
+        # A grant without a wait appears in the entry host's log line of the attempt.
+        # With a hundred upstreams, logging took a fifth of a grant's CPU time.
         if has_waited:
             self._log_granted(decision)
         self._granted[grant.request_id] = (grant, entry_host)
-        held = self.scheduler.cached_elsewhere(decision.request, grant.upstream_id)
-        if held:
-            self._held_elsewhere[grant.request_id] = held
+        cached = self.scheduler.cached_elsewhere(decision.request, grant.upstream_id)
+        if cached:
+            self._cached_elsewhere_tokens[grant.request_id] = cached
         self._send(decision.request.entry_host, self._reply(grant, now_ms))
 
     def _log_granted(self, decision):
@@ -505,10 +510,11 @@
         if grant.expires_ms > now_ms:
             self._send(sender, self._reply(grant, now_ms))
             return
-        # The entry host asks again, so it did not use the grant, and no more can.
+        # The entry host repeats its request, so it has not used the grant, and can no
+        # longer use it.
         outcome = Outcome(kind=OutcomeKind.NOT_SENT)
         self._release(grant.grant_id, grant.request_id, outcome, now_ms)
-        self._send(sender, self._queued_note(grant.request_id))
+        self._send(sender, self._queued_message(grant.request_id))
 
     def _reply(self, grant, now_ms):
         return GrantReply(
@@ -522,7 +528,7 @@
             is_cold=grant.is_cold,
         )
 
-    def _queued_note(self, request_id):
+    def _queued_message(self, request_id):
         return GrantQueued(pool=self.pool, request_id=request_id)
 
     def _send_not_home(self, host, request_id, new_home):
@@ -531,7 +537,10 @@
 
 
 def work_request(brief, entry_host, now_ms):
-    """Return the request that a brief describes, with times on the home's clock."""
+    """Return the request that a brief describes, with times on the home's clock.
+
+    The brief's durations are counted from ``now_ms``.
+    """
     waits_until_ms = None
     if brief.leaves_in_ms is not None:
         waits_until_ms = now_ms + brief.leaves_in_ms
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -1,4 +1,4 @@
-"""The pools that this host is home of, as the view of the fleet changes."""
+"""Starts and closes the homes of pools at this host as the fleet changes."""
 
 from hemlockhoist.base import get_logger
 from hemlockhoist.base.metrics_table import HOMES_ALONE
@@ -9,20 +9,20 @@
 
 _log = get_logger("host.homes")
 
-# Today's pools are one shard each, so tier order and version shares are exact.
+# Each pool is a single shard, so tier order and version shares are exact.
 ONLY_SHARD = 0
-# A host that decided alone forgets what it knew for that after this time without a
-# request: the home knows better.
+# A standby home without a request for this long is discarded, since the pool's home has
+# more accurate state.
 STANDBY_IDLE_MS = 2_000
 
 
 def _no_tracker(pool):
-    """Return None: the scheduler finds the limits of its upstreams."""
+    """Return None, by which the scheduler determines its upstreams' limits itself."""
     return
 
 
 class HomeService:
-    """Begins and ends being home of pools, and hands messages to the right one.
+    """Holds the homes at this host and passes each message to the home it is for.
 
     Parameters
     ==========
@@ -30,25 +30,25 @@
     send : callable
         ``send(host_id, message)``.
     gate : Gate, optional
-        Refuses requests before a pool's scheduler is asked.
+        Refuses requests before they reach a pool's scheduler.
     home_key_of : callable, optional
-        ``home_key_of(pool)`` names what is hashed to find a pool's home; pools of one
-        cell have one home.
+        ``home_key_of(pool)`` returns the key that is hashed to find a pool's home;
+        pools with equal keys share a home.
     new_tracker : callable, optional
-        ``new_tracker(pool)`` makes what a scheduler keeps of a pool's upstreams.
+        ``new_tracker(pool)`` returns the tracker of a pool's upstreams for a scheduler.
     experiments : Experiments, optional
-        Mechanisms that the schedulers leave out.
+        Mechanisms that are disabled in the schedulers.
     """
 
     __slots__ = (
         "_context",
         "_experiments",
+        "_fleet_share",
         "_gate",
         "_home_key_of",
         "_homes",
         "_new_tracker",
         "_send",
-        "_share",
         "_standbys",
         "_upstreams",
     )
@@ -71,7 +71,7 @@
         self._homes = {}
         self._standbys = {}
         self._upstreams = {}
-        self._share = 1.0
+        self._fleet_share = 1.0
 
     def home_of(self, pool):
         """Return the host id of a pool's home, or "" when no host is live."""
@@ -79,16 +79,16 @@
         return homes[0] if homes else ""
 
     def active(self):
-        """Return the homes at this host, by pool."""
+        """Return the homes at this host by pool, without the standby homes."""
         return dict(self._homes)
 
     @property
     def is_scheduling(self):
-        """Whether this host decides for any pool, as its home or alone."""
+        """Whether this host schedules any pool, as its home or as a standby."""
         return bool(self._homes or self._standbys)
 
     def update(self):
-        """Begin and end homes after a change of the fleet or of the declarations."""
+        """Start and close homes after a change of the fleet or of the declarations."""
         own_id = self._context.identity.host_id
         pools = {pool.name: pool for pool in self._context.declarations.pools}
         for name in list(self._homes):
@@ -98,23 +98,24 @@
                 self._context.moves.close_pool(name)
         for name, pool in pools.items():
             if name not in self._homes and self.home_of(name) == own_id:
-                self._begin(pool)
+                self._start_home(pool)
 
-    def _declared(self, name):
+    def _declaration_of(self, name):
         declarations = self._context.declarations
         return declarations.pool(name), declarations.tiers
 
-    def _begin(self, pool):
+    def _start_home(self, pool):
         policy = self._context.moves.open_pool(pool)
         home = self._homes[pool.name] = self._new_home(pool, policy)
         home.start(self._context.fleet.live_hosts())
 
     def _standby(self, name):
-        """Return the home that decides for this host's own requests alone, or None.
+        """Return the standby home for this host's own requests, or None.
 
-        Made for a home that is frozen, cut off or gone, until the fleet agrees on the
-        next one; and for a host that is cut off from all others. It knows the upstreams
-        and what this host has sent there, and nothing of other hosts' requests.
+        It is created when the pool's home is frozen, partitioned off or gone, until the
+        fleet agrees on the next one, and when this host is partitioned from all others.
+        It knows the upstreams and this host's own grants, but not the requests of other
+        hosts.
         """
         pool = self._context.declarations.pool(name)
         if pool is not None and name not in self._standbys:
@@ -141,27 +142,27 @@
             self._context.identity,
             self._context.clock,
             self._send,
-            self._declared(pool.name),
+            self._declaration_of(pool.name),
             self._context.traces,
             self._context.metrics,
             self._gate,
             self._context.bus.renew,
         )
-        scheduler.set_share(self._share)
+        scheduler.set_share(self._fleet_share)
         home.set_upstreams(self._upstreams.get(pool.name, ()))
         return home
 
     def redeclare(self):
-        """Put changed declarations in force in the homes at this host."""
+        """Apply changed declarations to the homes at this host."""
         for name, home in self._all():
-            declared = self._declared(name)
+            declared = self._declaration_of(name)
             if home.declared != declared and declared[0] is not None:
                 self._context.moves.redeclare(declared[0])
                 home.reconfigure(declared)
         self.update()
 
     def on_request(self, sender, message, late_ms):
-        """Take a grant request, or say that this host is not the pool's home."""
+        """Pass a grant request to the pool's home, or reply ``NotHome``."""
         home = self._homes.get(message.pool)
         if home is None and message.is_alone:
             home = self._standby(message.pool)
@@ -180,17 +181,17 @@
         return [*self._homes.items(), *self._standbys.items()]
 
     def all_for_pool(self, pool):
-        """Return all that decide for a pool at this host.
+        """Return the home and the standby home of a pool at this host, if any.
 
-        Failure: a host that decides alone is never told what it holds itself, as the
-        answer to its question is kept from it. It gives places that are taken.
+        Failure: a standby home never learns of this host's own grants, because the
+        reply to its query is not passed to it, and assigns slots that are occupied.
         """
         found = (self._homes.get(pool), self._standbys.get(pool))
         return [home for home in found if home is not None]
 
     def set_share(self, share):
-        """Take the part of the fleet's bounds that this host gives out."""
-        self._share = share
+        """Set the fraction of the fleet's limits that homes at this host may grant."""
+        self._fleet_share = share
         for _, home in self._all():
             home.scheduler.set_share(share)
 
@@ -201,14 +202,14 @@
         ==========
         pool : str
         is_alone : bool, optional
-            For what this host granted to itself, where no home answered.
+            Whether the grant came from the standby home, as no home answered.
         """
         if is_alone and pool in self._standbys:
             return self._standbys[pool]
         return self._homes.get(pool)
 
     def set_upstreams(self, upstreams):
-        """Take the platform's list of all upstreams."""
+        """Set the upstreams of all pools, as the platform lists them."""
         by_pool = {}
         for upstream in upstreams:
             by_pool.setdefault(upstream.pool, []).append(upstream)
@@ -217,11 +218,11 @@
             home.set_upstreams(by_pool.get(name, ()))
 
     def upstreams(self):
-        """Return all upstreams of the platform's list."""
+        """Return the upstreams of all pools, as the platform lists them."""
         return [item for pool in self._upstreams.values() for item in pool]
 
     def watched_upstreams(self):
-        """Return the upstreams of the pools at home here, whose load is read."""
+        """Return the upstreams whose load is polled: those of homes at this host."""
         return [
             upstream
             for name in self._homes
@@ -229,23 +230,23 @@
         ]
 
     def observe_load(self, pool, report):
-        """Hand a load report to the pool's home."""
+        """Pass a load report to the pool's home."""
         home = self._homes.get(pool)
         if home is not None:
             home.observe_load(report)
 
     def on_host_joined(self, host_id):
-        """Tell the homes of a host that was not known yet."""
+        """Notify the homes of a host that was not known before."""
         for home in self._homes.values():
             home.on_host_joined(host_id)
 
     def forget_host(self, host_id):
-        """Tell the homes that an entry host is gone."""
+        """Notify the homes that an entry host is gone."""
         for home in self._homes.values():
             home.forget_host(host_id)
 
     def tick(self):
-        """Do what time alone brings about."""
+        """Let all homes tick, and discard idle standby homes."""
         for _, home in self._all():
             home.tick()
         for name, home in list(self._standbys.items()):
@@ -254,13 +255,13 @@
                 _log.info("no_longer_alone", pool=name)
 
     def close(self):
-        """Give up all pools, on leaving."""
+        """Close all homes when this host leaves."""
         for name in list(self._homes):
             self._homes.pop(name).close(self.home_of(name))
             self._context.moves.close_pool(name)
 
     def kind_of(self, pool):
-        """Return the kind of a pool, or None."""
+        """Return the kind of a pool, or None when it is not declared."""
         declared = self._context.declarations.pool(pool)
         return declared.kind if declared is not None else None
 
--- a/libs/host/src/hemlockhoist/host/tests/test_home_counts.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_home_counts.py
@@ -45,8 +45,8 @@
     )
 
 
-class NotingGate(AllowAllGate):
-    """Notes which requests are given back."""
+class RecordingGate(AllowAllGate):
+    """A gate that records which requests did not run."""
 
     def __init__(self):
         self.not_run = []
@@ -55,7 +55,7 @@
         self.not_run.append(request.request_id)
 
 
-class HomeCountTests(PausedTestCase):
+class PoolHomeTests(PausedTestCase):
     async def asyncSetUp(self):
         clock = Clock(asyncio.get_running_loop())
         identity = HostIdentity(
@@ -67,7 +67,7 @@
         )
         self.metrics = Metrics(None)
         self.sent = []
-        self.gate = NotingGate()
+        self.gate = RecordingGate()
         self.home = PoolHome(
             "chat",
             PoolScheduler.from_config(POOL, TIERS, "i"),
@@ -84,7 +84,7 @@
         held = HeldGrants(pool="chat", home_incarnation="i", grants=())
         self.home.on_held_grants(ENTRY, held)
 
-    def ask(self, request_id):
+    def request_grant(self, request_id):
         self.home.on_request(
             ENTRY, GrantRequest(pool="chat", brief=brief(request_id)), 0
         )
@@ -102,26 +102,26 @@
         )
         self.home.on_release(message)
 
-    async def test_a_prompt_computed_again_is_wasted(self):
-        """What another upstream held and this one did not find cached is counted."""
-        first = self.ask("r1")
-        # The first upstream is full, so that the other one has to take the same
-        # prompt, which it finds cached in part.
-        second = self.ask("r2")
+    async def test_prompt_cached_elsewhere_counts_as_wasted(self):
+        """Tokens cached at another upstream but not at the granted one are counted."""
+        first = self.request_grant("r1")
+        # The first upstream is full, so the other one gets the same prompt, which it
+        # has cached in part.
+        second = self.request_grant("r2")
         self.assertNotEqual(first.upstream_id, second.upstream_id)
         self.release(first, 0)
         self.assertEqual(self.metrics.totals[WASTED], 0)
         self.release(second, 300)
         self.assertEqual(self.metrics.totals[WASTED], 700)
 
-    async def test_a_caller_that_leaves_the_queue_has_sent_nothing(self):
-        """Requests within their customer's allowance are refused as over it.
+    async def test_request_that_leaves_the_queue_is_refunded(self):
+        """Guards against refusing customers who are within their quota.
 
-        Callers that left while they waited for a place, or whose entry host died, had
-        taken from the allowance, and nothing gave it back.
+        Requests whose callers disconnected while they were queued, or whose entry host
+        died, had used up quota that was never refunded.
         """
         for request_id in ("r1", "r2"):
-            self.ask(request_id)
+            self.request_grant(request_id)
         for request_id in ("r3", "r4"):
             message = GrantRequest(pool="chat", brief=brief(request_id))
             self.home.on_request(ENTRY, message, 0)
@@ -129,14 +129,14 @@
         self.home.forget_host(ENTRY)
         self.assertEqual(self.gate.not_run, ["r3", "r4"])
 
-    async def test_a_dead_hosts_grants_are_forgotten(self):
-        """
-        An entry host dies with requests in progress. The scheduler frees their
-        places, and the home went on to list them as granted: status and metrics
-        showed requests that nobody has, more with each dead host.
+    async def test_grants_of_a_dead_host_are_dropped(self):
+        """An entry host dies with requests in progress.
+
+        The scheduler freed their slots, but the home kept listing them as granted.
+        Status and metrics then showed more stale requests with each dead host.
         """
-        self.ask("r1")
-        self.ask("r2")
+        self.request_grant("r1")
+        self.request_grant("r2")
         self.assertEqual(self.home.counts(), (0, 2))
         self.home.forget_host(ENTRY)
         self.assertEqual(self.home.counts(), (0, 0))
