--- a/libs/host/src/hemlockhoist/host/dispatcher.py
+++ b/libs/host/src/hemlockhoist/host/dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatch of one request: a grant, a guarded send, and the grant given back."""
+"""Dispatch of a request: acquires a grant, sends under it and releases it."""
 
 import msgspec
 
@@ -21,7 +21,7 @@
 
 _log = get_logger("host.dispatcher")
 
-_KIND_OF_CODE = {
+_OUTCOME_KINDS = {
     ResultCode.CONNECT_FAILED: OutcomeKind.CONNECT_FAILED,
     ResultCode.GRANT_EXPIRED: OutcomeKind.NOT_SENT,
     ResultCode.UPSTREAM_TIMEOUT: OutcomeKind.TIMEOUT,
@@ -31,13 +31,13 @@
 
 
 class EntryRequest(msgspec.Struct, kw_only=True):
-    """A caller's request on its way through its entry host.
+    """A caller's request at its entry host.
 
     Parameters
     ==========
     request_id, pool, route, customer : str
     tier : str
-        The tier's name, for metrics.
+        The tier's name, used in metrics.
     tier_rank, weight, max_in_flight : int
     idempotent : bool
     prompt_tokens, output_tokens : int
@@ -65,7 +65,7 @@
     failure_domain: str = ""
 
     def brief(self, now_ms):
-        """Return what the pool's home is told, with what is left of the times."""
+        """Return the description sent to the pool's home, with the time left."""
         return RequestBrief(
             request_id=self.request_id,
             route=self.route,
@@ -85,7 +85,7 @@
 
 
 class DispatchReport:
-    """What is learnt in the course of one dispatch, for the pool's home.
+    """Collects the result of one dispatch attempt for the pool's home.
 
     Parameters
     ==========
@@ -102,7 +102,7 @@
         self.cached_tokens = 0
 
     def outcome(self, now_ms):
-        """Return the outcome at the end of the dispatch."""
+        """Return the outcome of the attempt, which ends at ``now_ms``."""
         sent_ms = self.guard.opened_ms
         if sent_ms is None:
             return Outcome(kind=self.kind)
@@ -117,7 +117,7 @@
 
 
 class Dispatcher:
-    """Takes requests from grant to outcome.
+    """Dispatches requests under grants and releases the grants with their outcome.
 
     Parameters
     ==========
@@ -148,7 +148,9 @@
         self.register = DispatchRegister(invariants)
 
     async def run(self, work, consume, on_open=None):
-        """Dispatch a request, once, and return what ``consume`` returns.
+        """Dispatch a request at most once and return the result of ``consume``.
+
+        An attempt in which nothing was sent is repeated within the pool's retry budget.
 
         Parameters
         ==========
@@ -157,14 +159,14 @@
             ``consume(hold, report)`` sends the request through ``report.guard``,
             reads the answer and sets ``report.kind``.
         on_open : callable, optional
-            Called just before the first byte leaves.
+            Called just before the first byte is sent.
 
         Raises
         ======
         Refused
-            Nothing was sent.
+            Nothing was sent to an upstream.
         DispatchError
-            Something may have been sent.
+            The request may have been sent.
         """
         self._metrics.count(REQUESTS_ARRIVED, work.tier)
         budget = self._budgets.setdefault(work.pool, RetryBudget())
@@ -174,9 +176,9 @@
             attempt += 1
             hold = await self._acquire(work)
             try:
-                return await self._attempt(work, hold, consume, on_open)
+                return await self._run_attempt(work, hold, consume, on_open)
             except Refused as error:
-                kind = _KIND_OF_CODE.get(error.code, OutcomeKind.FAILED)
+                kind = _OUTCOME_KINDS.get(error.code, OutcomeKind.FAILED)
                 if not budget.take(kind, attempt, self._clock.now_ms()):
                     raise
                 _log.warning(
@@ -187,14 +189,14 @@
                 )
 
     async def _acquire(self, work):
-        asked_ms = self._clock.now_ms()
+        requested_ms = self._clock.now_ms()
         with self._traces.span(Hop.GRANT, pool=work.pool, tier=work.tier_rank):
             hold = await self._grants.acquire(work.pool, work.brief, work.deadline_ms)
-        waited_ms = self._clock.now_ms() - asked_ms
+        waited_ms = self._clock.now_ms() - requested_ms
         self._metrics.time(QUEUE_WAIT_MS, waited_ms, work.tier)
         return hold
 
-    async def _attempt(self, work, hold, consume, on_open):
+    async def _run_attempt(self, work, hold, consume, on_open):
         guard = SendGuard(
             self._clock, hold.expires_ms, self.register, work.request_id, on_open
         )
@@ -207,16 +209,20 @@
             with span:
                 return await consume(hold, report)
         except (DispatchError, Refused) as error:
-            report.kind = _KIND_OF_CODE.get(error.code, OutcomeKind.FAILED)
+            report.kind = _OUTCOME_KINDS.get(error.code, OutcomeKind.FAILED)
             raise
         finally:
             del self._guards[hold.grant_id]
             outcome = report.outcome(self._clock.now_ms())
             self._grants.release(hold, outcome)
-            self._count(work, report)
+            self._record_metrics(work, report)
+
+    def _record_metrics(self, work, report):
+        """Record the attempt's metrics.
 
-    def _count(self, work, report):
-        """Count goodput: a whole answer whose first token came within the target."""
+        Goodput (``REQUESTS_GOOD``) counts complete answers that came by their deadline,
+        with the first token within its target.
+        """
         if report.guard.opened:
             self._metrics.count(PROMPT_TOKENS, work.pool, work.prompt_tokens)
         if report.kind is not OutcomeKind.SUCCESS:
@@ -234,17 +240,17 @@
             self._metrics.count(REQUESTS_GOOD, work.tier)
 
     def _count_wasted(self, work, report):
-        """Count the prompt of an answer that was begun and nobody got whole."""
+        """Count the prompt tokens of an answer that began but was not completed."""
         if report.first_ms is not None:
             wasted = max(0, work.prompt_tokens - report.cached_tokens)
             self._metrics.count(WASTED_TOKENS, work.pool, wasted)
 
     def revoke(self, pool, version, reason):
-        """Stop what is granted and not yet sent to a version that was halted."""
+        """Revoke grants of a halted version under which nothing was sent yet."""
         for hold, guard in self._guards.values():
             if hold.pool == pool and hold.version == version:
                 guard.revoke(reason)
 
     def in_flight(self):
-        """Return the number of requests between grant and outcome."""
+        """Return the number of requests that hold a grant."""
         return len(self._guards)
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -1,4 +1,4 @@
-"""The entry side of grants: ask the pool's home, wait, give back."""
+"""The entry side of grants: requests them from a pool's home and releases them."""
 
 import asyncio
 import functools
@@ -32,33 +32,34 @@
     RequestBrief,
 )
 
-# A reply takes a few milliseconds, and up to a tenth of a second where the home's
-# processor is rationed; after this the request or its reply is taken for lost and is
-# sent again, which is harmless (the home knows it by its id).
+# A reply takes a few milliseconds, and up to a tenth of a second where the home's CPU
+# is throttled. After this time the request or its reply is assumed to be lost and the
+# request is sent again, which is harmless, as the home identifies it by its id.
 RESEND_MS = 120
-# A queued request asks this often whether it is still queued.
+# Interval at which a queued request is sent again, to check that it is still queued.
 QUEUED_RESEND_MS = 1_000
-# A home that misses two questions is frozen, cut off or dead, and the pool is better
-# scheduled by the next one; a single message may be lost.
+# Requests without a reply, after which the home is reported as unresponsive: it is
+# frozen, partitioned off or dead, and the next home should take over the pool. A single
+# message may simply be lost.
 MAX_UNANSWERED = 2
-# Questions in a row that no home answered, after which the entry host decides alone by
-# what it knows itself. With the resend time, a caller then waits less than half a second
-# for a home that is frozen or cut off, whatever the other hosts think of it.
-ALONE_AFTER = 3
-# Longest time without a word from any home. Membership finds a dead host within
-# about two seconds, and the next home answers at once.
-HOME_SILENCE_MS = 5_000
-# Between a home that says it is none and the next question: views of the fleet
-# settle within a probe or two.
-NOT_HOME_PAUSE_MS = 50
+# Consecutive requests without a reply from any home, after which the entry host turns
+# to its own standby home. With RESEND_MS, a caller then waits less than half a second
+# for a home that is frozen or partitioned off, whatever state other hosts see it in.
+STANDBY_AFTER_TIMEOUTS = 3
+# Longest time without a reply from any home. Membership detects a dead host within
+# about two seconds, and the next home replies at once.
+HOME_TIMEOUT_MS = 5_000
+# Delay between a NotHome reply and the next request: the hosts' views of the fleet
+# converge within one or two probes.
+NOT_HOME_DELAY_MS = 50
 RETRY_AFTER_MS = 1_000
 
 
 class GrantHold(msgspec.Struct, frozen=True, kw_only=True):
-    """A grant as the entry host holds it, on its own clock.
+    """A grant held by an entry host, with times on that host's clock.
 
-    ``home`` is the host that gave it; ``is_cold`` says that it knew the upstream to be
-    cold.
+    ``home`` is the host that issued it. ``is_alone`` marks a grant by the entry host's
+    own standby home, ``is_cold`` one to an upstream that the home knew to be cold.
     """
 
     pool: str
@@ -73,41 +74,42 @@
     is_cold: bool = False
 
 
-# Put into a waiter's inbox when the home that it asked is home no longer.
-_ASK_AGAIN = object()
+# Put into a waiter's inbox to have its request sent again at once: the home that it
+# queried is home no longer, or this host refuses its requests.
+_RESEND = object()
 
 
 class _Waiter:
     """A request that waits for a grant."""
 
     __slots__ = (
-        "ask_ms",
-        "asked",
-        "heard_ms",
-        "hint",
+        "home_hint",
         "inbox",
         "is_alone",
+        "last_reply_ms",
+        "next_request_ms",
         "pool",
+        "queried_home",
         "request_id",
-        "silences",
+        "timeouts_since_reply",
         "unanswered",
     )
 
     def __init__(self, pool, request_id):
         self.pool = pool
         self.request_id = request_id
-        self.asked = ""
-        self.hint = ""
+        self.queried_home = ""
+        self.home_hint = ""
         self.unanswered = 0
-        self.silences = 0
+        self.timeouts_since_reply = 0
         self.is_alone = False
-        self.ask_ms = 0
-        self.heard_ms = 0
+        self.next_request_ms = 0
+        self.last_reply_ms = 0
         self.inbox = asyncio.Queue()
 
 
 class GrantClient:
-    """Obtains and returns grants for the requests of this host.
+    """Acquires and releases grants for the requests of this host.
 
     Parameters
     ==========
@@ -115,22 +117,22 @@
     send : callable
         ``send(host_id, message)``.
     home_of : callable
-        ``home_of(pool)`` gives the host id of the pool's home, or "".
+        ``home_of(pool)`` returns the host id of the pool's home, or "".
     on_unresponsive : callable
-        ``on_unresponsive(host_id)`` is called when a home does not answer.
+        ``on_unresponsive(host_id)`` is called when a home does not reply.
     reconnect : callable, optional
-        ``reconnect(host_id)`` takes a new connection to a home that missed a question.
+        ``reconnect(host_id)`` replaces the connection to a home that did not reply.
     own_id : callable, optional
-        Returns this host's id where it may decide alone; by default it may not.
-    usage_log : SpentLog, optional
-        Notes what customers spend.
+        Returns this host's id if it may act as a standby home, or "", the default.
+    usage_log : UsageLog, optional
+        Records customers' usage.
     incarnation : str, optional
         This host's incarnation.
     """
 
     __slots__ = (
+        "_claiming_homes",
         "_clock",
-        "_counted_at",
         "_held",
         "_home_of",
         "_incarnation",
@@ -166,29 +168,29 @@
         self._started_ms = clock.now_ms()
         self._waiters = {}
         self._held = {}
-        # By grant: the homes that count it since they asked what is held here.
-        self._counted_at = {}
+        # By grant: the homes that count it, as it was reported to them on takeover.
+        self._claiming_homes = {}
         self._refusal = None
 
     def held(self):
-        """Return the grants held now."""
+        """Return the grants that this host holds."""
         return tuple(self._held.values())
 
     @property
     def is_refusing(self):
-        """Whether requests of this host are given no further places."""
+        """Whether this host refuses all its requests that wait for a grant."""
         return self._refusal is not None
 
     def refuse_waiting(self, code, retry_after_ms):
-        """Refuse all requests that wait for a place, from here on.
+        """Refuse all requests that wait for a grant, now and from here on.
 
-        Failure: a host that was told to stop still has requests in a queue. When the
-        process ends, their callers see a closed connection, and can not tell that
+        Failure: a host that was told to stop still has requests in a home's queue. When
+        the process ends, their callers see a closed connection and cannot tell that
         nothing ran.
         """
         self._refusal = (code, retry_after_ms)
         for waiter in self._waiters.values():
-            waiter.inbox.put_nowait((_ASK_AGAIN, 0))
+            waiter.inbox.put_nowait((_RESEND, 0))
 
     async def acquire(self, pool, brief, deadline_ms):
         """Wait for a grant.
@@ -197,8 +199,8 @@
         ==========
         pool : str
         brief : callable
-            ``brief(now_ms)`` gives the ``RequestBrief`` with what is left of the
-            deadline then.
+            ``brief(now_ms)`` returns the ``RequestBrief`` with the time left until the
+            deadline.
         deadline_ms : int
 
         Returns
@@ -216,7 +218,7 @@
         home = ""
         granted = False
         try:
-            home, hold = await self._ask(waiter, brief, deadline_ms)
+            home, hold = await self._request(waiter, brief, deadline_ms)
             granted = True
             return hold
         finally:
@@ -224,85 +226,90 @@
             if not granted:
                 self._cancel(waiter, home)
 
-    async def _ask(self, waiter, brief, deadline_ms):
-        waiter.heard_ms = waiter.ask_ms = self._clock.now_ms()
+    async def _request(self, waiter, brief, deadline_ms):
+        waiter.last_reply_ms = waiter.next_request_ms = self._clock.now_ms()
         while True:
-            self._check_patience(waiter, deadline_ms)
-            if self._clock.now_ms() >= waiter.ask_ms:
-                self._send_question(waiter, brief)
-            reply = await self._next_reply(waiter, min(waiter.ask_ms, deadline_ms))
+            self._check_limits(waiter, deadline_ms)
+            if self._clock.now_ms() >= waiter.next_request_ms:
+                self._send_request(waiter, brief)
+            reply = await self._next_reply(
+                waiter, min(waiter.next_request_ms, deadline_ms)
+            )
             if reply is None:
-                self._count_silence(waiter)
+                self._count_timeout(waiter)
                 continue
             message, late_ms = reply
-            hold = self._take_reply(waiter, brief, message, late_ms)
+            hold = self._handle_reply(waiter, brief, message, late_ms)
             if hold is not None:
-                return waiter.asked, hold
+                return waiter.queried_home, hold
 
-    def _check_patience(self, waiter, deadline_ms):
+    def _check_limits(self, waiter, deadline_ms):
         if self._refusal is not None:
             raise Refused("", *self._refusal)
         now_ms = self._clock.now_ms()
         if now_ms >= deadline_ms:
             raise Refused("", ResultCode.DEADLINE_PASSED, RETRY_AFTER_MS)
-        if now_ms - waiter.heard_ms >= HOME_SILENCE_MS:
+        if now_ms - waiter.last_reply_ms >= HOME_TIMEOUT_MS:
             raise Refused("", ResultCode.HOME_UNREACHABLE, RETRY_AFTER_MS)
 
-    def _send_question(self, waiter, brief):
+    def _send_request(self, waiter, brief):
         now_ms = self._clock.now_ms()
-        waiter.is_alone = waiter.silences >= ALONE_AFTER and bool(self._own_id())
+        waiter.is_alone = (
+            waiter.timeouts_since_reply >= STANDBY_AFTER_TIMEOUTS
+            and bool(self._own_id())
+        )
         if waiter.is_alone:
-            waiter.asked = self._own_id()
+            waiter.queried_home = self._own_id()
         else:
-            waiter.asked = waiter.hint or self._home_of(waiter.pool)
-        waiter.hint = ""
-        waiter.ask_ms = now_ms + RESEND_MS
-        if waiter.asked:
+            waiter.queried_home = waiter.home_hint or self._home_of(waiter.pool)
+        waiter.home_hint = ""
+        waiter.next_request_ms = now_ms + RESEND_MS
+        if waiter.queried_home:
             message = GrantRequest(
                 pool=waiter.pool, brief=brief(now_ms), is_alone=waiter.is_alone
             )
-            self._send(waiter.asked, message)
+            self._send(waiter.queried_home, message)
 
-    def _take_reply(self, waiter, brief, message, late_ms):
-        """Return the grant that a reply brings, or None to go on waiting.
+    def _handle_reply(self, waiter, brief, message, late_ms):
+        """Return the grant that a reply carries, or None to keep waiting.
 
         Raises
         ======
         Refused
-            When the home refused.
+            The home refused the request.
         """
         now_ms = self._clock.now_ms()
         waiter.unanswered = 0
-        if message is _ASK_AGAIN:
-            waiter.ask_ms = now_ms
+        if message is _RESEND:
+            waiter.next_request_ms = now_ms
             return None
-        waiter.heard_ms = now_ms
-        waiter.silences = 0
+        waiter.last_reply_ms = now_ms
+        waiter.timeouts_since_reply = 0
         if isinstance(message, GrantRefusal):
             raise Refused(message.reason, message.code, message.retry_after_ms)
         if isinstance(message, GrantReply):
-            hold = self._take(waiter, message, brief(now_ms), late_ms)
-            # One that came too late has been given back; ask for another.
-            waiter.ask_ms = now_ms
+            hold = self._accept_grant(waiter, message, brief(now_ms), late_ms)
+            # A grant that expired in transit has been released; request another one.
+            waiter.next_request_ms = now_ms
             return hold
         if isinstance(message, GrantQueued):
-            # The next question only makes sure that the home still knows: asking at
-            # once would go round as fast as messages travel.
-            waiter.ask_ms = now_ms + QUEUED_RESEND_MS
+            # The next request only checks that the home still has it queued. If it were
+            # sent at once, requests and replies would loop as fast as messages travel.
+            waiter.next_request_ms = now_ms + QUEUED_RESEND_MS
         elif isinstance(message, NotHome):
-            waiter.hint = message.home_host
-            waiter.ask_ms = now_ms + NOT_HOME_PAUSE_MS
+            waiter.home_hint = message.home_host
+            waiter.next_request_ms = now_ms + NOT_HOME_DELAY_MS
         return None
 
-    def _count_silence(self, waiter):
-        """Report a home that leaves several questions in a row without an answer."""
+    def _count_timeout(self, waiter):
+        """Record a missing reply; report the home after several in a row."""
         waiter.unanswered += 1
-        waiter.silences += 1
-        if waiter.asked:
-            self._reconnect(waiter.asked)
-        if waiter.asked and waiter.unanswered == MAX_UNANSWERED:
+        waiter.timeouts_since_reply += 1
+        if waiter.queried_home:
+            self._reconnect(waiter.queried_home)
+        if waiter.queried_home and waiter.unanswered == MAX_UNANSWERED:
             waiter.unanswered = 0
-            self._on_unresponsive(waiter.asked)
+            self._on_unresponsive(waiter.queried_home)
 
     async def _next_reply(self, waiter, until_ms):
         wait_s = max(0, until_ms - self._clock.now_ms()) / MS_PER_S
@@ -312,8 +319,8 @@
         except TimeoutError:
             return None
 
-    def _take(self, waiter, message, brief, late_ms):
-        """Return the grant, or None when it was too long under way."""
+    def _accept_grant(self, waiter, message, brief, late_ms):
+        """Return the grant, or None when it expired in transit."""
         hold = GrantHold(
             pool=message.pool,
             brief=brief,
@@ -322,7 +329,7 @@
             address=message.address,
             version=message.version,
             expires_ms=self._clock.now_ms() + message.expires_in_ms - late_ms,
-            home=waiter.asked,
+            home=waiter.queried_home,
             is_alone=waiter.is_alone,
             is_cold=message.is_cold,
         )
@@ -332,9 +339,9 @@
         self._held[hold.grant_id] = hold
         if self._usage_log is not None:
             now_ms = self._clock.now_ms()
-            home_run = granting_incarnation(hold.grant_id)
+            home_incarnation = granting_incarnation(hold.grant_id)
             self._usage_log.add(
-                hold.pool, home_run, brief.customer, brief.units, now_ms
+                hold.pool, home_incarnation, brief.customer, brief.units, now_ms
             )
         return hold
 
@@ -349,17 +356,17 @@
             self._send(target, message)
 
     def report_first_token(self, hold, first_token_ms):
-        """Tell the home how long the first token of an answer took."""
+        """Report the time to first token of an answer to the home."""
         message = FirstToken(
             pool=hold.pool, grant_id=hold.grant_id, first_token_ms=first_token_ms
         )
-        self._tell_homes(hold, message)
+        self._notify_homes(hold, message)
 
     def report_outdated(self, hold, error):
-        """Tell the home what it did not know of the upstream that it granted.
+        """Report to the home what it did not know of the upstream that it granted.
 
-        Failure: a home that is behind grants an upstream again and again that no host
-        may send to.
+        Failure: a home with outdated state keeps granting an upstream that no host may
+        send to.
 
         Parameters
         ==========
@@ -367,17 +374,18 @@
         error : GrantOutdated
         """
         if error.version is not None:
-            self._send(hold.home, _news(error))
+            self._send(hold.home, _outdated_message(error))
 
-    def _tell_homes(self, hold, message):
-        """Send a message on a grant to whoever may count it.
+    def _notify_homes(self, hold, message):
+        """Send a message about a grant to every home that may count it.
 
         Failure: hosts disagree for a second on which of them is home. A grant of one
-        home is given back to the other, and holds its place at the first until long
-        after its request's deadline. So the home that gave it hears of it, the present
-        one, which may have taken it over, and each that has asked for it since.
+        home is released at the other, and occupies its slot at the first until long
+        after its request's deadline. So the message goes to the home that issued the
+        grant, to the present home, which may have adopted it, and to each home that it
+        was reported to since.
         """
-        homes = {self._home_of(hold.pool), *self._counted_at.get(hold.grant_id, ())}
+        homes = {self._home_of(hold.pool), *self._claiming_homes.get(hold.grant_id, ())}
         if hold.is_alone:
             own = msgspec.structs.replace(message, is_alone=True)
             self._send(self._own_id(), own)
@@ -387,7 +395,7 @@
             self._send(home, message)
 
     def release(self, hold, outcome):
-        """Give a grant back.
+        """Release a grant and report its outcome to the homes that may count it.
 
         Parameters
         ==========
@@ -397,7 +405,7 @@
         if self._held.pop(hold.grant_id, None) is None:
             return
         self._send_release(hold, outcome.kind.value, outcome)
-        self._counted_at.pop(hold.grant_id, None)
+        self._claiming_homes.pop(hold.grant_id, None)
 
     def _release_unsent(self, hold):
         self._send_release(hold, "not_sent", None)
@@ -414,10 +422,10 @@
             cached_tokens=outcome.cached_tokens if outcome else 0,
             token_us=outcome.token_us if outcome else -1,
         )
-        self._tell_homes(hold, message)
+        self._notify_homes(hold, message)
 
     def on_message(self, message, late_ms, sender=""):
-        """Take a reply of a home.
+        """Handle a home's reply.
 
         Parameters
         ==========
@@ -430,32 +438,33 @@
         if waiter is not None:
             waiter.inbox.put_nowait((message, late_ms))
         elif isinstance(message, GrantReply) and message.grant_id not in self._held:
-            # The request was given up, or has another grant, while this one was
-            # under way: the home must have the place back.
-            self._send_release(_hold_of(message, sender), "not_sent", None)
+            # The request ended, or got another grant, while this one was in transit:
+            # the home has to free the slot.
+            self._send_release(_hold_from_reply(message, sender), "not_sent", None)
 
     def on_homes_changed(self):
-        """Ask the new homes at once for what waits at former ones."""
+        """Send requests that wait at a former home to the new one at once."""
         for waiter in self._waiters.values():
-            if waiter.asked != self._home_of(waiter.pool):
-                waiter.inbox.put_nowait((_ASK_AGAIN, 0))
+            if waiter.queried_home != self._home_of(waiter.pool):
+                waiter.inbox.put_nowait((_RESEND, 0))
 
     def report_held(self, pool, home_incarnation, home):
-        """Return the answer to a new home's question.
+        """Return the grants held here, in reply to a new home's query.
 
-        Failure: a home is killed and starts again at its address. Taken for the run
-        that had counted what was spent, it is not told, and gives a customer its
-        allowance once more. So runs are told apart, not hosts.
+        Failure: a home is killed and starts again at its address. Mistaken for the
+        process that had counted the usage itself, it gets no report of it and grants a
+        customer its quota once more. So homes are told apart by incarnation, not by
+        host.
 
         Parameters
         ==========
         pool, home_incarnation, home : str
-            The home by its run and by its address.
+            The home is given by its incarnation and by its address.
         """
         held = [hold for hold in self._held.values() if hold.pool == pool]
         for hold in held:
-            self._counted_at.setdefault(hold.grant_id, set()).add(home)
-        grants = tuple(_held_grant(hold) for hold in held)
+            self._claiming_homes.setdefault(hold.grant_id, set()).add(home)
+        grants = tuple(_held_grant_message(hold) for hold in held)
         spent = ()
         if self._usage_log is not None:
             now_ms = self._clock.now_ms()
@@ -470,7 +479,7 @@
         )
 
     def send_held_ids(self, pools):
-        """Tell the home of each pool which grants this host still holds."""
+        """Send the ids of the grants that this host still holds to the pools' homes."""
         for pool in pools:
             home = self._home_of(pool)
             ids = tuple(h.grant_id for h in self._held.values() if h.pool == pool)
@@ -479,29 +488,29 @@
 
 
 @functools.singledispatch
-def _news(error):
-    """Return the message that tells a home why a grant is outdated."""
+def _outdated_message(error):
+    """Return the message that reports to a home why a grant is outdated."""
     raise TypeError(type(error).__name__)
 
 
-@_news.register
+@_outdated_message.register
 def _(error: UpstreamLeft):
     return LeftUpstream(upstream_id=error.upstream_id, version=error.version)
 
 
-@_news.register
+@_outdated_message.register
 def _(error: UpstreamEvacuated):
     return EvacuatedDomain(failure_domain=error.failure_domain, version=error.version)
 
 
-@_news.register
+@_outdated_message.register
 def _(error: UpstreamCold):
     return ColdUpstream(
         upstream_id=error.upstream_id, version=error.version, cold_ms=error.cold_ms
     )
 
 
-def _held_grant(hold):
+def _held_grant_message(hold):
     return HeldGrant(
         brief=hold.brief,
         grant_id=hold.grant_id,
@@ -511,7 +520,7 @@
     )
 
 
-def _hold_of(message, home):
+def _hold_from_reply(message, home):
     brief = RequestBrief(
         request_id=message.request_id,
         route="",
--- a/libs/host/src/hemlockhoist/host/handover.py
+++ b/libs/host/src/hemlockhoist/host/handover.py
@@ -1,8 +1,8 @@
-"""Handing open streams over to other hosts, when a planned stop takes too long."""
+"""Handover of open streams to other hosts when a planned stop takes too long."""
 
 
 class StreamHandover:
-    """The streams that this host relays, and whether they have to move.
+    """The streams that this host relays, and whether they are to be handed over.
 
     Examples
     ========
@@ -20,18 +20,18 @@
         self.begun = False
 
     def add(self, relay):
-        """Note a stream that is being relayed."""
+        """Register a stream that is being relayed."""
         self._relays.add(relay)
 
     def discard(self, relay):
-        """Forget a stream that has ended."""
+        """Unregister a stream that has ended."""
         self._relays.discard(relay)
 
     def begin(self):
-        """Have every stream that can move tell its caller where to go on.
+        """Have every resumable stream direct its caller to another host.
 
-        A stream may be silent for long; its read is interrupted, or it would be found
-        out only with its next piece.
+        The pending read of each stream is interrupted: a stream may carry no data for a
+        long time, and would notice the handover only with its next event.
         """
         self.begun = True
         for relay in tuple(self._relays):
--- a/libs/host/src/hemlockhoist/host/message_router.py
+++ b/libs/host/src/hemlockhoist/host/message_router.py
@@ -1,4 +1,4 @@
-"""Where peers' messages go: one handler for each type."""
+"""Routes messages of peers to the services of a host by message type."""
 
 import functools
 
@@ -43,10 +43,10 @@
 
 
 class MessageRouter:
-    """Hands messages to the parts of a host, once it is open.
+    """Passes messages to the services of a host once it is open.
 
-    The socket for peers is opened first, since its address belongs to the host's
-    identity; what arrives before the parts stand is dropped, as if lost.
+    The peer socket is opened before the services exist, since its address is part of
+    the host's identity. Messages that arrive until then are dropped, as if lost.
     """
 
     __slots__ = ("_context",)
@@ -55,7 +55,7 @@
         self._context = None
 
     def open(self, context):
-        """Begin to hand messages on.
+        """Start passing messages on.
 
         Parameters
         ==========
@@ -64,19 +64,19 @@
         self._context = context
 
     def on_message(self, sender, message, late_ms):
-        """Take one message of a peer, or of this host itself."""
+        """Handle a message from a peer or from this host itself."""
         if self._context is not None:
             _handle(message, self._context, sender, late_ms)
 
     def on_connection_lost(self, host_id):
-        """Take the end of a connection to a peer."""
+        """Handle the end of a connection to a peer."""
         if self._context is not None:
             self._context.fleet.on_broken(host_id)
 
 
 @functools.singledispatch
 def _handle(message, context, sender, late_ms):
-    """Do what a message asks for."""
+    """Pass a message to the service that handles its type."""
     raise TypeError(type(message).__name__)
 
 
--- a/libs/host/src/hemlockhoist/host/tests/test_grants.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_grants.py
@@ -33,23 +33,23 @@
 UPSTREAM = Upstream(upstream_id="u", pool="chat", version="v1", address="127.0.0.1:1")
 
 
-class Wire:
-    """Carries messages between one entry host and homes, with faults."""
+class FakeNetwork:
+    """Delivers messages between one entry host and homes, with faults."""
 
     def __init__(self):
         self.homes = {}
         self.client = None
-        self.drop = lambda message: False
+        self.should_drop = lambda message: False
         self.delay_ms = 0
         self.sent = []
 
     def from_entry(self, host, message):
         self.sent.append(message)
-        if not self.drop(message) and host in self.homes:
+        if not self.should_drop(message) and host in self.homes:
             asyncio.get_running_loop().call_soon(self._to_home, host, message)
 
     def from_home(self, host, message):
-        if self.drop(message) or isinstance(message, HomeClosed):
+        if self.should_drop(message) or isinstance(message, HomeClosed):
             return
         loop = asyncio.get_running_loop()
         loop.call_later(self.delay_ms / 1000, self._to_entry, message, self.delay_ms)
@@ -82,13 +82,16 @@
 class GrantHarness(PausedTestCase):
     async def asyncSetUp(self):
         self.clock = Clock(asyncio.get_running_loop())
-        self.wire = Wire()
-        self.silent = []
+        self.network = FakeNetwork()
+        self.unresponsive = []
         self.home = "h1"
         self.client = GrantClient(
-            self.clock, self.wire.from_entry, lambda pool: self.home, self.silent.append
+            self.clock,
+            self.network.from_entry,
+            lambda pool: self.home,
+            self.unresponsive.append,
         )
-        self.wire.client = self.client
+        self.network.client = self.client
         self._add_home("h1")
 
     def _add_home(self, name):
@@ -103,12 +106,12 @@
             scheduler,
             identity,
             self.clock,
-            self.wire.from_home,
+            self.network.from_home,
             (POOL, TIERS),
             Traces.from_config(None, 0, name),
         )
         home.set_upstreams([UPSTREAM])
-        self.wire.homes[name] = home
+        self.network.homes[name] = home
         return home
 
     def _brief(self, request_id):
@@ -134,25 +137,25 @@
             await asyncio.sleep(0.05)
 
 
-class CountedElsewhereTests(GrantHarness):
-    async def test_each_home_that_asked_is_told_of_the_end(self):
-        """All places are taken for seconds as homes change, with engines idle.
+class AdoptedGrantTests(GrantHarness):
+    async def test_every_home_that_adopted_a_grant_is_sent_its_release(self):
+        """Guards against slots that stay occupied for seconds after a change of home.
 
-        A home asked what is held and counted it. To the entry host another one was
-        home, which alone heard of the end.
+        A home queried the held grants and counted them, but the entry host sent the
+        release only to the host that it considered home.
         """
         hold = await self._acquire("r1")
-        heir = self._add_home("h2")
-        heir.start((ENTRY,))
+        new_home = self._add_home("h2")
+        new_home.start((ENTRY,))
         await asyncio.sleep(0.1)
-        self.assertEqual(heir.counts(), (0, 1))
+        self.assertEqual(new_home.counts(), (0, 1))
         self.client.release(hold, Outcome(kind=OutcomeKind.SUCCESS, total_ms=5))
         await asyncio.sleep(0.1)
-        self.assertEqual(heir.counts(), (0, 0))
-        self.assertEqual(self.wire.homes["h1"].counts(), (0, 0))
+        self.assertEqual(new_home.counts(), (0, 0))
+        self.assertEqual(self.network.homes["h1"].counts(), (0, 0))
 
 
-class FormerHomeTests(PausedTestCase):
+class PredecessorHomeTests(PausedTestCase):
     def home(self, name, sent):
         scheduler = PoolScheduler.from_config(POOL, TIERS, name)
         identity = HostIdentity(
@@ -168,36 +171,36 @@
             Traces.from_config(None, 0, name),
         )
 
-    async def test_home_asks_again_when_the_former_one_has_ended(self):
-        """A customer is served 2 % more than its bound as two hosts are home at once.
+    async def test_home_queries_again_when_its_predecessor_has_closed(self):
+        """Guards against a customer getting 2 % more than its quota from two homes.
 
-        Each took itself for it for a second. What the former gave out after the next
-        one had asked was counted by neither.
+        Both hosts acted as home for a second. Grants that the predecessor issued after
+        the new home had sent its queries were counted by neither.
         """
         sent = []
-        heir = self.home("h2", sent)
-        heir.start((ENTRY, "other"))
-        heir.forget_host("other")
+        new_home = self.home("h2", sent)
+        new_home.start((ENTRY, "other"))
+        new_home.forget_host("other")
         report = HeldGrants(pool="chat", home_incarnation="h2", grants=())
-        heir.on_held_grants(ENTRY, report)
-        self.assertFalse(heir.recovering)
+        new_home.on_held_grants(ENTRY, report)
+        self.assertFalse(new_home.recovering)
         self.home("h1", sent).close("h2")
         self.assertEqual(sent[-1], ("h2", HomeClosed(pool="chat")))
         sent.clear()
-        heir.on_predecessor_closed()
+        new_home.on_predecessor_closed()
         self.assertEqual([host for host, _ in sent], [ENTRY])
-        self.assertTrue(heir.recovering)
-        heir.on_held_grants(ENTRY, report)
-        self.assertFalse(heir.recovering)
+        self.assertTrue(new_home.recovering)
+        new_home.on_held_grants(ENTRY, report)
+        self.assertFalse(new_home.recovering)
 
 
-class SpentReportTests(PausedTestCase):
-    async def test_home_that_restarted_is_told_what_it_had_granted(self):
-        """A customer is served more than its allowance after its home was killed.
+class UsageReportTests(PausedTestCase):
+    async def test_restarted_home_is_sent_the_usage_under_its_predecessor(self):
+        """Guards against a customer exceeding its quota after its home was killed.
 
-        The home's process starts again at its address, and is home again. The entry
-        hosts took it for the one that had counted their requests itself, and left them
-        out of their answer.
+        The home's process starts again at its address and is home again. The entry
+        hosts mistook it for the process that had counted their requests itself, and
+        omitted them from their reports.
         """
         clock = Clock(asyncio.get_running_loop())
         sent = []
@@ -220,7 +223,9 @@
                 first_token_in_ms=9_000,
             )
 
-        asked = asyncio.create_task(client.acquire("chat", brief, clock.now_ms() + 900))
+        acquiring = asyncio.create_task(
+            client.acquire("chat", brief, clock.now_ms() + 900)
+        )
         await asyncio.sleep(0)
         client.on_message(
             GrantReply(
@@ -234,15 +239,15 @@
             ),
             0,
         )
-        await asked
+        await acquiring
         self.assertEqual(client.report_held("chat", "run1", "h1").spent, ())
         ((customer, parts),) = client.report_held("chat", "run2", "h1").spent
         self.assertEqual((customer, sum(units for _, units in parts)), ("port", 500))
 
 
 class GrantTests(GrantHarness):
-    async def test_a_lost_reply_gives_the_same_grant_again(self):
-        """The home's reply is lost; the repeated question gets the same grant."""
+    async def test_repeated_request_after_a_lost_reply_gets_the_same_grant(self):
+        """The home's reply is lost; the repeated request gets the same grant."""
         lost = []
 
         def drop_first(message):
@@ -251,48 +256,50 @@
                 return True
             return False
 
-        self.wire.drop = drop_first
+        self.network.should_drop = drop_first
         hold = await self._acquire("r1")
         self.assertEqual(hold.grant_id, lost[0].grant_id)
 
-    async def test_grant_that_comes_after_its_end_is_not_used(self):
-        """
-        The network holds replies back for 3 s, longer than a grant lasts. The entry
-        host must not dispatch under one: the home has counted the place as free, and
-        a version may have been halted since. Its places are not lost either.
+    async def test_grant_that_expired_in_transit_is_not_used(self):
+        """Replies are delayed by 3 s, which is longer than a grant is valid.
+
+        The entry host must not dispatch under such a grant: the home has counted the
+        slot as free, and a version may have been halted since. The slots are not lost
+        either.
         """
-        self.wire.delay_ms = 3_000
+        self.network.delay_ms = 3_000
         with self.assertRaises(Refused) as caught:
             await self._acquire("r1", wait_ms=8_000)
         self.assertIs(caught.exception.code, ResultCode.DEADLINE_PASSED)
-        self.wire.delay_ms = 0
+        self.network.delay_ms = 0
         await asyncio.sleep(10)
         self.assertEqual((await self._acquire("r2")).brief.request_id, "r2")
 
-    async def test_queued_request_asks_again_as_fast_as_messages_travel(self):
-        """
-        A request waits in the home's queue for 10 s. Each "queued" was answered with
-        the same question at once: a message storm between the two hosts, at 100 % of
-        a core on each, for as long as anything is queued anywhere.
+    async def test_queued_request_is_not_sent_again_on_each_reply(self):
+        """Guards against a message storm while a request waits in the queue for 10 s.
+
+        Each ``GrantQueued`` reply was answered with the same request at once, which
+        took 100 % of a core on both hosts for as long as anything was queued.
         """
         await self._acquire("r1")
         task = asyncio.create_task(self._acquire("r2"))
         await asyncio.sleep(10)
-        questions = [m for m in self.wire.sent if isinstance(m, GrantRequest)]
-        self.assertLess(len(questions), 20)
+        requests = [m for m in self.network.sent if isinstance(m, GrantRequest)]
+        self.assertLess(len(requests), 20)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def test_request_waits_at_the_new_home_when_the_home_moves(self):
-        """
-        A request is queued at a home, and the home moves. It is asked for at the new
-        home at once, not when its next question is due.
+    async def test_queued_request_moves_to_the_new_home_at_once(self):
+        """The home changes while a request is queued there.
+
+        The request is sent to the new home at once, not when its next repetition is
+        due.
         """
         first = await self._acquire("r1")
         task = asyncio.create_task(self._acquire("r2"))
         await asyncio.sleep(0.1)
         new = self._add_home("h2")
-        old = self.wire.homes.pop("h1")
+        old = self.network.homes.pop("h1")
         self.home = "h2"
         new.start([ENTRY])
         old.close("h2")
@@ -302,14 +309,15 @@
         self.client.release(first, Outcome(kind=OutcomeKind.SUCCESS))
         self.assertEqual((await task).brief.request_id, "r2")
 
-    async def test_new_home_grants_nothing_over_the_limit(self):
-        """
-        The home dies while a stream holds the only place. The next home learns of it
-        from the entry host, and a second request waits until the first has ended.
+    async def test_new_home_does_not_exceed_the_limit(self):
+        """The home dies while a stream occupies the only slot.
+
+        The next home learns of it from the entry host, and a second request waits until
+        the first has ended.
         """
         first = await self._acquire("r1")
         new = self._add_home("h2")
-        del self.wire.homes["h1"]
+        del self.network.homes["h1"]
         self.home = "h2"
         new.start([ENTRY])
         task = asyncio.create_task(self._acquire("r2"))
@@ -318,39 +326,40 @@
         self.client.release(first, Outcome(kind=OutcomeKind.SUCCESS))
         await asyncio.wait_for(task, 1)
 
-    async def test_silent_home_is_reported_and_the_caller_answered(self):
-        """
-        The home is frozen. The entry host reports it after two questions without an
-        answer, and no home answering at all ends in a refusal that says "not run".
+    async def test_unresponsive_home_is_reported_and_the_request_refused(self):
+        """The home is frozen.
+
+        The entry host reports it after two requests without a reply. When no home
+        replies at all, the request is refused with a code that says "not run".
         """
-        self.wire.homes.clear()
+        self.network.homes.clear()
         with self.assertRaises(Refused) as caught:
             await self._acquire("r1")
         self.assertIs(caught.exception.code, ResultCode.HOME_UNREACHABLE)
-        self.assertEqual(self.silent[0], "h1")
+        self.assertEqual(self.unresponsive[0], "h1")
 
-    async def test_place_of_a_grant_that_nobody_holds_is_freed(self):
-        """
-        A caller goes away just as its grant is under way, and the message that gives
-        the place back is lost. The upstream's only place would stay taken until the
-        request's deadline, a minute on; the list of held grants frees it.
+    async def test_slot_of_a_lost_grant_is_freed(self):
+        """A caller disconnects while its grant is in transit, and the release is lost.
+
+        The upstream's only slot would stay occupied until the request's deadline, a
+        minute later. The list of held grants frees it.
         """
-        home = self.wire.homes["h1"]
-        self.wire.drop = lambda message: isinstance(
+        home = self.network.homes["h1"]
+        self.network.should_drop = lambda message: isinstance(
             message, GrantReply | GrantCancel | GrantRelease
         )
         with self.assertRaises(Refused):
             await self._acquire("r1", wait_ms=1_000)
-        self.wire.drop = lambda message: False
+        self.network.should_drop = lambda message: False
         self.assertEqual(home.counts(), (0, 1))
         await asyncio.sleep(8)
         self.client.send_held_ids(["chat"])
         await asyncio.sleep(0.1)
         self.assertEqual(home.counts(), (0, 0))
 
-    async def test_duplicated_and_crossed_questions_give_one_grant(self):
-        """Each message arrives twice: one place is taken, one grant is held."""
-        original = self.wire.from_entry
+    async def test_duplicated_messages_give_one_grant(self):
+        """Each message arrives twice: one slot is occupied, one grant is held."""
+        original = self.network.from_entry
 
         def twice(host, message):
             original(host, message)
@@ -360,35 +369,35 @@
         await self._acquire("r1")
         await asyncio.sleep(1)
         self.assertEqual(len(self.client.held()), 1)
-        self.assertEqual(self.wire.homes["h1"].counts(), (0, 1))
+        self.assertEqual(self.network.homes["h1"].counts(), (0, 1))
 
 
-class AloneTests(GrantHarness):
-    """Callers of one host wait while the home of all pools is frozen.
+class StandbyHomeTests(GrantHarness):
+    """Requests of an entry host while the home of all pools is frozen.
 
-    The home answered a suspicion a moment ago, so the fleet keeps it; then it was
-    frozen. Nobody else may be asked. Before, each request waited five seconds and was
-    refused; now the entry host decides by what it knows itself.
+    The home froze just after it had refuted a suspicion, so the fleet still considers
+    it alive and no other host may be queried. Without a standby home, each request
+    waits five seconds and is refused.
     """
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.client = GrantClient(
             self.clock,
-            self.wire.from_entry,
+            self.network.from_entry,
             lambda pool: self.home,
-            self.silent.append,
+            self.unresponsive.append,
             own_id=lambda: ENTRY,
         )
-        self.wire.client = self.client
+        self.network.client = self.client
         self._add_home(ENTRY)
-        self.wire.drop = self._is_for_the_frozen_home
-        self.frozen = True
+        self.network.should_drop = self._is_for_frozen_home
+        self.is_frozen = True
 
-    def _is_for_the_frozen_home(self, message):
-        return self.frozen and not getattr(message, "is_alone", True)
+    def _is_for_frozen_home(self, message):
+        return self.is_frozen and not getattr(message, "is_alone", True)
 
-    async def test_entry_host_decides_alone_within_half_a_second(self):
+    async def test_standby_home_grants_within_half_a_second(self):
         began_ms = self.clock.now_ms()
         hold = await self.client.acquire(
             "chat", self._brief("r1"), self.clock.now_ms() + 60_000
@@ -396,35 +405,35 @@
         self.assertTrue(hold.is_alone)
         self.assertLess(self.clock.now_ms() - began_ms, 500)
 
-    async def test_release_reaches_its_own_decision_and_the_home_that_came_back(self):
-        """Either may count the grant: a new home takes over what the hosts hold."""
+    async def test_release_is_sent_to_the_standby_home_and_the_recovered_home(self):
+        """Either may count the grant: a new home adopts the grants that hosts hold."""
         hold = await self.client.acquire(
             "chat", self._brief("r1"), self.clock.now_ms() + 60_000
         )
-        self.frozen = False
-        self.wire.sent.clear()
+        self.is_frozen = False
+        self.network.sent.clear()
         self.client.release(hold, Outcome(kind=OutcomeKind.SUCCESS, total_ms=5))
-        released = [m for m in self.wire.sent if isinstance(m, GrantRelease)]
+        released = [m for m in self.network.sent if isinstance(m, GrantRelease)]
         self.assertEqual({m.is_alone for m in released}, {False, True})
 
-    async def test_home_that_answers_again_is_asked_again(self):
+    async def test_home_that_replies_again_is_queried_again(self):
         await self.client.acquire(
             "chat", self._brief("r1"), self.clock.now_ms() + 9_000
         )
-        self.frozen = False
+        self.is_frozen = False
         hold = await self.client.acquire(
             "chat", self._brief("r2"), self.clock.now_ms() + 9_000
         )
         self.assertFalse(hold.is_alone)
 
 
-class TwoHomesTests(GrantHarness):
-    async def test_grant_goes_back_to_the_home_that_gave_it(self):
-        """After a restart of all hosts a quarter of all requests is refused.
+class DisagreeingHomesTests(GrantHarness):
+    async def test_grant_is_released_at_the_home_that_issued_it(self):
+        """Guards against a quarter of all requests being refused after a full restart.
 
-        Two hosts take themselves for the home for a second. A grant of the first is
-        given back to the second, which knows nothing of it, and its place at the first
-        stays taken until seventeen seconds later.
+        Two hosts act as home for a second. A grant of the first was released only at
+        the second, which does not know it, and its slot at the first stayed occupied
+        for another seventeen seconds.
         """
         hold = await self.client.acquire(
             "chat", self._brief("r1"), self.clock.now_ms() + 60_000
@@ -433,12 +442,13 @@
         self.home = "h2"
         self.client.release(hold, Outcome(kind=OutcomeKind.SUCCESS, total_ms=5))
         await asyncio.sleep(0.1)
-        self.assertEqual(self.wire.homes["h1"].counts(), (0, 0))
+        self.assertEqual(self.network.homes["h1"].counts(), (0, 0))
 
-    async def test_home_asks_a_host_that_it_learns_of_later(self):
-        """A home that has just started knows half of the fleet.
+    async def test_home_queries_a_host_that_joins_later(self):
+        """A home that has just started knows only half of the fleet.
 
-        The other half's requests run at the engines meanwhile, and were not counted.
+        The requests of the other half run at the engines meanwhile and were not
+        counted.
         """
         await self.client.acquire(
             "chat", self._brief("r1"), self.clock.now_ms() + 60_000
