--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -242,7 +242,7 @@
         if not former:
             await self._tell(order, OrderState.COMPLETED)
             return None
-        return await self._change(
+        return await self._update_row(
             order.pool, lambda row: self._started(row, order, former)
         )
 
--- a/libs/host/src/hemlockhoist/host/configuration.py
+++ b/libs/host/src/hemlockhoist/host/configuration.py
@@ -1,4 +1,4 @@
-"""Declarations on their way from the table service into force on this host."""
+"""Fetches declarations from the table service and peers and puts them in force."""
 
 import asyncio
 
@@ -10,16 +10,17 @@
 
 _log = get_logger("host.configuration")
 
-# The state asks to be called at least once a second; an order of an operator at this
-# host shows on the others within a few of these.
+# The state has to be ticked at least once a second. An operator's change at this host
+# reaches the others within a few ticks.
 TICK_MS = 200
-# Collectors answer within milliseconds; an operator waits this long for the rest.
+# How long an operator's request waits for summaries; collectors reply within
+# milliseconds.
 REPORT_WAIT_MS = 300
 NOT_CONFIRMED = -1
 
 
 class ConfigurationService:
-    """Keeps the configuration's state going and puts newer versions in force.
+    """Drives the configuration state and puts newer versions in force.
 
     Parameters
     ==========
@@ -28,15 +29,15 @@
     send : callable
         ``send(host_id, message)``.
     on_change : callable
-        ``on_change(declarations)``; when it returns, they govern every decision.
+        ``on_change(declarations)`` puts them in force before it returns.
     """
 
     __slots__ = (
         "_context",
+        "_fleet_version",
         "_on_change",
         "_read_task",
         "_row",
-        "_seen_fleet",
         "_send",
         "_state",
         "_task",
@@ -50,10 +51,10 @@
         self._state = None
         self._task = PeriodicTask(TICK_MS, self._tick)
         self._read_task = None
-        self._seen_fleet = None
+        self._fleet_version = None
 
     async def start(self):
-        """Begin to read and to exchange with peers, until ``close``."""
+        """Start reading the row and exchanging versions with peers."""
         identity = self._context.identity
         self._state = ConfigurationState.from_config(
             identity.host_id,
@@ -66,36 +67,36 @@
         await self._task.start()
 
     async def close(self):
-        """Stop."""
+        """Stop the exchange and cancel a read in progress."""
         await self._task.close()
         if self._read_task is not None:
             self._read_task.cancel()
             await asyncio.gather(self._read_task, return_exceptions=True)
 
     def is_ready(self):
-        """Return whether callers may be served under what this host has."""
+        """Return whether callers may be served under this host's declarations."""
         now_ms = self._context.clock.now_ms()
         return self._state is not None and self._state.is_ready(now_ms)
 
     def read_now(self):
-        """Read the row at once, because a change was just accepted here."""
-        self._begin_read()
+        """Read the row at once, since a change was just accepted at this host."""
+        self._start_read()
 
     def on_message(self, message):
-        """Take a peer's message about the configuration."""
+        """Handle a peer's message about the configuration."""
         if self._state is None:
             return
         now_ms = self._context.clock.now_ms()
         self._emit(self._state.on_message(message, now_ms))
-        self._put_in_force()
+        self._apply_newest()
 
     def halt(self, pool, move_id, version):
-        """Have every host, later ones included, learn of a halted version."""
+        """Spread a halted version to every host, including hosts that join later."""
         halted = HaltedVersion(pool=pool, move_id=move_id, version=version)
         self._emit(self._state.halt(halted, self._context.clock.now_ms()))
 
     def is_halted(self, pool, move_id, version):
-        """Return whether a version was taken back under a move."""
+        """Return whether a version was halted in a move."""
         return self._state.is_halted(pool, move_id, version)
 
     async def versions_in_force(self, version):
@@ -111,21 +112,21 @@
 
     def _tick(self):
         now_ms = self._context.clock.now_ms()
-        self._follow_fleet(now_ms)
+        self._apply_fleet(now_ms)
         self._emit(self._state.tick(now_ms))
         if self._state.store_read_due(now_ms):
-            self._begin_read()
+            self._start_read()
 
-    def _follow_fleet(self, now_ms):
+    def _apply_fleet(self, now_ms):
         fleet = self._context.fleet
-        if fleet.version == self._seen_fleet:
+        if fleet.version == self._fleet_version:
             return
-        self._seen_fleet = fleet.version
+        self._fleet_version = fleet.version
         self._state.set_view(fleet.members(), fleet.rank("configuration"), now_ms)
 
-    def _begin_read(self):
-        # One read at a time: a slow store must neither stop the exchange with peers
-        # nor be asked again before it has answered.
+    def _start_read(self):
+        # One read at a time, as a task: a slow store must neither block the exchange
+        # with peers nor be queried again before it has answered.
         if self._read_task is None or self._read_task.done():
             self._read_task = asyncio.create_task(self._read())
 
@@ -139,9 +140,9 @@
         now_ms = self._context.clock.now_ms()
         declarations = self._state.current if newer is None else newer
         self._emit(self._state.on_store_answer(declarations, now_ms))
-        self._put_in_force()
+        self._apply_newest()
 
-    def _put_in_force(self):
+    def _apply_newest(self):
         now_ms = self._context.clock.now_ms()
         declarations = self._state.serving_declarations(now_ms)
         if declarations.version <= self._context.declarations.version:
--- a/libs/host/src/hemlockhoist/host/context.py
+++ b/libs/host/src/hemlockhoist/host/context.py
@@ -1,10 +1,10 @@
-"""What the parts of a host process share."""
+"""State and services shared within a host process."""
 
 from hemlockhoist.host.handover import StreamHandover
 
 
 class HostContext:
-    """The parts of one host process, handed to its HTTP handlers.
+    """The services of one host process and the state that they share.
 
     Attributes
     ==========
@@ -17,7 +17,7 @@
     upstreams : UpstreamClient
     tokens : StreamTokens
     declarations : Declarations
-        Those in force now; replaced as a whole.
+        Those in force, replaced as a whole by each change.
     callers : CallerDirectory
     fleet : Fleet
     ledger : LedgerService
@@ -25,10 +25,11 @@
     metrics : Metrics
     traces : Traces
     handover : StreamHandover
-        Of the open streams, when a planned stop takes too long.
+        Hands open streams over when a planned stop takes too long.
     leaving : bool
+        Whether a planned stop has begun.
     open_requests : int
-        Requests of callers between head and last byte.
+        The number of callers' requests whose answer is not complete.
     """
 
     __slots__ = (
--- a/libs/host/src/hemlockhoist/host/identity.py
+++ b/libs/host/src/hemlockhoist/host/identity.py
@@ -1,4 +1,4 @@
-"""Who a host process is: its id, its incarnation, its addresses."""
+"""Identity of a host process: its id, its incarnation and its addresses."""
 
 import secrets
 
@@ -9,19 +9,19 @@
 
 
 class HostIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """What tells one host process from all others, former ones included.
+    """Distinguishes a host process from all others, earlier ones included.
 
     Parameters
     ==========
     name : str
-        For people.
+        For display.
     incarnation : str
         Drawn at random at each start. A host has no disk, so a counter could not
-        outlive it; 64 random bits do not repeat in the life of a fleet.
+        survive a restart; 64 random bits do not repeat in the lifetime of a fleet.
     address : str
         ``IP:port`` for callers and operators.
     host_id : str
-        ``IP:port`` for peers, by which hosts are told apart.
+        ``IP:port`` for peers, which identifies the host.
     failure_domain : str
     """
 
@@ -32,10 +32,10 @@
     failure_domain: str
 
     def new_request_id(self):
-        """Return an id that no other request of the fleet has."""
+        """Return a request id that is unique in the fleet."""
         return f"{self.incarnation}-{secrets.token_hex(_REQUEST_BYTES)}"
 
 
 def new_incarnation():
-    """Return the id of a process that has just started."""
+    """Return a random incarnation for a process that has just started."""
     return secrets.token_hex(_INCARNATION_BYTES)
--- a/libs/host/src/hemlockhoist/host/ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/ledger_service.py
@@ -1,4 +1,4 @@
-"""The key ledger between this host's callers and its peers."""
+"""Serves the key ledger of this host to its callers and its peers."""
 
 import asyncio
 import functools
@@ -33,13 +33,14 @@
 
 _log = get_logger("host.ledger")
 
-# A caller with a key may use it this long after asking for its prefix, and a repeat
-# gets its answer this long. A record takes 768 bytes: at the size to design for, with
-# every tenth call not idempotent, an hour is 8.6 MB, and six were 51 of a host's 64.
+# How long a key may be used after its prefix was requested, and how long a repeated
+# call gets the stored answer. A record takes 768 bytes. At design load, with every
+# tenth call non-idempotent, one hour takes 8.6 MB, but six hours took 51 MB of the
+# 64 MB of a host.
 RETENTION_MS = 3_600_000
 LOOKUP_RESEND_MS = 200
-# A live holder answers in milliseconds; after this it is dead or cut off, and the
-# caller is told at once that the outcome is unknown.
+# A live holder answers within milliseconds. After this time it is assumed to be dead or
+# partitioned off, and the caller is told that the outcome is unknown.
 LOOKUP_TIMEOUT_MS = 2_000
 MAX_LOOKUP_HOPS = 4
 HANDOVER_RESEND_MS = 200
@@ -48,14 +49,14 @@
 
 
 class KeyClaim(msgspec.Struct, frozen=True):
-    """What a call under a key may do: make the one attempt, or take the answer."""
+    """The right to make the only attempt of a call, or the call's stored answer."""
 
     attempt: Attempt | None = None
     answer: StoredAnswer | None = None
 
 
 class LedgerService:
-    """Claims keys for calls, asks other holders, and answers their questions.
+    """Claims keys for calls, queries other holders and answers their lookups.
 
     Parameters
     ==========
@@ -64,7 +65,7 @@
     send : callable
         ``send(host_id, message)``.
     host_of : callable
-        ``host_of(incarnation)`` gives the id of the live host with it, or "".
+        ``host_of(incarnation)`` returns the id of the live host with it, or "".
     """
 
     __slots__ = ("_clock", "_host_of", "_ledger", "_send", "_waiters")
@@ -78,7 +79,7 @@
 
     @classmethod
     def from_settings(cls, settings, identity, clock, invariants, send, host_of):
-        """Return the service with an empty ledger."""
+        """Return a service with an empty ledger."""
         ledger = KeyLedger.from_config(
             identity.incarnation,
             RETENTION_MS,
@@ -90,15 +91,15 @@
 
     @property
     def in_progress(self):
-        """Number of attempts that have not ended."""
+        """The number of attempts that have not ended."""
         return self._ledger.in_progress_count
 
     def mint_prefix(self):
-        """Return the prefix that callers of this host begin their keys with."""
+        """Return the prefix with which callers of this host begin their keys."""
         return self._ledger.mint_prefix(self._clock.now_ms())
 
     async def claim(self, customer, key_text, fingerprint):
-        """Obtain the right to run a call, or its answer.
+        """Return the right to run a call, or its stored answer.
 
         Parameters
         ==========
@@ -112,7 +113,7 @@
         Raises
         ======
         BadRequest, Refused
-            Not run.
+            The call did not run.
         DispatchError
             The call ran, is running or may have run.
         """
@@ -121,15 +122,15 @@
         result = self._ledger.begin(customer, key, fingerprint, now_ms)
         for _ in range(MAX_LOOKUP_HOPS):
             if not isinstance(result, OwnedBy | WithdrawnTo):
-                return _claim_of(result)
+                return _claim_from_result(result)
             result = await self._look_up(customer, key, result)
-        return _claim_of(
+        return _claim_from_result(
             self._ledger.abandon_lookup(customer, key, self._clock.now_ms())
         )
 
-    async def _look_up(self, customer, key, asked):
-        """Ask the holder of a key until it answers, or for as long as is sensible."""
-        lookup = asked.lookup
+    async def _look_up(self, customer, key, pending):
+        """Query the holder of a key until it answers or the lookup times out."""
+        lookup = pending.lookup
         future = asyncio.get_running_loop().create_future()
         self._waiters[(customer, key.text)] = future
         deadline_ms = self._clock.now_ms() + LOOKUP_TIMEOUT_MS
@@ -143,8 +144,8 @@
                 if done:
                     return future.result()
         except asyncio.CancelledError:
-            # The caller has gone. Left waiting, the record would take a later grant
-            # for the caller's, and stay "in progress" for good.
+            # The caller has disconnected. If its record kept waiting, it would be
+            # granted the key later and stay "in progress" forever.
             self._ledger.abandon_lookup(customer, key, self._clock.now_ms())
             raise
         finally:
@@ -153,7 +154,7 @@
         return self._ledger.abandon_lookup(customer, key, self._clock.now_ms())
 
     async def run(self, attempt, dispatch):
-        """Run a claimed call and record what came of it.
+        """Run a claimed call and record its outcome.
 
         Parameters
         ==========
@@ -163,14 +164,14 @@
 
         Notes
         =====
-        The call runs in a task of its own: a caller that hangs up in the middle of a
-        booking must not leave its record without an end.
+        The call runs in a task of its own, so that its outcome is recorded even when
+        the caller disconnects while it runs.
         """
         task = asyncio.create_task(self._run(attempt, dispatch))
         return await asyncio.shield(task)
 
     async def _run(self, attempt, dispatch):
-        on_open = functools.partial(self._dispatching, attempt)
+        on_open = functools.partial(self._mark_dispatched, attempt)
         try:
             answer = await dispatch(on_open)
         except (Refused, BadRequest):
@@ -182,24 +183,24 @@
         self._ledger.mark_finished(attempt, answer, self._clock.now_ms())
         return answer
 
-    def _dispatching(self, attempt):
+    def _mark_dispatched(self, attempt):
         self._ledger.mark_dispatched(attempt, self._clock.now_ms())
 
     def on_message(self, sender, message):
-        """Take a peer's message about keys."""
+        """Handle a peer's message about keys."""
         _handle(message, self, sender)
 
     def record_successor(self, incarnation, successor):
-        """Remember who took over the ledger of a host that left."""
+        """Record which incarnation took over the ledger of a host that left."""
         self._ledger.record_successor(incarnation, successor)
 
     async def hand_over(self, successor):
-        """Hand the ledger to the incarnation ``successor`` before leaving.
+        """Hand the ledger over to the incarnation ``successor`` before leaving.
 
         Returns
         =======
         bool
-            Whether the successor has all of it.
+            Whether the successor has confirmed all of it.
         """
         deadline_ms = self._clock.now_ms() + HANDOVER_TIMEOUT_MS
         while self._clock.now_ms() < deadline_ms:
@@ -227,7 +228,7 @@
         if future is not None and not future.done():
             future.set_result(result)
         elif isinstance(result, Proceed):
-            # The right came, and nobody waits to use it.
+            # The key was granted, but no caller waits to use it.
             self._ledger.mark_not_run(result.attempt, self._clock.now_ms())
 
     def _on_handover(self, sender, message):
@@ -244,7 +245,7 @@
 
 @functools.singledispatch
 def _handle(message, service, sender):
-    """Do what a peer's message asks of the ledger."""
+    """Pass a peer's message to the method that handles its type."""
     raise TypeError(type(message).__name__)
 
 
@@ -269,25 +270,25 @@
 
 
 @functools.singledispatch
-def _claim_of(result):
-    """Return the claim that a ledger's result stands for, or raise its error."""
+def _claim_from_result(result):
+    """Return the claim for a result of the ledger, or raise the result's error."""
     row = info(result.code)
-    raise _ERROR_OF_RAN[row.ran.value](
+    raise _ERROR_BY_RAN[row.ran.value](
         "", result.code, RETRY_AFTER_MS if row.retryable else None
     )
 
 
-@_claim_of.register
+@_claim_from_result.register
 def _(result: Proceed):
     return KeyClaim(attempt=result.attempt)
 
 
-@_claim_of.register
+@_claim_from_result.register
 def _(result: Replay):
     return KeyClaim(answer=result.answer)
 
 
-_ERROR_OF_RAN: dict[str, type[HemlockhoistError]] = {
+_ERROR_BY_RAN: dict[str, type[HemlockhoistError]] = {
     "not run": Refused,
     "run": DispatchError,
     "outcome unknown": DispatchError,
--- a/libs/host/src/hemlockhoist/host/moves.py
+++ b/libs/host/src/hemlockhoist/host/moves.py
@@ -1,4 +1,4 @@
-"""Version moves at the homes of their pools: rows, leases, announcements."""
+"""Runs version moves at the homes of their pools: rows, leases and announcements."""
 
 import collections
 
@@ -33,23 +33,26 @@
 _log = get_logger("host.moves")
 
 TABLE = "moves"
-# How often a home judges its move and writes what follows.
+# How often a home evaluates its move and writes the resulting row.
 TICK_MS = 200
-# While no pool at home here has a move: each wake-up of an idle host counts as control.
+# Used while no pool at home here has a move, since each wake-up of an idle host counts
+# as control overhead.
 IDLE_TICK_MS = 1_000
-# An operator's order reaches the home by its row in the table service.
+# How often the rows are read. An operator's order reaches the home by its row in the
+# table service.
 READ_INTERVAL_MS = 1_000
-# Told to the hosts next in line to be home, who need it when the store is down.
+# How often a move is announced to the next hosts in line as home, which need it when
+# the store is down.
 ANNOUNCE_INTERVAL_MS = 2_000
 LEASE_MS = 10_000
 MAX_EVENTS = 200
-# After a failure of the store, before a row is tried again; what was halted is in
-# force without it.
-STORE_REST_MS = 2_000
+# Delay after a failure of the store before a row is read or written again. A halt is in
+# force without the store.
+STORE_BACKOFF_MS = 2_000
 
 
 class MoveService:
-    """Runs the move controllers of the pools at home here.
+    """Runs the move controllers of the pools whose home is at this host.
 
     Parameters
     ==========
@@ -63,10 +66,10 @@
 
     __slots__ = (
         "_announced",
+        "_backoff_until_ms",
         "_context",
         "_controllers",
         "_leases",
-        "_rest_until_ms",
         "_send",
         "_tables",
         "_tasks",
@@ -80,7 +83,7 @@
         self._controllers = {}
         self._announced = {}
         self._leases = {}
-        self._rest_until_ms = 0
+        self._backoff_until_ms = 0
         self._tasks = (
             PeriodicTask(self._tick_ms, self._tick_all),
             PeriodicTask(READ_INTERVAL_MS, self._read_all),
@@ -89,12 +92,12 @@
         self.events = collections.deque(maxlen=MAX_EVENTS)
 
     async def start(self):
-        """Begin to judge and to write."""
+        """Start evaluating moves, reading their rows and announcing them."""
         for task in self._tasks:
             await task.start()
 
     async def close(self):
-        """Stop, and give leases up."""
+        """Stop, and release the leases."""
         for task in self._tasks:
             await task.close()
         for lease in self._leases.values():
@@ -105,19 +108,19 @@
                 _log.warning("lease_not_released", reason=error.message)
 
     def open_pool(self, pool):
-        """Return the version policy for a pool that this host is now home of."""
-        controller = self._controllers[pool.name] = self._open(pool)
+        """Return the version policy for a pool whose home has started here."""
+        controller = self._controllers[pool.name] = self._open_controller(pool)
         return controller
 
     def open_standby(self, pool):
-        """Return the version policy of a pool for which this host decides alone.
+        """Return the version policy for a standby home of a pool.
 
-        It grants within the shares that are known here and halts by its own evidence;
-        only the pool's home widens shares.
+        It grants within the shares known at this host and halts versions by its own
+        evidence. Only the pool's home widens shares.
         """
-        return self._open(pool)
+        return self._open_controller(pool)
 
-    def _open(self, pool):
+    def _open_controller(self, pool):
         now_ms = self._context.clock.now_ms()
         announcement = self._announced.get(pool.name)
         row = announcement.row if announcement else None
@@ -131,22 +134,22 @@
             pool, row, now_ms, self._fleet_time_ms(), self._context.invariants
         )
 
-    # What a fleet on another platform does in its own way.
+    # Methods overridden for fleets on other platforms.
 
     def _fleet_time_ms(self):
-        """Return the time that all hosts agree on, in milliseconds."""
+        """Return the time shared by all hosts, in milliseconds."""
         return self._context.clock.unix_ms()
 
     def _may_have_move(self, pool):
-        """Return whether a pool may have a move that its home has to read."""
+        """Return whether a pool may have a move, so that its row has to be read."""
         return True
 
     def _recipients(self, pool):
-        """Return the hosts that need to know where a pool's move stands."""
+        """Return the hosts to which the state of a pool's move is announced."""
         return self._context.fleet.homes(pool, 0)
 
     def _publish_halt(self, pool, move_id, version):
-        """Put a halt where hosts that missed its message find it."""
+        """Publish a halt where hosts that missed its message learn of it."""
         self._context.configuration.halt(pool, move_id, version)
 
     def _is_halted(self, move):
@@ -156,17 +159,17 @@
         )
 
     def _revoke(self, message):
-        """Stop what this host holds and has not sent to a halted version."""
+        """Revoke this host's unused grants of a halted version."""
         self._context.dispatcher.revoke(message.pool, message.version, message.reason)
 
     def redeclare(self, pool):
-        """Put a changed record of a pool in force."""
+        """Apply a changed declaration of a pool."""
         controller = self._controllers.get(pool.name)
         if controller is not None:
             controller.redeclare(pool)
 
     def close_pool(self, pool):
-        """Forget a pool that another host is now home of."""
+        """Discard the controller of a pool whose home at this host has closed."""
         self._controllers.pop(pool, None)
 
     def _tick_ms(self):
@@ -179,14 +182,16 @@
 
     async def _tick(self, pool, controller):
         for event in controller.tick(self._context.clock.now_ms()):
-            self._note(event)
-        self._tell_halts(pool, controller)
-        if self._context.clock.now_ms() < self._rest_until_ms:
+            self._record_event(event)
+        self._announce_halts(pool, controller)
+        if self._context.clock.now_ms() < self._backoff_until_ms:
             return
-        fencing = await self._fencing(pool) if self._is_running(controller) else None
+        fencing = (
+            await self._fencing_token(pool) if self._is_running(controller) else None
+        )
         basis = controller.row
-        # Asked once a round: the controller plans a step at each question, and would
-        # have none to give at the second.
+        # Called once per tick: the controller plans a step at each call, and a second
+        # call in the same tick would return none.
         wanted = controller.wanted_row(self._context.clock.now_ms(), fencing)
         if wanted is not None:
             await self._write(pool, controller, basis, wanted)
@@ -194,7 +199,7 @@
     def _is_running(self, controller):
         return controller.row is not None and controller.row.state is MoveState.RUNNING
 
-    def _note(self, event):
+    def _record_event(self, event):
         kind = type(event).__name__
         fields = msgspec.to_builtins(event)
         self.events.append({"event": kind, **fields})
@@ -205,11 +210,11 @@
             metric = MOVES_LATE if event.late_ms else MOVES_IN_TIME
             self._context.metrics.count(metric, event.pool)
 
-    def _tell_halts(self, pool, controller):
-        """Tell every host of what was halted since the last round.
+    def _announce_halts(self, pool, controller):
+        """Notify every host of versions halted since the last tick.
 
-        A halt is rare and must not wait for the next announcement: entry hosts still
-        hold grants of the bad version that they have not used.
+        A halt is rare and must not wait for the next announcement, since entry hosts
+        still hold unused grants of the bad version.
         """
         known = self._announced.get(pool)
         announcement = controller.announcement()
@@ -230,8 +235,8 @@
                 self._send(host, message)
             self._publish_halt(pool, message.move_id, version)
 
-    async def _fencing(self, pool):
-        """Return the fencing number of a live lease on the pool's moves, or None."""
+    async def _fencing_token(self, pool):
+        """Return the fencing token of a held lease on the pool's moves, or None."""
         lease = self._leases.get(pool)
         if lease is None:
             lease = Lease.from_config(
@@ -248,12 +253,13 @@
             elif lease.remaining_ms() < self.lease_ms // 2:
                 await lease.renew()
         except PlatformError:
-            # The store is out, or another host has the lease: both take a while.
-            self._rest()
+            # The store is unavailable or another host holds the lease. Neither changes
+            # quickly.
+            self._back_off()
         return lease.fencing if lease.held() else None
 
     async def _write(self, pool, controller, basis, wanted):
-        """Write the row that follows ``basis``, if that is what stands there now."""
+        """Write the row ``wanted`` if the stored row still equals ``basis``."""
         try:
             row = await self._tables.read(TABLE, pool, Move)
             if row is None or row.value != basis:
@@ -262,17 +268,17 @@
             written = await self._tables.put(TABLE, pool, wanted, row.version)
             self._observe(controller, written)
         except StoreConflict:
-            # Another host or an operator wrote first; the next round reads that.
+            # Another host or an operator wrote first; the next tick reads that row.
             return
         except PlatformError as error:
             _log.warning("move_not_written", pool=pool, reason=error.message)
-            self._rest()
+            self._back_off()
 
-    def _rest(self):
-        self._rest_until_ms = self._context.clock.now_ms() + STORE_REST_MS
+    def _back_off(self):
+        self._backoff_until_ms = self._context.clock.now_ms() + STORE_BACKOFF_MS
 
     def _observe(self, controller, row):
-        """Take a row, and what any host has halted under its move."""
+        """Apply a stored row, and a halt of its move by any host, to a controller."""
         if row is None:
             return
         now_ms = self._context.clock.now_ms()
@@ -284,17 +290,17 @@
 
     async def _read_all(self):
         for pool, controller in list(self._controllers.items()):
-            is_resting = self._context.clock.now_ms() < self._rest_until_ms
-            if self._may_have_move(pool) and not is_resting:
+            is_backing_off = self._context.clock.now_ms() < self._backoff_until_ms
+            if self._may_have_move(pool) and not is_backing_off:
                 await self._read(pool, controller)
 
     async def _read(self, pool, controller):
-        """Take the row as the store has it; return whether it could be read."""
+        """Read and apply the stored row; return whether it could be read."""
         try:
             row = await self._tables.read(TABLE, pool, Move)
         except PlatformError as error:
             _log.warning("move_not_read", pool=pool, reason=error.message)
-            self._rest()
+            self._back_off()
             return False
         self._observe(controller, row)
         return True
@@ -314,7 +320,7 @@
                 self._send(host, message)
 
     def on_announced(self, message):
-        """Keep, and merge, what a pool's home tells of its move."""
+        """Store a home's announcement of its move and merge it into a controller."""
         announcement = msgspec.json.decode(message.row, type=MoveAnnouncement)
         self._announced[message.pool] = announcement
         controller = self._controllers.get(message.pool)
@@ -322,7 +328,7 @@
             controller.observe_announcement(announcement, self._context.clock.now_ms())
 
     def on_halted(self, message):
-        """Stop granting, and using grants of, a version that another host halted."""
+        """Stop issuing and using grants of a version that another host halted."""
         self._revoke(message)
         controller = self._controllers.get(message.pool)
         row = controller.row if controller is not None else None
@@ -331,7 +337,7 @@
             controller.halt(message.version, message.reason, now_ms)
 
     def leases(self):
-        """Return the leases on moves that this host has asked for, for ``status``."""
+        """Return the leases on moves that this host has requested, for ``status``."""
         return [
             {
                 "lease": f"move/{pool}",
@@ -352,7 +358,7 @@
         return [row.value for row in await self._tables.list(TABLE, Move)]
 
     async def order(self, request):
-        """Begin a move for an operator; return its row.
+        """Start a move for an operator and return its row.
 
         Raises
         ======
@@ -361,16 +367,16 @@
         if self._context.declarations.pool(request.pool) is None:
             raise MoveError(f"no pool {request.pool!r}")
         unix_ms = self._fleet_time_ms()
-        row = await self._change(
+        row = await self._update_row(
             request.pool, lambda row: start_move(row, request, unix_ms)
         )
         if row.started_unix_ms == unix_ms:
-            # A repeated order finds the row of the first, which was counted.
+            # A repeated order finds the row of the first one, which was counted.
             self._context.metrics.count(MOVES_STARTED, row.pool)
         return row
 
     async def cancel(self, move_id, reason, author):
-        """Cancel a move for an operator; return its row.
+        """Cancel a move for an operator and return its row.
 
         Raises
         ======
@@ -378,22 +384,22 @@
         """
         for row in await self.rows():
             if row.move_id == move_id:
-                return await self._change(
+                return await self._update_row(
                     row.pool, lambda found: cancel_move(found, move_id, reason, author)
                 )
         return cancel_move(None, move_id, reason, author)
 
-    async def _change(self, pool, change):
+    async def _update_row(self, pool, change):
         row = await self._tables.read(TABLE, pool, Move)
-        former = row.value if row is not None else None
+        current = row.value if row is not None else None
         version = row.version if row is not None else ABSENT
-        wanted = change(former)
-        if wanted == former:
+        wanted = change(current)
+        if wanted == current:
             return wanted
         try:
             written = await self._tables.put(TABLE, pool, wanted, version)
         except StoreConflict:
-            # Another operator or the home wrote first: judge anew what stands there.
+            # Another operator or the home wrote first: apply the change to its row.
             row = await self._tables.read(TABLE, pool, Move)
             wanted = change(row.value)
             if wanted == row.value:
--- a/libs/host/src/hemlockhoist/host/section_content.py
+++ b/libs/host/src/hemlockhoist/host/section_content.py
@@ -1,4 +1,4 @@
-"""Ships declarations between hosts as the sections that have changed."""
+"""Encodes declarations for other hosts as deltas of the sections that changed."""
 
 import collections
 
@@ -15,35 +15,36 @@
 )
 from hemlockhoist.messages.configuration import ConfigurationContent
 
-# A host that asks is at most some changes behind: at 32,000 changes a day this many
-# are 40 seconds, three times what a change may take to every host.
-MANIFESTS_KEPT = 16
+# A requesting host is only a few changes behind. At 32,000 changes a day, this many
+# span 40 seconds, three times the limit for a change to reach every host.
+MAX_MANIFESTS = 16
 
 _log = get_logger("host.section_content")
 
 
 class SectionContent(FullContent):
-    """Packs changes for a host whose version is known here, the whole for others.
+    """Packs a delta for a host whose version is known here, full content for others.
 
-    At 1,300 hosts and 32,000 changes a day, the whole (some 220 KB with 1,700
-    customers) would be 80 KB/s for each host, three times what control may use.
+    At 1,300 hosts and 32,000 changes a day, full content (about 220 KB with 1,700
+    customers) would take 80 KB/s for each host, three times the limit for control
+    traffic.
     """
 
-    __slots__ = ("_held", "_manifests", "_reader", "_sections")
+    __slots__ = ("_current", "_current_sections", "_manifests", "_reader")
 
     def __init__(self):
-        self._held = None
-        self._sections = None
+        self._current = None
+        self._current_sections = None
         self._manifests = collections.OrderedDict()
         self._reader = SectionReader()
 
     def pack(self, declarations, have_version, address):
         """Return the ``ConfigurationContent`` for a host that has ``have_version``."""
-        whole = self._cut(declarations)
+        full_sections = self._sections_of(declarations)
         manifest = self._manifests.get(have_version)
         if manifest is None:
             return super().pack(declarations, have_version, address)
-        delta = lacking_sections(manifest, whole)
+        delta = lacking_sections(manifest, full_sections)
         return ConfigurationContent(
             address=address,
             version=declarations.version,
@@ -52,41 +53,43 @@
         )
 
     def unpack(self, content, current):
-        """Return the declarations of a content message.
+        """Return the declarations that a content message carries.
 
         Returns
         =======
         Declarations or None
-            None when the changes do not fit what this host has, or can not be read:
-            taken all the same, they would be a mixture of two versions that nobody
-            declared. The whole is asked for instead.
+            None when the delta does not apply to ``current`` or cannot be decoded.
+            Applied anyway, it would give a mixture of two versions that nobody
+            declared. Full content is requested instead.
         """
         if content.declarations is not None:
-            # Cut now, while it is known which version it is: whoever is one version
-            # behind the next one can then be sent changes by this host too. Left out,
-            # a host that once got the whole would go on to send the whole.
-            self._cut(content.declarations)
+            # Store the manifest of this version, so that this host can send a delta to
+            # hosts that still have it after the next change. Otherwise a host that
+            # received full content would keep sending full content.
+            self._sections_of(content.declarations)
             return content.declarations
         try:
             delta = msgspec.msgpack.decode(content.changes, type=SectionDelta)
-            merged = merge_sections(self._cut(current), delta)
+            merged = merge_sections(self._sections_of(current), delta)
             declarations = self._reader.read(merged)
         except (msgspec.DecodeError, UnicodeDecodeError, DeclarationError) as error:
-            _log.info("changes_do_not_fit", version=content.version, reason=str(error))
+            _log.info(
+                "delta_not_applicable", version=content.version, reason=str(error)
+            )
             return None
         if declarations.version != content.version:
             return None
-        self._keep(declarations, merged)
+        self._store(declarations, merged)
         return declarations
 
-    def _cut(self, declarations):
-        """Return the sections of declarations, cut once for each version."""
-        if self._held is not declarations:
-            self._keep(declarations, sections(declarations))
-        return self._sections
+    def _sections_of(self, declarations):
+        """Return the sections of declarations, computed once for each version."""
+        if self._current is not declarations:
+            self._store(declarations, sections(declarations))
+        return self._current_sections
 
-    def _keep(self, declarations, whole):
-        self._held, self._sections = declarations, whole
-        self._manifests[declarations.version] = whole.manifest
-        while len(self._manifests) > MANIFESTS_KEPT:
+    def _store(self, declarations, full_sections):
+        self._current, self._current_sections = declarations, full_sections
+        self._manifests[declarations.version] = full_sections.manifest
+        while len(self._manifests) > MAX_MANIFESTS:
             self._manifests.popitem(last=False)
--- a/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
@@ -6,7 +6,7 @@
 from hemlockhoist.host.ledger_service import LedgerService
 from hemlockhoist.messages import Handover, StoredAnswer
 
-PRINT = fingerprint_request("POST", "/bookings", b"hall 7")
+FINGERPRINT = fingerprint_request("POST", "/bookings", b"hall 7")
 ANSWER = StoredAnswer(status=200, body=b"booked")
 HOUR_MS = 3_600_000
 
@@ -40,7 +40,7 @@
             self.services[host].on_message(sender, message)
 
     async def _book(self, service, key, outcome=ANSWER):
-        claim = await service.claim("office", key, PRINT)
+        claim = await service.claim("office", key, FINGERPRINT)
         if claim.answer is not None:
             return claim.answer
 
@@ -60,24 +60,24 @@
             await call
         self.assertIs(caught.exception.code, code)
 
-    async def test_repeat_at_another_host_gets_the_answer(self):
-        """A booking that ran at one host is answered at another, and runs once."""
+    async def test_call_repeated_at_another_host_gets_the_answer(self):
+        """A call that ran at one host is answered at another and runs only once."""
         key = self.a.mint_prefix() + ".1"
         await self._book(self.a, key)
         self.assertEqual(await self._book(self.b, key), ANSWER)
         self.assertEqual(self.runs, 1)
 
-    async def test_key_never_used_may_run_at_the_other_host(self):
-        """A caller has a prefix of one host and is connected to another."""
+    async def test_unused_key_may_run_at_another_host(self):
+        """A caller uses a key prefix of one host while connected to another."""
         key = self.a.mint_prefix() + ".1"
         self.assertEqual(await self._book(self.b, key), ANSWER)
         self.assertEqual(await self._book(self.a, key), ANSWER)
         self.assertEqual(self.runs, 1)
 
-    async def test_lost_owner_means_unknown(self):
-        """
-        The host that minted a key is dead. Whether the booking ran there can not be
-        known: its caller is told so at once, and nothing runs.
+    async def test_key_of_a_dead_host_has_an_unknown_outcome(self):
+        """The host that minted a key is dead, so the call may have run there.
+
+        The caller is told at once that the outcome is unknown, and nothing runs.
         """
         key = self.a.mint_prefix() + ".1"
         del self.services["a"]
@@ -86,16 +86,16 @@
         self.assertLess(self.clock.now_ms() - before_ms, 100)
         self.assertEqual(self.runs, 0)
 
-    async def test_refused_call_may_be_sent_again(self):
-        """A call that was refused before dispatch runs when it is repeated."""
+    async def test_refused_call_runs_when_repeated(self):
+        """A call that was refused before its dispatch runs when it is repeated."""
         key = self.a.mint_prefix() + ".1"
         refusal = Refused("", ResultCode.OVERLOADED)
         await self._assert_code(ResultCode.OVERLOADED, self._book(self.a, key, refusal))
         self.assertEqual(await self._book(self.a, key), ANSWER)
         self.assertEqual(self.runs, 1)
 
-    async def test_broken_call_stays_unknown(self):
-        """After a broken connection no repeat, at either host, runs the call again."""
+    async def test_outcome_of_a_broken_call_stays_unknown(self):
+        """After a broken connection no repeat at either host runs the call again."""
         key = self.a.mint_prefix() + ".1"
         broken = DispatchError("", ResultCode.OUTCOME_UNKNOWN)
         for service in (self.a, self.a, self.b):
@@ -104,11 +104,11 @@
             )
         self.assertEqual(self.runs, 1)
 
-    async def test_caller_that_goes_away_during_a_lookup_leaves_the_key_stuck(self):
-        """
-        A caller hangs up while its host asks another for the right to its key. The
-        right comes and nobody uses it: the key stayed "in progress" for good, and the
-        booking could never be made. The next try has to run it.
+    async def test_key_is_usable_after_a_caller_disconnects_during_a_lookup(self):
+        """A caller disconnects while its host looks its key up at another host.
+
+        The key was granted but not used, stayed "in progress" forever, and the call
+        could never be made. The next attempt has to run it.
         """
         key = self.a.mint_prefix() + ".1"
         self.delay_ms = 50
@@ -120,13 +120,13 @@
         self.assertEqual(await self._book(self.b, key), ANSWER)
         self.assertEqual(self.runs, 1)
 
-    async def test_handover_for_another_run_is_passed_over(self):
-        """A part of a ledger meant for the run before this one is not answered."""
+    async def test_handover_to_another_incarnation_is_ignored(self):
+        """A part of a ledger sent to an earlier incarnation is not acknowledged."""
         message = Handover(leaver="a", successor="gone", part=0, parts=1)
         self.b.on_message("a", message)
 
-    async def test_ledger_moves_to_the_successor(self):
-        """After a planned stop its successor answers for the leaver's keys."""
+    async def test_successor_answers_after_a_handover(self):
+        """After a planned stop the successor answers calls with the leaver's keys."""
         key = self.a.mint_prefix() + ".1"
         await self._book(self.a, key)
         self.assertTrue(await self.a.hand_over("b"))
@@ -134,8 +134,8 @@
         self.assertEqual(await self._book(self.b, key), ANSWER)
         self.assertEqual(self.runs, 1)
 
-    async def test_lookup_of_a_run_that_ended_is_answered_unknown(self):
-        """A question meant for the run before a restart is never taken for "unused"."""
+    async def test_lookup_of_an_ended_incarnation_is_unknown(self):
+        """A lookup sent to the incarnation before a restart never yields "unused"."""
         key = self.a.mint_prefix() + ".1"
         restarted = self._service("a2")
         self.services["a"] = restarted
--- a/libs/host/src/hemlockhoist/host/tests/test_moves.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_moves.py
@@ -26,18 +26,18 @@
 
 
 class FakeTables:
-    """A table service in memory, which can be out."""
+    """A table service in memory that can be made unavailable."""
 
     def __init__(self):
         self.rows = {}
-        self.out = False
+        self.unavailable = False
         self.failed_reads = 0
 
     async def read(self, table, key, value_type):
         await asyncio.sleep(0.002)
-        if self.out:
+        if self.unavailable:
             self.failed_reads += 1
-            raise PlatformError("out")
+            raise PlatformError("unavailable")
         return self.rows.get((table, key))
 
     async def list(self, table, value_type):
@@ -45,8 +45,8 @@
 
     async def put(self, table, key, value, if_version, change_id=None):
         await asyncio.sleep(0.002)
-        if self.out:
-            raise PlatformError("out")
+        if self.unavailable:
+            raise PlatformError("unavailable")
         row = self.rows.get((table, key))
         if (row.version if row else 0) != if_version:
             raise StoreConflict("changed")
@@ -98,7 +98,7 @@
         return await self.service.order(request)
 
     async def _traffic(self, duration_ms, outcome_of):
-        """Send 20 requests a second; return how many went to v2."""
+        """Send 20 requests per second and return how many went to v2."""
         clock, count = self.service._context.clock, 0
         for number in range(duration_ms // 50):
             now_ms = clock.now_ms()
@@ -123,78 +123,84 @@
     def _row(self):
         return self.tables.rows[("moves", "chat")].value
 
-    async def test_good_version_never_widened_because_the_plan_was_asked_for_twice(
+    async def test_move_of_a_good_version_finishes(
         self,
     ):
-        """
-        An operator moves a good version; it stays at its first share and the time
-        passes. The controller plans a step once a second, the service asked for it,
-        read the row, and asked again: the second answer was always "nothing".
+        """Guards against a good version that stays at its first share.
+
+        The controller plans one step per second. The service requested the planned row
+        twice, before and after it read the stored row, and the second call always
+        returned None.
         """
         await self._order()
         await self._traffic(2 * MOVE_MS, lambda version: GOOD)
         self.assertIs(self._row().state, MoveState.FINISHED)
 
-    async def test_bad_version_is_taken_back_while_the_store_is_out(self):
-        """
-        A new version fails every answer, and the table service is out. Callers must
-        get no more of it, on any host, and the row follows when the store is back.
+    async def test_bad_version_is_rolled_back_while_the_store_is_unavailable(self):
+        """A new version fails every answer while the table service is unavailable.
+
+        No host may send it any more requests. The row is written when the table service
+        is available again.
         """
         await self._order()
         await asyncio.sleep(2)
-        self.tables.out = True
+        self.tables.unavailable = True
         outcome_of = {"v1": GOOD, "v2": BAD}.get
         await self._traffic(60_000, outcome_of)
         self.assertEqual(await self._traffic(10_000, outcome_of), 0)
         halts = [(h, m) for h, m in self.sent if isinstance(m, VersionHalted)]
         self.assertEqual({host for host, _ in halts}, {"h1", "h2"})
-        self.tables.out = False
+        self.tables.unavailable = False
         await asyncio.sleep(5)
         self.assertIs(self._row().state, MoveState.ROLLED_BACK)
 
-    async def test_outage_of_the_store_is_no_storm_of_writes(self):
-        """
-        A version is halted while the table service is out. The home wanted the row
-        written five times a second, on top of its reads, from every pool's home.
+    async def test_store_outage_causes_no_storm_of_requests(self):
+        """A version is halted while the table service is unavailable.
+
+        Guards against every pool's home trying to write the row five times per second
+        in addition to its reads.
         """
         await self._order()
-        self.tables.out = True
+        self.tables.unavailable = True
         self.policy.halt("v2", "failing", self.service._context.clock.now_ms())
         await asyncio.sleep(60)
         self.assertLess(self.tables.failed_reads, 100)
 
-    async def test_next_home_goes_on_where_the_announcement_stands(self):
-        """
-        The home dies with the store out. The next home knows the move by its
-        announcement alone, and grants the new version no more than was known.
+    async def test_next_home_continues_from_the_announcement(self):
+        """The home dies while the store is unavailable.
+
+        The next home knows the move only from its announcement, and grants the new
+        version no more than the announced share.
         """
         await self._order()
         await self._traffic(10_000, lambda version: GOOD)
         await asyncio.sleep(2.5)
-        told = [m for h, m in self.sent if isinstance(m, MoveAnnounced) and h == "h2"]
-        self.tables.out = True
-        following = self._service("h2")
-        following.on_announced(told[-1])
-        controller = following.open_pool(POOL)
+        announced = [
+            m for h, m in self.sent if isinstance(m, MoveAnnounced) and h == "h2"
+        ]
+        self.tables.unavailable = True
+        next_service = self._service("h2")
+        next_service.on_announced(announced[-1])
+        controller = next_service.open_pool(POOL)
         self.assertEqual(controller.row, self._row())
 
-    async def test_operators_who_race_in_opposite_directions(self):
-        """The second order finds the first one's move and is refused by name."""
+    async def test_second_order_is_refused_with_the_first_author(self):
+        """The second order is refused, and its error names the first one's author."""
         await self._order()
         with self.assertRaises(MoveError) as caught:
             await self._order(move_id="m2")
         self.assertIn("ana", caught.exception.message)
 
-    async def test_cancelled_move_goes_back(self):
-        """After a cancellation nothing more goes to the new version."""
+    async def test_cancelled_move_gets_no_more_traffic(self):
+        """After a cancellation no more requests go to the new version."""
         await self._order()
         await self._traffic(5_000, lambda version: GOOD)
         row = await self.service.cancel("m1", "wrong week", "luis")
         self.assertIs(row.state, MoveState.CANCELLED)
         self.assertEqual(await self._traffic(5_000, lambda version: GOOD), 0)
 
-    async def test_a_repeated_order_is_the_same_move(self):
-        """The answer to an order was lost; sent again, it begins nothing new."""
+    async def test_repeated_order_returns_the_same_move(self):
+        """An order that is sent again after its reply was lost starts no new move."""
         first = await self._order()
         again = await self.service.order(
             MoveRequest(
