--- a/libs/entry/src/hemlockhoist/entry/admission.py
+++ b/libs/entry/src/hemlockhoist/entry/admission.py
@@ -142,7 +142,9 @@
         deadline_ms = arrived_ms + min(max_wait_ms, route.timeout_ms)
         waits_until_ms = deadline_ms
         if route.caller_wait_limit_ms:
-            waits_until_ms = min(waits_until_ms, arrived_ms + route.caller_wait_limit_ms)
+            waits_until_ms = min(
+                waits_until_ms, arrived_ms + route.caller_wait_limit_ms
+            )
         return AdmittedCall(
             call=call,
             route=route,
