--- a/libs/host/src/hemlockhoist/host/body.py
+++ b/libs/host/src/hemlockhoist/host/body.py
@@ -1,4 +1,4 @@
-"""Reading a caller's body within size and time limits."""
+"""Reads request bodies within limits of size and time."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 async def read_body(request, max_bytes, timeout_ms):
-    """Return the whole body of a request.
+    """Return the complete body of a request.
 
     Parameters
     ==========
@@ -16,29 +16,30 @@
     Raises
     ======
     BadRequest
-        ``BODY_TOO_LARGE``, before more than ``max_bytes`` are held;
-        ``BODY_TOO_SLOW``; ``MALFORMED_BODY`` when it breaks off.
+        ``BODY_TOO_LARGE`` as soon as the length is known to exceed ``max_bytes``, so
+        that no more is buffered; ``BODY_TOO_SLOW``; ``MALFORMED_BODY`` when the body is
+        truncated.
     """
     length = request.content_length
     if length is not None and length > max_bytes:
         raise _too_large(max_bytes)
-    parts = []
+    chunks = []
     size = 0
     try:
         async with asyncio.timeout(timeout_ms / MS_PER_S):
             async for chunk in request.content.iter_any():
-                parts.append(chunk)
+                chunks.append(chunk)
                 size += len(chunk)
                 if size > max_bytes:
                     raise _too_large(max_bytes)
     except TimeoutError as error:
-        text = f"the body did not arrive within {timeout_ms} ms"
+        text = f"request body did not arrive within {timeout_ms} ms"
         raise BadRequest(text, ResultCode.BODY_TOO_SLOW) from error
     except (OSError, ValueError) as error:
-        raise BadRequest("the body broke off") from error
-    return b"".join(parts)
+        raise BadRequest("request body is truncated or malformed") from error
+    return b"".join(chunks)
 
 
 def _too_large(max_bytes):
-    text = f"the body is over {max_bytes} bytes"
+    text = f"request body exceeds {max_bytes} bytes"
     return BadRequest(text, ResultCode.BODY_TOO_LARGE)
--- a/libs/host/src/hemlockhoist/host/callers.py
+++ b/libs/host/src/hemlockhoist/host/callers.py
@@ -1,4 +1,4 @@
-"""Who calls: caller keys, customers and the tier a request may have."""
+"""Authenticates callers: caller keys, customers and the tier a request may have."""
 
 import hashlib
 
@@ -12,14 +12,14 @@
 
 
 class Caller(msgspec.Struct, frozen=True, kw_only=True):
-    """An authenticated caller: its customer, and the tier of this request."""
+    """An authenticated caller: its customer and the tier of the current request."""
 
     customer: Customer
     tier: Tier
 
 
 class CallerDirectory:
-    """Finds the customer of a caller key.
+    """Maps caller keys to customers.
 
     Parameters
     ==========
@@ -37,7 +37,7 @@
         }
 
     def authenticate(self, headers):
-        """Return the caller of a request.
+        """Return the caller of a request from its headers.
 
         Parameters
         ==========
@@ -46,7 +46,7 @@
         Raises
         ======
         BadRequest
-            ``UNKNOWN_KEY``, in the same words whether the key is missing or wrong;
+            ``UNKNOWN_KEY``, with the same message whether the key is missing or wrong;
             ``TIER_NOT_ALLOWED``.
         """
         text = headers.get("Authorization", "")
@@ -63,6 +63,6 @@
             return highest
         tier = self._declarations.tier(name)
         if tier is None or tier.rank < highest.rank:
-            text = f"tier {name!r} is not open to this key"
+            text = f"tier {name!r} is not allowed for this key"
             raise BadRequest(text, ResultCode.TIER_NOT_ALLOWED)
         return tier
--- a/libs/host/src/hemlockhoist/host/chat.py
+++ b/libs/host/src/hemlockhoist/host/chat.py
@@ -1,4 +1,4 @@
-"""``POST /v1/chat/completions`` and the resume of its streams."""
+"""Serves ``POST /v1/chat/completions`` and resumes its streams."""
 
 import asyncio
 
@@ -39,32 +39,33 @@
 
 CHAT_PATH = "/v1/chat/completions"
 ROUTE = f"POST {CHAT_PATH}"
-# A caller that lost its connection has this long to resume the stream, at any host,
-# before the engine is told that nobody wants the rest.
+# Time that a disconnected caller has to resume its stream, at any host, before the
+# stream is cancelled at the engine.
 RESUME_GRACE_MS = 3_000
-# An error body of an engine is passed on; more than this of it is of no use.
+# Limit on the bytes read of an engine's error body; its start goes into the error
+# message.
 MAX_ERROR_BYTES = 65_536
 
 
 class ChatHandlers:
-    """The chat surface of a host.
+    """Handles chat completion requests of callers.
 
     Parameters
     ==========
     context : HostContext
     """
 
-    __slots__ = ("_context", "_graces")
+    __slots__ = ("_context", "_resume_waits")
 
     def __init__(self, context):
         self._context = context
-        self._graces = set()
+        self._resume_waits = set()
 
     async def close(self):
-        """End the waits for resumes."""
-        for task in self._graces:
+        """Cancel the pending waits for resumes."""
+        for task in self._resume_waits:
             task.cancel()
-        await asyncio.gather(*self._graces, return_exceptions=True)
+        await asyncio.gather(*self._resume_waits, return_exceptions=True)
 
     async def models(self, request):
         """Answer ``GET /v1/models``."""
@@ -86,7 +87,7 @@
         chat = parse_chat(body)
         pool = self._pool(chat.model)
         if len(body) > pool.max_body_bytes:
-            text = f"the body is over {pool.max_body_bytes} bytes"
+            text = f"request body exceeds {pool.max_body_bytes} bytes"
             raise BadRequest(text, ResultCode.BODY_TOO_LARGE)
         work = self._entry_request(request["request_id"], caller, pool, chat)
         sink = EventSink(request, work.request_id) if chat.stream else CollectSink()
@@ -101,7 +102,7 @@
     def _pool(self, model):
         pool = self._context.declarations.pool(model)
         if pool is None or pool.kind is not PoolKind.MODEL:
-            raise BadRequest(f"no model {model!r}", ResultCode.UNKNOWN_MODEL)
+            raise BadRequest(f"unknown model {model!r}", ResultCode.UNKNOWN_MODEL)
         return pool
 
     def _entry_request(self, request_id, caller, pool, chat):
@@ -136,19 +137,19 @@
         except StreamHandedOver:
             return await sink.finish()
         except CallerDisconnected:
-            self._begin_grace(exchange.hold, work.request_id)
+            self._start_resume_wait(exchange.hold, work.request_id)
             return web.Response(status=info(ResultCode.CANCELLED).http_status)
         except HemlockhoistError as error:
             if not sink.started:
                 raise
-            return await _fail_stream(sink, error)
+            return await _end_with_error(sink, error)
 
-    def _begin_grace(self, hold, request_id):
-        task = asyncio.create_task(self._cancel_later(hold, request_id))
-        self._graces.add(task)
-        task.add_done_callback(self._graces.discard)
+    def _start_resume_wait(self, hold, request_id):
+        task = asyncio.create_task(self._cancel_unless_resumed(hold, request_id))
+        self._resume_waits.add(task)
+        task.add_done_callback(self._resume_waits.discard)
 
-    async def _cancel_later(self, hold, request_id):
+    async def _cancel_unless_resumed(self, hold, request_id):
         await asyncio.sleep(RESUME_GRACE_MS / 1000)
         taken = self._context.streams_taken
         if request_id in taken:
@@ -157,9 +158,10 @@
         await cancel_stream(self._context.upstreams, hold.address, request_id)
 
     async def resume(self, request):
-        """Answer ``GET /v1/streams/{token}?offset=N``: the rest of a stream.
+        """Answer ``GET /v1/streams/{token}?offset=N`` with the rest of a stream.
 
-        Resuming is no second dispatch: the engine goes on with what it has begun.
+        Resuming does not dispatch the request again: the engine continues the stream
+        that it has begun.
         """
         caller = self._context.callers.authenticate(request.headers)
         token = request.match_info["token"]
@@ -167,7 +169,7 @@
         if ticket.customer != caller.customer.name:
             raise BadRequest("", ResultCode.UNKNOWN_STREAM)
         request["request_id"] = ticket.request_id
-        self._note_taken(ticket)
+        self._announce_resume(ticket)
         sink = EventSink(request, ticket.request_id, token)
         relay = StreamRelay(
             self._context.upstreams,
@@ -193,9 +195,9 @@
         except HemlockhoistError as error:
             if not sink.started:
                 raise
-            return await _fail_stream(sink, error)
+            return await _end_with_error(sink, error)
 
-    def _note_taken(self, ticket):
+    def _announce_resume(self, ticket):
         owner = ticket.owner
         self._context.bus.send(owner, StreamTaken(request_id=ticket.request_id))
 
@@ -205,12 +207,13 @@
     if text is None:
         return 0
     if not text.isdecimal():
-        raise BadRequest("offset: a whole number from 0")
-    # The header names the last piece that arrived, the parameter the next wanted.
+        raise BadRequest("offset: must be an integer of at least 0")
+    # The header holds the offset of the last event received, the parameter that of the
+    # next event requested.
     return int(text) if "offset" in request.query else int(text) + 1
 
 
-async def _fail_stream(sink, error):
+async def _end_with_error(sink, error):
     try:
         await sink.fail(error)
         return await sink.finish()
@@ -226,20 +229,20 @@
 
 
 class _ChatExchange:
-    """One chat request's way from its grant to the end of its stream."""
+    """Sends one granted chat request upstream and relays its stream to the end."""
 
     __slots__ = ("_body", "_context", "_sink", "_work", "hold", "relay")
 
     def __init__(self, context, work, body, stream, sink):
         self._context = context
         self._work = work
-        self._body = body if stream else _as_stream(body)
+        self._body = body if stream else _as_streaming(body)
         self._sink = sink
         self.hold = None
         self.relay = None
 
     async def consume(self, hold, report):
-        """Send the request and relay its stream."""
+        """Send the request, relay its stream and fill the dispatch report."""
         self.hold = hold
         if isinstance(self._sink, EventSink):
             self._sink.set_token(self._token(hold))
@@ -251,7 +254,7 @@
             self._work.request_id,
             self._sink,
             self._context.handover,
-            on_first=lambda: self._report_first(hold, report),
+            on_first=lambda: self._report_first_token(hold, report),
         )
         try:
             await self._exchange(hold, report)
@@ -263,9 +266,9 @@
             report.kind = OutcomeKind.SUCCESS
             raise
         finally:
-            self._fill(report)
+            self._fill_report(report)
 
-    def _report_first(self, hold, report):
+    def _report_first_token(self, hold, report):
         first_token_ms = self.relay.first_event_ms - report.guard.opened_ms
         self._context.grants.report_first_token(hold, first_token_ms)
 
@@ -280,12 +283,12 @@
         except DispatchError as error:
             if error.code not in _RESUMABLE or self.relay.event_count:
                 raise
-            # The connection broke after sending and before any piece, or the answer on
-            # it was another request's: the engine may have the stream, and then the
-            # caller gets its own answer all the same.
-            await self._resume_whole(error)
+            # The connection broke after the request was sent and before any event
+            # arrived, or it carried the answer to another request. If the engine has
+            # the stream, resuming it still gives the caller its own answer.
+            await self._resume_from_start(error)
 
-    async def _resume_whole(self, error):
+    async def _resume_from_start(self, error):
         try:
             await self.relay.run(None)
         except DispatchError:
@@ -293,7 +296,7 @@
 
     async def _raise_status(self, answer):
         body = await answer.read(MAX_ERROR_BYTES)
-        text = f"status {answer.status}: {body[:500].decode(errors='replace')}"
+        text = f"engine status {answer.status}: {body[:500].decode(errors='replace')}"
         raise DispatchError(text, ResultCode.UPSTREAM_FAILED)
 
     def _call(self, hold):
@@ -319,7 +322,7 @@
         )
         return self._context.tokens.sign(ticket)
 
-    def _fill(self, report):
+    def _fill_report(self, report):
         report.first_ms = self.relay.first_event_ms
         usage = read_usage(self.relay.last_event)
         report.output_tokens = self.relay.event_count
@@ -338,11 +341,11 @@
 )
 
 
-def _as_stream(body):
-    """Return the body of an unstreamed request as one that asks for a stream.
+def _as_streaming(body):
+    """Return the body of a non-streaming request, changed to request a stream.
 
-    The engine's answer is read as a stream in any case, since only streams can be
-    resumed; the caller gets it in one piece.
+    The engine is always asked for a stream, since only streams can be resumed; a
+    non-streaming caller receives the collected answer.
     """
     payload = msgspec.json.decode(body)
     payload["stream"] = True
--- a/libs/host/src/hemlockhoist/host/completions.py
+++ b/libs/host/src/hemlockhoist/host/completions.py
@@ -1,4 +1,4 @@
-"""Chat completion requests: what is read of them, and their cost."""
+"""Parses chat completion requests and estimates their cost."""
 
 import json
 
@@ -7,18 +7,18 @@
 
 from hemlockhoist.base import BadRequest
 
-# Rough length of a token in the languages of today's callers; the engine's own count
-# comes back with the answer, the estimate only ranks requests against each other.
+# Approximate bytes per token in the languages of present callers. The estimate only
+# ranks requests against each other; the engine reports its own count with the answer.
 BYTES_PER_TOKEN = 4
-# Engines cache prompt prefixes in blocks of tokens; a hash for each of the first
-# blocks is enough to tell shared system prompts and running conversations apart.
+# Engines cache prompt prefixes in blocks of tokens. Hashes of the first blocks are
+# enough to distinguish shared system prompts and ongoing conversations.
 BLOCK_TOKENS = 64
 MAX_PREFIX_BLOCKS = 32
 MAX_TOKENS_LIMIT = 1_000_000
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """One message of a conversation; content parts are passed through unread."""
+    """One message of a conversation; content parts are not interpreted."""
 
     role: str
     content: str | list | None = None
@@ -27,7 +27,7 @@
 class ChatRequest(msgspec.Struct, frozen=True):
     """The fields of a chat completion request that scheduling depends on.
 
-    All other fields are passed on to the engine as they came.
+    All other fields are forwarded to the engine unchanged.
     """
 
     model: str
@@ -37,17 +37,17 @@
     max_completion_tokens: int | None = None
 
     def prompt_bytes(self):
-        """Return the prompt as the bytes that prefixes are hashed over."""
-        lines = [f"{item.role}:{_text(item.content)}" for item in self.messages]
+        """Return the prompt as bytes, the input of ``prefix_hashes``."""
+        lines = [f"{item.role}:{_content_text(item.content)}" for item in self.messages]
         return "\n".join(lines).encode()
 
     def output_tokens(self, default):
-        """Return how many tokens the answer is expected to have at most."""
-        named = self.max_completion_tokens or self.max_tokens
-        return default if named is None else named
+        """Return the limit on output tokens, ``default`` if the request sets none."""
+        limit = self.max_completion_tokens or self.max_tokens
+        return default if limit is None else limit
 
 
-def _text(content):
+def _content_text(content):
     return content if isinstance(content, str) else json.dumps(content)
 
 
@@ -55,7 +55,7 @@
 
 
 def parse_chat(body):
-    """Return the request that a body holds.
+    """Parse the JSON body of a chat completion request.
 
     Parameters
     ==========
@@ -64,7 +64,7 @@
     Raises
     ======
     BadRequest
-        Naming the field that is wrong.
+        With the name of the invalid field.
 
     Examples
     ========
@@ -72,18 +72,18 @@
     >>> parse_chat(b'{"model": "m", "messages": []}')
     Traceback (most recent call last):
     ...
-    hemlockhoist.base.errors.BadRequest: messages: at least one is needed
+    hemlockhoist.base.errors.BadRequest: messages: at least one is required
     """
     try:
         chat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
         raise BadRequest(str(error)) from error
     if not chat.messages:
-        raise BadRequest("messages: at least one is needed")
+        raise BadRequest("messages: at least one is required")
     for name in ("max_tokens", "max_completion_tokens"):
         value = getattr(chat, name)
         if value is not None and not 0 < value <= MAX_TOKENS_LIMIT:
-            raise BadRequest(f"{name}: from 1 to {MAX_TOKENS_LIMIT}")
+            raise BadRequest(f"{name}: must be from 1 to {MAX_TOKENS_LIMIT}")
     return chat
 
 
@@ -93,7 +93,7 @@
 
 
 def prefix_hashes(prompt):
-    """Return the chained hashes of a prompt's leading blocks, shortest first.
+    """Return the chained hashes of a prompt's leading blocks, shortest prefix first.
 
     Parameters
     ==========
--- a/libs/host/src/hemlockhoist/host/relay.py
+++ b/libs/host/src/hemlockhoist/host/relay.py
@@ -1,4 +1,4 @@
-"""Relaying an engine's stream whole, with resumes where it breaks."""
+"""Relays an engine's event stream completely, resuming it after a broken connection."""
 
 import asyncio
 
@@ -19,18 +19,17 @@
 
 _log = get_logger("host.relay")
 
-# Resumes for one stream without progress in between: an engine that can not be
-# reached after these is taken for dead.
+# Consecutive resume attempts without progress, after which the engine is assumed dead.
 MAX_RESUMES = 4
 RESUME_BACKOFF_MS = 100
 
 
 class StreamHandedOver(Exception):  # noqa: N818
-    """This host shuts down: the caller was told where to go on."""
+    """This host is shutting down; the caller was sent the offset to resume from."""
 
 
 class StreamRelay:
-    """Reads one stream to its end, across breaks, and hands it to a sink.
+    """Reads one stream to its end, resuming after breaks, and writes it to a sink.
 
     Parameters
     ==========
@@ -40,11 +39,11 @@
     address, request_id : str
     sink : EventSink or CollectSink
     handover : StreamHandover
-        Tells when this host has to hand its streams over.
+        Signals when this host has to hand its streams over.
     offset : int
-        Of the first piece that the sink is to get.
+        Offset of the first event that the sink receives.
     on_first : callable, optional
-        Called without arguments when the first piece has come.
+        Called without arguments when the first event arrives.
     """
 
     __slots__ = (
@@ -52,13 +51,13 @@
         "_checker",
         "_client",
         "_clock",
+        "_handover",
         "_invariants",
         "_on_first",
-        "_handover",
-        "_resumes",
+        "_resume_attempts",
         "_sink",
-        "_start",
-        "_written",
+        "_start_offset",
+        "_written_count",
         "address",
         "first_event_ms",
         "last_event",
@@ -86,9 +85,9 @@
         self._answer = None
         name = client.answer_names.name_of(address, request_id)
         self._checker = OffsetChecker(offset, name)
-        self._start = offset
-        self._written = 0
-        self._resumes = 0
+        self._start_offset = offset
+        self._written_count = 0
+        self._resume_attempts = 0
         self.address = address
         self.request_id = request_id
         self.first_event_ms = None
@@ -96,21 +95,21 @@
 
     @property
     def event_count(self):
-        """Number of pieces passed on."""
-        return self._written
+        """Number of events written to the sink, without the end mark."""
+        return self._written_count
 
     async def run(self, answer):
-        """Relay to the end of the stream.
+        """Relay until the stream ends.
 
         Parameters
         ==========
         answer : UpstreamAnswer
-            To the dispatch; None to attach at the offset first.
+            Answer to the dispatch; None to resume the stream at the offset instead.
 
         Raises
         ======
         DispatchError
-            When the rest of the stream can not be had.
+            When the rest of the stream is not available.
         CallerDisconnected, StreamHandedOver
         """
         self._handover.add(self)
@@ -118,57 +117,57 @@
             if answer is not None:
                 await self._read(answer)
             while not self._checker.done:
-                await self._move_if_due()
+                await self._hand_over_if_due()
                 await self._resume()
         finally:
             self._handover.discard(self)
-        self._check_whole()
+        self._check_complete()
 
     def interrupt(self):
-        """End the present read, so that the stream can move."""
+        """Abort the current read, so that the stream can be handed over."""
         if self._sink.supports_handover and self._answer is not None:
             self._answer.close()
 
-    async def _move_if_due(self):
+    async def _hand_over_if_due(self):
         if self._handover.begun and self._sink.supports_handover:
             await self._sink.hand_over(self._checker.expected)
             raise StreamHandedOver
 
     async def _read(self, answer):
-        """Read until the stream ends or breaks."""
+        """Relay events until the stream ends or its connection breaks."""
         splitter = EventSplitter()
         self._answer = answer
         try:
             async for chunk in answer.chunks():
-                await self._pass_on(self._checker.take(splitter.feed(chunk)))
+                await self._write_events(self._checker.take(splitter.feed(chunk)))
                 if self._checker.done:
                     return
         except StreamGapAfter as gap:
-            await self._pass_on(gap.fresh)
+            await self._write_events(gap.fresh)
             _log.warning("stream_gap", request=self.request_id, expected=gap.expected)
         except DispatchError as error:
             _log.warning("stream_broke", request=self.request_id, reason=error.message)
         finally:
             self._answer = None
 
-    async def _pass_on(self, events):
+    async def _write_events(self, events):
         count = len(events)
         if count and events[-1].done:
             count -= 1
         if count:
-            self._resumes = 0
+            self._resume_attempts = 0
             self.last_event = events[count - 1]
             if self.first_event_ms is None:
                 self.first_event_ms = self._clock.now_ms()
                 self._on_first()
         await self._sink.write(events)
-        self._written += count
+        self._written_count += count
 
     async def _resume(self):
-        if self._resumes >= MAX_RESUMES:
-            text = f"the stream broke off at piece {self._checker.expected}"
+        if self._resume_attempts >= MAX_RESUMES:
+            text = f"stream could not be resumed at event {self._checker.expected}"
             raise DispatchError(text, ResultCode.UPSTREAM_BROKE_OFF)
-        self._resumes += 1
+        self._resume_attempts += 1
         call = UpstreamCall(
             address=self.address,
             method="GET",
@@ -184,31 +183,32 @@
                 raise
             _log.warning("resume_failed", request=self.request_id, reason=error.message)
         if not self._checker.done:
-            await asyncio.sleep(RESUME_BACKOFF_MS * self._resumes / MS_PER_S)
+            await asyncio.sleep(RESUME_BACKOFF_MS * self._resume_attempts / MS_PER_S)
 
     def _check_answer(self, answer):
         check_answer(answer, self.request_id)
         if answer.status != 200:
-            text = f"the engine has no such stream (status {answer.status})"
+            text = f"the engine does not know this stream (status {answer.status})"
             raise DispatchError(text, ResultCode.UNKNOWN_STREAM)
 
-    def _check_whole(self):
-        expected = self._checker.expected - self._start
+    def _check_complete(self):
+        expected = self._checker.expected - self._start_offset
         self._invariants.check(
             Property.WHOLE_ANSWER,
-            self._written == expected,
-            f"{self.request_id}: {self._written} pieces passed on of {expected}",
+            self._written_count == expected,
+            f"{self.request_id}: {self._written_count} events relayed of {expected}",
         )
 
 
 def check_answer(answer, request_id):
-    """Refuse an answer that says it belongs to another request.
+    """Reject an answer that names another request as its own.
 
     Raises
     ======
     DispatchError
-        ``ANSWER_MISMATCH``: the caller must not read somebody else's answer.
+        ``ANSWER_MISMATCH``, as a caller must never receive the answer to another's
+        request.
     """
     if not answer.is_for(request_id):
-        text = f"the upstream answered another request than {request_id}"
+        text = f"the upstream's answer does not belong to request {request_id}"
         raise DispatchError(text, ResultCode.ANSWER_MISMATCH)
--- a/libs/host/src/hemlockhoist/host/responses.py
+++ b/libs/host/src/hemlockhoist/host/responses.py
@@ -1,4 +1,4 @@
-"""Answers to callers: result code, request id and what ran, in header and body."""
+"""Responses to callers, with result code, request id and whether the request ran."""
 
 import json
 import math
@@ -11,12 +11,12 @@
 CODE_HEADER = "X-Result-Code"
 RAN_HEADER = "X-Request-Ran"
 REQUEST_ID_HEADER = "X-Request-Id"
-# What a caller is told where a refusal gives no time of its own.
+# Sent with retryable refusals that specify no time.
 DEFAULT_RETRY_AFTER_MS = 1_000
 
 
 def result_headers(code, request_id):
-    """Return the headers that every answer carries."""
+    """Return the headers that every response carries."""
     headers = {
         CODE_HEADER: str(int(code)),
         RAN_HEADER: info(code).ran.value,
@@ -27,15 +27,15 @@
 
 
 def error_body(code, message, request_id, retry_after_ms=None):
-    """Return the JSON object of an error, in the shape that OpenAI's clients read."""
-    row = info(code)
+    """Return the JSON object of an error, in the format that OpenAI's clients read."""
+    result = info(code)
     error = {
         "message": message,
-        "type": row.code.name.lower(),
+        "type": result.code.name.lower(),
         "code": int(code),
-        "ran": row.ran.value,
+        "ran": result.ran.value,
         "request_id": request_id,
-        "remedy": row.remedy,
+        "remedy": result.remedy,
     }
     if retry_after_ms is not None:
         error["retry_after_ms"] = retry_after_ms
@@ -43,29 +43,29 @@
 
 
 def error_response(error, request_id=""):
-    """Return the HTTP answer for an error of the product.
+    """Return the HTTP response for an error.
 
     Parameters
     ==========
     error : HemlockhoistError
     request_id : str
     """
-    row = error.info
+    result = error.info
     headers = result_headers(error.code, request_id)
     retry_after_ms = None
-    if row.retryable:
+    if result.retryable:
         retry_after_ms = error.retry_after_ms or DEFAULT_RETRY_AFTER_MS
-        # The header counts whole seconds; rounding down would call callers back
-        # before there is a place.
+        # The header counts whole seconds; rounded down, callers would retry before a
+        # slot is free.
         headers["Retry-After"] = str(math.ceil(retry_after_ms / MS_PER_S))
-    if row.code is ResultCode.UNKNOWN_KEY:
+    if result.code is ResultCode.UNKNOWN_KEY:
         headers["WWW-Authenticate"] = "Bearer"
     body = error_body(error.code, error.message, request_id, retry_after_ms)
-    return web.json_response(body, status=row.http_status, headers=headers)
+    return web.json_response(body, status=result.http_status, headers=headers)
 
 
 def json_response(payload, status=200):
-    """Return a JSON answer that carries the result code 0."""
+    """Return a JSON response with result code 0."""
     text = json.dumps(payload, indent=2) + "\n"
     headers = result_headers(ResultCode.OK, "")
     return web.Response(
@@ -74,7 +74,7 @@
 
 
 def with_trace_context(headers):
-    """Return headers for the next hop, with the context of the current span.
+    """Return headers for the next hop, with the trace context of the current span.
 
     Parameters
     ==========
--- a/libs/host/src/hemlockhoist/host/server.py
+++ b/libs/host/src/hemlockhoist/host/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers and operators."""
+"""HTTP server for callers and operators."""
 
 import ssl
 
@@ -23,18 +23,19 @@
 
 HOSTS_PATH = "/v1/hosts"
 OPERATORS_PREFIX = "/-/"
-# A new host has its declarations within a second or two, of the store or of a peer.
+# A new host receives its declarations from the store or a peer within 1 s to 2 s.
 NOT_READY_RETRY_MS = 2_000
-# Callers keep connections between requests for this long; a leaving host tells them
-# to close instead.
+# Idle connections are kept open for this long; a leaving host closes them after the
+# response instead.
 KEEP_ALIVE_S = 60.0
-# How long the listening socket is kept open for callers who hold a cached address is
-# the address's time to live; what then comes on open connections is still answered.
+# Time for handlers to finish when the server closes. It can be short: the listening
+# socket stays open for the time to live of a caller's cached address, and requests that
+# arrive later on open connections are still answered.
 SHUTDOWN_TIMEOUT_S = 1.0
 
 
 class HttpServer:
-    """Serves callers and operators on one address.
+    """Routes requests of callers and operators on one address.
 
     Parameters
     ==========
@@ -49,7 +50,7 @@
     def __init__(self, context, chat, services, operators):
         self._context = context
         limit = context.settings.max_header_bytes
-        application = web.Application(middlewares=[self._answer], client_max_size=0)
+        application = web.Application(middlewares=[self._process], client_max_size=0)
         application.router.add_post(CHAT_PATH, chat.create)
         application.router.add_get("/v1/streams/{token}", chat.resume)
         application.router.add_get("/v1/models", chat.models)
@@ -70,7 +71,7 @@
         self.address = ""
 
     async def start(self):
-        """Listen."""
+        """Start to listen; sets ``address`` with the port in use."""
         settings = self._context.settings
         await self._runner.setup()
         endpoint = settings.listen_address
@@ -86,7 +87,7 @@
         self.address = str(type(endpoint)(endpoint.ip, port))
 
     async def stop_listening(self):
-        """Take no new connection; open ones go on."""
+        """Stop accepting connections; open ones continue."""
         await self._site.stop()
 
     async def close(self):
@@ -94,12 +95,12 @@
         await self._runner.cleanup()
 
     @web.middleware
-    async def _answer(self, request, handler):
-        """Give each request an id, and turn errors into numbered answers."""
+    async def _process(self, request, handler):
+        """Assign a request id, handle the request and record its result code."""
         context = self._context
         request["request_id"] = context.identity.new_request_id()
         context.open_requests += 1
-        self._bound_buffer(request.transport)
+        self._limit_write_buffer(request.transport)
         parent = parent_of_headers(request.headers)
         try:
             with context.traces.span(Hop.CALLER, parent, path=request.path) as span:
@@ -110,16 +111,16 @@
             context.open_requests -= 1
         context.metrics.count(REQUESTS_ENDED, code or "none")
         if context.leaving and not response.prepared:
-            # A caller that keeps its connection would come back to a host that is
-            # about to close it, and lose the request that crosses the close.
+            # On a kept connection the caller's next request could reach this host just
+            # as it closes the connection, and would be lost.
             response.force_close()
         return response
 
-    def _bound_buffer(self, transport):
-        """Bound what is held for a caller that reads slowly.
+    def _limit_write_buffer(self, transport):
+        """Limit the bytes buffered for a caller that reads slowly.
 
-        Beyond the bound a write waits, and with it the reading from the upstream:
-        without it a few callers on slow links would take this host's memory.
+        Above the limit a write waits, and with it reading from the upstream. Without
+        the limit, a few callers on slow links could exhaust this host's memory.
         """
         if transport is not None:
             limit = self._context.settings.stream_buffer_bytes
@@ -128,10 +129,10 @@
     async def _handle(self, request, handler):
         request_id = request["request_id"]
         try:
-            self._refuse_unready(request)
+            self._check_ready(request)
             return await handler(request)
         except HemlockhoistError as error:
-            self._check_not_run(request_id, error)
+            self._check_not_dispatched(request_id, error)
             _log.info(
                 "request_refused",
                 request=request_id,
@@ -143,37 +144,40 @@
         except web.HTTPException as error:
             code = ResultCode.NOT_FOUND
             if error.status == 405:
-                return error_response(BadRequest("wrong method", code), request_id)
+                return error_response(
+                    BadRequest("method not allowed", code), request_id
+                )
             return error_response(BadRequest("", code), request_id)
         except Exception as error:
-            # A fault of this program: the caller must not read "not run" into it.
+            # An internal error says nothing about whether the request ran, so the code
+            # must not tell the caller that it did not.
             _log.error("request_failed", request=request_id, exc_info=True)
             code = ResultCode.INTERNAL_ERROR
             return error_response(HemlockhoistError(repr(error), code), request_id)
 
-    def _refuse_unready(self, request):
-        """Refuse callers while no declarations are known to be the newest here.
+    def _check_ready(self, request):
+        """Refuse callers until this host's declarations are known to be current.
 
-        Without them no key can be told from a wrong one, and a caller with a good
-        key would be sent away for good.
+        Without them a valid key can not be distinguished from an invalid one, and a
+        caller with a valid key would receive an error that it must not retry.
         """
         if request.path.startswith(OPERATORS_PREFIX):
             return
         if not self._context.configuration.is_ready():
             raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_MS)
 
-    def _check_not_run(self, request_id, error):
+    def _check_not_dispatched(self, request_id, error):
         if error.info.ran is not Ran.NO:
             return
         dispatched = request_id in self._context.dispatcher.register
         self._context.invariants.check(
             Property.NOT_RUN_IS_TRUE,
             not dispatched,
-            f"{request_id} was dispatched and its caller told code {int(error.code)}",
+            f"{request_id} was dispatched, but answered with code {int(error.code)}",
         )
 
     async def _hosts(self, request):
-        """Answer ``GET /v1/hosts``: which hosts to use, and for how long."""
+        """Answer ``GET /v1/hosts`` with the hosts to use and for how long."""
         self._context.callers.authenticate(request.headers)
         return self._context.fleet.hosts_response()
 
--- a/libs/host/src/hemlockhoist/host/services.py
+++ b/libs/host/src/hemlockhoist/host/services.py
@@ -1,4 +1,4 @@
-"""Plain services: any method, body and headers, passed through once."""
+"""Forwards plain service calls: any method, body and headers, sent at most once."""
 
 from aiohttp import web
 
@@ -17,12 +17,13 @@
 
 SERVICES_PREFIX = "/services"
 KEY_HEADER = "Idempotency-Key"
-# The whole answer is read before its head goes to the caller, so that a caller never
-# holds part of an answer that can not be had again.
+# Limit on an answer, which is read completely before its head is sent to the caller, so
+# that a caller never holds part of an answer that can not be fetched again.
 MAX_ANSWER_BYTES = 8_388_608
 _SERVER_ERROR = 500
 
-# RFC 9110, section 7.6.1, and what names this hop or is set anew for the next.
+# Hop-by-hop headers of RFC 9110, section 7.6.1, and those that describe this hop or are
+# set again for the next one.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -39,15 +40,15 @@
         "upgrade",
     }
 )
-# A caller's key opens this surface, and must not reach what stands behind it.
-_OWN = frozenset(
+# A caller's key is valid for this proxy and must not be forwarded to the upstreams.
+_DROPPED_FROM_REQUESTS = frozenset(
     {"authorization", TIER_HEADER.lower(), TRACEPARENT, "tracestate", "x-request-id"}
 )
-_OWN_OF_ANSWERS = frozenset({"x-request-id", "x-result-code", "x-request-ran"})
+_DROPPED_FROM_ANSWERS = frozenset({"x-request-id", "x-result-code", "x-request-ran"})
 
 
 class ServiceHandlers:
-    """The surface of plain services.
+    """Handles callers' requests to plain services.
 
     Parameters
     ==========
@@ -74,13 +75,13 @@
         if idempotent:
             answer = await context.dispatcher.run(work, exchange.consume)
         else:
-            answer = await self._run_once(request, work, exchange, body)
+            answer = await self._run_non_idempotent(request, work, exchange, body)
         return _response(answer, work.request_id)
 
     def _pool(self, name):
         pool = self._context.declarations.pool(name)
         if pool is None or pool.kind is not PoolKind.SERVICE:
-            raise BadRequest(f"no service {name!r}", ResultCode.UNKNOWN_SERVICE)
+            raise BadRequest(f"unknown service {name!r}", ResultCode.UNKNOWN_SERVICE)
         return pool
 
     def _entry_request(self, request, caller, pool, path, idempotent):
@@ -102,8 +103,8 @@
             failure_domain=self._context.identity.failure_domain,
         )
 
-    async def _run_once(self, request, work, exchange, body):
-        """Run a non-idempotent call under its key, at most once in the fleet."""
+    async def _run_non_idempotent(self, request, work, exchange, body):
+        """Run a non-idempotent call at most once in the fleet per idempotency key."""
         key_text = request.headers.get(KEY_HEADER)
         if key_text is None:
             raise BadRequest("", ResultCode.KEY_REQUIRED)
@@ -122,13 +123,13 @@
 
 
 def path_within_service(request):
-    """Return a call's path below its service's own, as the caller encoded it."""
+    """Return the path of a call after its service's name, encoded as received."""
     raw_path = request.rel_url.raw_path.removeprefix(SERVICES_PREFIX + "/")
     return "/" + raw_path.partition("/")[2]
 
 
 def route_label(pool, method, path):
-    """Return the name that evidence for a version is kept apart by.
+    """Return the route label under which a call counts as evidence for a version.
 
     Parameters
     ==========
@@ -137,15 +138,16 @@
 
     Notes
     =====
-    A path may hold ids, and each would be a route of its own without evidence; the
-    first segment tells lookups from bookings.
+    Paths may contain ids, and with the full path each id would be a separate route with
+    too little evidence. The first segment is enough to distinguish kinds of call, such
+    as lookups from bookings.
     """
     first = path.split("/", 2)[1] if path != "/" else ""
     return f"{method} {SERVICES_PREFIX}/{pool.name}/{first}"
 
 
 class _ServiceExchange:
-    """One call's way from its grant to its whole answer."""
+    """Sends one granted call upstream and reads its complete answer."""
 
     __slots__ = ("_body", "_context", "_request", "_work")
 
@@ -156,7 +158,7 @@
         self._body = body
 
     async def consume(self, hold, report):
-        """Send the call and read the whole answer."""
+        """Send the call and return its complete answer."""
         client = self._context.upstreams
         async with client.dispatch(self._call(hold), report.guard) as answer:
             check_answer(answer, self._work.request_id)
@@ -164,7 +166,7 @@
             body = await answer.read(MAX_ANSWER_BYTES)
             failed = answer.status >= _SERVER_ERROR
             report.kind = OutcomeKind.FAILED if failed else OutcomeKind.SUCCESS
-            headers = _end_to_end(answer.headers, _OWN_OF_ANSWERS)
+            headers = _end_to_end_headers(answer.headers, _DROPPED_FROM_ANSWERS)
             return StoredAnswer(status=answer.status, headers=headers, body=body)
 
     def _call(self, hold):
@@ -175,22 +177,24 @@
             address=hold.address,
             method=self._request.method,
             path=path + (f"?{query}" if query else ""),
-            headers=with_trace_context(_end_to_end(self._request.headers, _OWN)),
+            headers=with_trace_context(
+                _end_to_end_headers(self._request.headers, _DROPPED_FROM_REQUESTS)
+            ),
             body=self._body,
             request_id=self._work.request_id,
             idle_timeout_ms=max(1, self._work.deadline_ms - now_ms),
         )
 
 
-def _end_to_end(headers, own):
-    """Return the headers that are not for one hop only."""
-    named = {
+def _end_to_end_headers(headers, removed):
+    """Return the end-to-end headers, without those in ``removed``."""
+    connection_options = {
         name.strip().lower()
         for value in headers.getall("Connection", ())
         for name in value.split(",")
     }
-    dropped = _HOP_BY_HOP | own | named
-    # Plain strings: the HTTP library's own type can not be sent to another host.
+    dropped = _HOP_BY_HOP | removed | connection_options
+    # Converted to str, as the HTTP library's own type can not be sent to another host.
     return tuple(
         (str(name), str(value))
         for name, value in headers.items()
--- a/libs/host/src/hemlockhoist/host/sinks.py
+++ b/libs/host/src/hemlockhoist/host/sinks.py
@@ -1,4 +1,4 @@
-"""Where the pieces of an answer go: to the caller at once, or collected."""
+"""Sinks for a stream's events: sent to the caller at once, or collected."""
 
 import asyncio
 import json
@@ -10,20 +10,21 @@
 from hemlockhoist.host.responses import error_body, result_headers
 
 TOKEN_HEADER = "X-Stream-Token"
-# A caller that takes nothing for this long is taken for gone. Its answer stays at
-# the engine for a resume; here it would hold a place that others wait for.
+# A caller that reads nothing for this long is treated as disconnected. The engine keeps
+# the answer for a resume; waiting longer would hold a slot that others are queued for.
 STALL_TIMEOUT_MS = 30_000
 
 
 class CallerDisconnected(Exception):  # noqa: N818
-    """The caller closed the connection or stopped reading."""
+    """The caller closed its connection or stopped reading."""
 
 
 class EventSink:
-    """Passes a stream's events on to the caller as they come.
+    """Sends a stream's events to the caller as they arrive.
 
-    Writing waits until the caller has taken enough of what is buffered, so a slow
-    reader holds back the engine's stream and not this host's memory.
+    Writing waits until the caller has read enough of the buffered bytes, so a slow
+    reader applies back-pressure to the engine's stream instead of filling this host's
+    memory.
 
     Parameters
     ==========
@@ -41,16 +42,16 @@
         self._response = None
 
     def set_token(self, token):
-        """Name the stream, once the grant tells where it will be."""
+        """Set the stream's token, once the grant has named the upstream."""
         self._token = token
 
     @property
     def started(self):
-        """Whether the answer's head has gone to the caller."""
+        """Whether the response headers have been sent to the caller."""
         return self._response is not None
 
     async def write(self, events):
-        """Pass events on.
+        """Send events to the caller.
 
         Raises
         ======
@@ -76,7 +77,7 @@
 
     async def _write(self, data):
         try:
-            if self._has_room():
+            if self._is_buffer_empty():
                 await self._response.write(data)
                 return
             async with asyncio.timeout(STALL_TIMEOUT_MS / MS_PER_S):
@@ -84,26 +85,26 @@
         except (OSError, TimeoutError) as error:
             raise CallerDisconnected from error
 
-    def _has_room(self):
-        # A write waits only when the caller has left much unread. Setting a timer for
-        # each piece took an eighth of the time that a host spends on a token.
+    def _is_buffer_empty(self):
+        # A write waits only when much of the buffer is unread. Setting a timer for each
+        # event took an eighth of the time that a host spends on a token.
         transport = self._request.transport
         return transport is not None and transport.get_write_buffer_size() == 0
 
     async def fail(self, error):
-        """Tell a caller who has part of the answer that the rest will not come."""
+        """Send an error event to a caller that has received part of the answer."""
         body = error_body(error.code, error.message, self._request_id)
-        await self._write(b"event: error\ndata: " + _line(body) + b"\n\n")
+        await self._write(b"event: error\ndata: " + _json_bytes(body) + b"\n\n")
 
     async def hand_over(self, offset):
-        """Tell the caller to go on reading at another host, from ``offset``."""
+        """Send ``moved``: the caller has to resume at another host from ``offset``."""
         if self._response is None:
             await self._start()
         body = {"stream_token": self._token, "offset": offset}
-        await self._write(b"event: moved\ndata: " + _line(body) + b"\n\n")
+        await self._write(b"event: moved\ndata: " + _json_bytes(body) + b"\n\n")
 
     async def finish(self):
-        """End the answer and return it."""
+        """End the response and return it."""
         try:
             await self._response.write_eof()
         except OSError as error:
@@ -111,7 +112,7 @@
         return self._response
 
 
-def _line(payload):
+def _json_bytes(payload):
     return json.dumps(payload).encode()
 
 
@@ -126,13 +127,13 @@
 
 
 class TokenDetails(msgspec.Struct):
-    """How many prompt tokens the engine had in its cache."""
+    """Number of prompt tokens that the engine had in its cache."""
 
     cached_tokens: int = 0
 
 
 class Usage(msgspec.Struct):
-    """The engine's own count of tokens."""
+    """Token counts reported by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -162,23 +163,23 @@
 
 
 class CollectSink:
-    """Collects a stream into one unstreamed answer."""
+    """Collects a stream into one non-streaming answer."""
 
-    __slots__ = ("_chunks",)
+    __slots__ = ("_events",)
     supports_handover = False
     started = False
 
     def __init__(self):
-        self._chunks = []
+        self._events = []
 
     async def write(self, events):
-        """Take events in."""
-        self._chunks += [event for event in events if not event.done]
+        """Collect events, without the end mark."""
+        self._events += [event for event in events if not event.done]
 
     def completion(self):
-        """Return the answer as a ``chat.completion`` object."""
+        """Return the collected answer as a ``chat.completion`` object."""
         texts, finish, usage, last = {}, {}, None, _Chunk()
-        for event in self._chunks:
+        for event in self._events:
             last = _chunk_decoder.decode(event.data())
             usage = last.usage or usage
             for choice in last.choices:
--- a/libs/host/src/hemlockhoist/host/tokens.py
+++ b/libs/host/src/hemlockhoist/host/tokens.py
@@ -1,4 +1,4 @@
-"""Stream tokens: what any host needs to resume a stream for its caller."""
+"""Signed stream tokens, with which a caller resumes a stream at any host."""
 
 import base64
 import hashlib
@@ -9,21 +9,22 @@
 from hemlockhoist.base import BadRequest, ResultCode
 
 _DIGEST_BYTES = 16
-# Keeps the digest of a token from being one of a peer's frame under the same key.
+# Domain separation: a token's digest must not be valid for a peer's frame, which is
+# signed with the same key.
 _PURPOSE = b"stream-token"
 
 
 class StreamTicket(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Where a stream is, and whose it is.
+    """Location and owner of a stream, the content of a stream token.
 
     Parameters
     ==========
     request_id, pool, customer : str
     address : str
-        Of the upstream.
+        Address of the upstream.
     version : str
     owner : str
-        Host id of the entry host that dispatched it.
+        Host id of the entry host that dispatched the request.
     """
 
     request_id: str
@@ -35,10 +36,10 @@
 
 
 class StreamTokens:
-    """Signs and reads stream tokens.
+    """Signs and verifies stream tokens.
 
     A token is signed with the key that all hosts share, so that a caller can not
-    point a host at another address or at another customer's stream.
+    direct a host to another address or to another customer's stream.
 
     Parameters
     ==========
@@ -61,35 +62,35 @@
         self._decoder = msgspec.msgpack.Decoder(StreamTicket)
 
     def sign(self, ticket):
-        """Return the token, of letters that a URL may hold."""
+        """Return the token of a ticket, encoded as URL-safe base64."""
         body = msgspec.msgpack.encode(ticket)
         return base64.urlsafe_b64encode(self._digest(body) + body).decode().rstrip("=")
 
     def read(self, token):
-        """Return the ticket of a token.
+        """Return the ticket that a token holds.
 
         Raises
         ======
         BadRequest
-            ``UNKNOWN_STREAM``.
+            ``UNKNOWN_STREAM`` when the token is malformed or its signature is wrong.
         """
         padding = "=" * (-len(token) % 4)
         try:
             raw = base64.urlsafe_b64decode(token + padding)
         except ValueError as error:
-            raise _unknown() from error
+            raise _invalid_token() from error
         digest, body = raw[:_DIGEST_BYTES], raw[_DIGEST_BYTES:]
         if not hmac.compare_digest(digest, self._digest(body)):
-            raise _unknown()
+            raise _invalid_token()
         try:
             return self._decoder.decode(body)
         except msgspec.MsgspecError as error:
-            raise _unknown() from error
+            raise _invalid_token() from error
 
     def _digest(self, body):
         digest = hmac.digest(self._key, _PURPOSE + body, hashlib.sha256)
         return digest[:_DIGEST_BYTES]
 
 
-def _unknown():
-    return BadRequest("the stream's token is not valid", ResultCode.UNKNOWN_STREAM)
+def _invalid_token():
+    return BadRequest("invalid stream token", ResultCode.UNKNOWN_STREAM)
