--- a/libs/host/src/hemlockhoist/host/__init__.py
+++ b/libs/host/src/hemlockhoist/host/__init__.py
@@ -1,4 +1,4 @@
-"""The host process: caller, operator and peer surfaces."""
+"""The host process, with its interfaces for callers, operators and peers."""
 
 import importlib
 
@@ -13,10 +13,10 @@
 
 
 def __getattr__(name):
-    """Import a public name's module when it is first asked for.
+    """Import the module of a public name on first access.
 
-    Homes and grants of this package also serve another program, which starts a tenth
-    of a second sooner without the rest of this one: while it loads, its callers wait.
+    Another program also uses the homes and grants of this package. Without the other
+    modules it starts 0.1 s faster, and its callers wait while it loads.
     """
     if name not in _MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/libs/host/src/hemlockhoist/host/__main__.py
+++ b/libs/host/src/hemlockhoist/host/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m hemlockhoist.host``: a host process, settings from the environment."""
+"""``python -m hemlockhoist.host``: runs a host with settings from the environment."""
 
 import os
 
--- a/libs/host/src/hemlockhoist/host/declarations_row.py
+++ b/libs/host/src/hemlockhoist/host/declarations_row.py
@@ -1,4 +1,4 @@
-"""The declarations' rows in the table service: the content, and its version alone."""
+"""Rows of the declarations in the table service: the content, and only its version."""
 
 from hemlockhoist.declarations import StoredDeclarations
 from hemlockhoist.declarations.stored import KEY, TABLE, VERSION_KEY
@@ -8,12 +8,11 @@
 
 
 class DeclarationsRow:
-    """Reads and writes the rows.
+    """Reads and writes the content row and the version row of the declarations.
 
-    Both are written in one transaction, so their row versions are equal. Hosts that
-    look for a newer version read the small one: at 1,700 customers the other has some
-    270 KB, and read every two seconds it would cost a host five times what control
-    may use.
+    Both are written in one transaction, so their row versions are equal. Hosts poll the
+    version row: with 1,700 customers the content row has about 270 KB, and reading it
+    every 2 s would cost a host five times what it may spend on control.
 
     Parameters
     ==========
@@ -31,7 +30,7 @@
         Returns
         =======
         (StoredDeclarations, int)
-            Empty declarations and ``ABSENT_VERSION`` for no row.
+            Empty declarations and ``ABSENT_VERSION`` if there is no row.
 
         Raises
         ======
@@ -56,7 +55,7 @@
         return stored.declarations
 
     async def write(self, stored, row_version, change_id):
-        """Write both rows if they still have ``row_version``.
+        """Write both rows if their row version is still ``row_version``.
 
         Raises
         ======
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -1,4 +1,4 @@
-"""This host's view of the fleet: membership, and messages that keep it."""
+"""This host's view of the fleet: drives the membership protocol."""
 
 import asyncio
 import contextlib
@@ -17,18 +17,18 @@
 
 _log = get_logger("host.fleet")
 
-# The membership asks to be called a few times a second; a probe's time limits are
+# The membership has to be called several times a second, as a probe's time-outs are
 # some hundreds of milliseconds.
 MIN_TICK_MS = 100
-# Without a probe or a suspicion under way, the membership is called when its next probe
-# is due, and at least this often: it takes a longer pause for a freeze of the process.
+# Without a pending probe or suspicion, the membership is called when its next probe is
+# due, and at least this often: it treats a longer gap as a freeze of the process.
 MAX_TICK_MS = 500
-# A refusal comes back within one round trip.
+# A refused connection is reported within one round trip.
 LISTEN_CHECK_TIMEOUT_MS = 500
 
 
 class Fleet:
-    """Keeps the membership going and tells the other parts of its changes.
+    """Drives the membership and notifies the other parts of its changes.
 
     Parameters
     ==========
@@ -37,15 +37,15 @@
     """
 
     __slots__ = (
-        "_checks",
+        "_connection_checks",
         "_context",
         "_introduced",
         "_live",
         "_live_version",
         "_membership",
-        "_seen_version",
-        "_steady",
-        "_steady_version",
+        "_handled_version",
+        "_stable",
+        "_stable_version",
         "_task",
     )
 
@@ -53,23 +53,23 @@
         self._context = context
         self._membership = membership
         self._task = PeriodicTask(self._tick_ms, self._tick)
-        self._checks = set()
+        self._connection_checks = set()
         self._introduced = asyncio.Event()
-        self._seen_version = None
+        self._handled_version = None
         self._live = ()
         self._live_version = None
-        self._steady = []
-        self._steady_version = None
+        self._stable = []
+        self._stable_version = None
 
     @classmethod
     def from_context(cls, context, processor_millicores=0):
-        """Return the view of a process that has just started.
+        """Return the view of the fleet for a process that has just started.
 
         Parameters
         ==========
         context : HostContext
         processor_millicores : int, optional
-            What this host may use, where its settings tell.
+            Processor time that this host may use, if its settings limit it.
         """
         identity = context.identity
         own = Member(
@@ -83,13 +83,13 @@
         return cls(context, Membership.from_config(own, identity.incarnation))
 
     async def start(self):
-        """Begin to probe."""
+        """Start to probe other hosts."""
         await self._task.start()
 
     async def close(self):
         """Stop probing."""
         await self._task.close()
-        await asyncio.gather(*self._checks, return_exceptions=True)
+        await asyncio.gather(*self._connection_checks, return_exceptions=True)
 
     def _tick_ms(self):
         due_ms = self._membership.next_due_ms(self._context.clock.now_ms())
@@ -98,45 +98,45 @@
     def _tick(self):
         now_ms = self._context.clock.now_ms()
         self._send(self._membership.tick(now_ms))
-        self._handle_events()
+        self._process_events()
 
     def on_message(self, message):
-        """Take a peer's message about members."""
+        """Handle a membership message from a peer."""
         now_ms = self._context.clock.now_ms()
         self._send(self._membership.on_message(message, now_ms))
-        self._handle_events()
+        self._process_events()
 
     def on_list(self, listed):
-        """Take a list of hosts that may be there.
+        """Update the list of hosts that may be running.
 
         Parameters
         ==========
         listed : sequence of ListedHost
         """
         self._membership.set_list(listed, self._context.clock.now_ms())
-        self._handle_events()
+        self._process_events()
 
     def introduce(self):
-        """Tell hosts of the list that this one is there."""
+        """Announce this host to hosts of the list."""
         self._introduced.set()
         self._send(self._membership.introduce())
 
     async def wait_introduced(self, limit_ms):
-        """Wait until the list was read, at most ``limit_ms``."""
+        """Wait until the list has been read, for at most ``limit_ms``."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_ms / MS_PER_S):
                 await self._introduced.wait()
 
     @property
     def is_high_capacity(self):
-        """Whether this host may be home, as far as it knows."""
+        """Whether this host may be home, by its own view of the fleet."""
         return self._membership.is_high_capacity
 
-    def on_broken(self, host_id):
-        """Find out whether a peer whose connection ended still listens."""
+    def on_connection_lost(self, host_id):
+        """Check whether a peer whose connection was lost still listens."""
         task = asyncio.create_task(self._check_listening(host_id))
-        self._checks.add(task)
-        task.add_done_callback(self._checks.discard)
+        self._connection_checks.add(task)
+        task.add_done_callback(self._connection_checks.discard)
 
     async def _check_listening(self, host_id):
         ip, _, port = host_id.rpartition(":")
@@ -147,30 +147,30 @@
         except ConnectionRefusedError:
             now_ms = self._context.clock.now_ms()
             self._membership.report_connection_refused(host_id, now_ms)
-            self._handle_events()
+            self._process_events()
         except OSError:
-            # No answer in time: frozen or cut off, which probes find out.
+            # No answer in time: the peer is frozen or partitioned, which probes detect.
             return
 
     def on_unresponsive(self, host_id):
-        """Take a home's silence to repeated questions."""
+        """Report a home that does not answer repeated requests."""
         now_ms = self._context.clock.now_ms()
         self._send(self._membership.report_unresponsive(host_id, now_ms))
-        self._handle_events()
+        self._process_events()
 
     def leave(self, successor=""):
-        """Tell the fleet that this host takes no new work."""
+        """Announce to the fleet that this host accepts no new work."""
         now_ms = self._context.clock.now_ms()
         self._send(self._membership.leave(now_ms, successor))
-        self._handle_events()
+        self._process_events()
 
     @property
     def version(self):
-        """Differs after every change of the view."""
+        """Version of the view, which differs after every change."""
         return self._membership.version
 
     def homes(self, pool, shard):
-        """Return the host ids of a shard's home and the next in line."""
+        """Return the host ids of a shard's home and of its successors, in order."""
         members = self._membership.homes(pool, shard, count=4)
         return tuple(member.address for member in members)
 
@@ -182,39 +182,39 @@
             self._live = tuple(member.address for member in members)
         return self._live
 
-    def count_responsive(self, heard_ms):
-        """Return how many hosts were heard from within a time, this one included."""
+    def count_responsive(self, within_ms):
+        """Return the number of hosts heard from within a time, this one included."""
         own = self._context.identity.host_id
         bus = self._context.bus
         return sum(
-            1 for host in self.live_hosts() if host == own or bus.heard(host, heard_ms)
+            1 for host in self.live_hosts() if host == own or bus.heard(host, within_ms)
         )
 
     def count_known(self, lost_ms):
-        """Return how many hosts the fleet has.
+        """Return the number of hosts in the fleet, with those lost recently.
 
         Parameters
         ==========
         lost_ms : int
-            A host that was lost within this time is part of the fleet: it may be cut
-            off, and not gone.
+            A host lost within this time still counts: it may be partitioned rather
+            than gone.
         """
         now_ms = self._context.clock.now_ms()
         return len(self.live_hosts()) + self._membership.count_lost(now_ms, lost_ms)
 
     def stable_members(self):
-        """Return this host's own member, and the members that are well and stay."""
-        if self._steady_version != self._membership.version:
-            self._steady_version = self._membership.version
-            self._steady = self._membership.confirmed_members()
-        return self._membership.own.member, self._steady
+        """Return this host's own member, and the members that are alive and stay."""
+        if self._stable_version != self._membership.version:
+            self._stable_version = self._membership.version
+            self._stable = self._membership.confirmed_members()
+        return self._membership.own.member, self._stable
 
     def members(self):
         """Return the members that are not gone."""
         return tuple(self._membership.live_hosts())
 
     def rank(self, name):
-        """Return the usable hosts' ids by rendezvous score for any name."""
+        """Return the usable hosts' ids, ordered by rendezvous score for a name."""
         return tuple(member.address for member in self._membership.rank(name))
 
     def host_of(self, incarnation):
@@ -223,7 +223,7 @@
         return member.address if member is not None else ""
 
     def successor(self):
-        """Return the incarnation that a leaving host hands its ledger to, or ""."""
+        """Return the incarnation to which this host hands its ledger, or ""."""
         own = self._context.identity.host_id
         for member in self._membership.rank(f"successor/{own}"):
             if member.address != own and member.incarnation:
@@ -231,24 +231,24 @@
         return ""
 
     def caller_addresses(self):
-        """Return all callers' addresses of hosts that take new work."""
+        """Return the addresses for callers of all hosts that accept new work."""
         return self._membership.caller_addresses()
 
     def advertised_members(self):
-        """Return the members that callers may be told of, in a random order."""
+        """Return the members to advertise to callers, in random order."""
         return self._membership.advertised_members()
 
     def hosts_response(self):
-        """Return the answer to "which hosts shall I use".
+        """Return the response to ``GET /v1/hosts``.
 
         Raises
         ======
         Refused
-            ``NOT_READY`` when no host can be named.
+            ``NOT_READY`` when no host accepts new work.
         """
         answer = self._membership.address_answer(self._context.clock.now_ms())
         if not answer.addresses:
-            raise Refused("no host takes new work", ResultCode.NOT_READY)
+            raise Refused("no host accepts new work", ResultCode.NOT_READY)
         payload = {
             "hosts": list(answer.addresses),
             "keep_ms": self._context.settings.address_ttl_ms,
@@ -261,19 +261,19 @@
         for item in outgoing:
             self._context.bus.send(item.address, item.message)
 
-    def _handle_events(self):
+    def _process_events(self):
         for event in self._membership.take_events():
             _handle(event, self._context)
-        # A suspicion is no event, and still moves homes.
-        if self._membership.version != self._seen_version:
-            self._seen_version = self._membership.version
+        # A suspicion raises no event, but reassigns homes.
+        if self._membership.version != self._handled_version:
+            self._handled_version = self._membership.version
             self._context.homes.update()
             self._context.grants.on_homes_changed()
 
 
 @functools.singledispatch
 def _handle(event, context):
-    """Tell the parts concerned of a change of the fleet."""
+    """Notify the parts concerned of a membership event."""
     raise TypeError(type(event).__name__)
 
 
--- a/libs/host/src/hemlockhoist/host/inbound.py
+++ b/libs/host/src/hemlockhoist/host/inbound.py
@@ -71,7 +71,7 @@
     def on_broken(self, host_id):
         """Take the end of a connection to a peer."""
         if self._context is not None:
-            self._context.fleet.on_broken(host_id)
+            self._context.fleet.on_connection_lost(host_id)
 
 
 @functools.singledispatch
--- a/libs/host/src/hemlockhoist/host/operator_declarations.py
+++ b/libs/host/src/hemlockhoist/host/operator_declarations.py
@@ -1,4 +1,4 @@
-"""Applies an operator's change of the declarations by compare-and-set."""
+"""Applies operators' changes of the declarations by compare-and-set."""
 
 import asyncio
 import re
@@ -22,7 +22,7 @@
 
 
 class OperatorDeclarations:
-    """Reads and changes the declarations' row for the operators' surface.
+    """Reads and changes the declarations' rows for the operators' API.
 
     Parameters
     ==========
@@ -38,11 +38,11 @@
 
     @classmethod
     def from_config(cls, tables, clock):
-        """Return the decision part for one host."""
+        """Return an instance for one host."""
         return cls(tables, clock)
 
     async def current(self):
-        """Return what the row holds; empty declarations of version 0 for no row.
+        """Return the stored declarations; empty with version 0 if there is no row.
 
         Returns
         =======
@@ -70,7 +70,7 @@
         return stored.history
 
     async def apply(self, change):
-        """Accept a change of the version that its author read.
+        """Apply a change to the version that its author read.
 
         Parameters
         ==========
@@ -88,14 +88,14 @@
             ``DECLARATION_CONFLICT`` with the other author's name, or
             ``DECLARATION_INVALID`` for a malformed change id or author.
         StoreAnswerLost
-            When the change may have been accepted; the same change may be sent
-            again.
+            When it is unknown whether the change was accepted; the same change may be
+            sent again.
         PlatformError
-            When the table service did not take the change.
+            When the table service did not accept the change.
         """
         _check_change(change)
-        # In a thread: at 1,700 customers the check takes tens of milliseconds, for
-        # which every stream of this host would stand still.
+        # In a thread: with 1,700 customers the check takes tens of milliseconds, during
+        # which the event loop could not serve any stream of this host.
         await asyncio.to_thread(check_declarations, change.declarations)
         stored, row_version = await self._row.read()
         entry = stored.entry_of(change.change_id)
@@ -103,24 +103,24 @@
             return _result(entry, repeated=True)
         if stored.declarations.version != change.read_version:
             raise _conflict(stored, change)
-        following = stored.changed(
+        updated = stored.changed(
             change.declarations, change.change_id, change.author, self._clock.unix_ms()
         )
         try:
-            await self._row.write(following, row_version, change.change_id)
+            await self._row.write(updated, row_version, change.change_id)
         except (StoreConflict, StoreAnswerLost) as error:
-            return await self._settle(change, error)
-        version = following.declarations.version
+            return await self._resolve_write(change, error)
+        version = updated.declarations.version
         _log.info("declarations_accepted", version=version, author=change.author)
         return ChangeResult(version=version, change_id=change.change_id)
 
-    async def _settle(self, change, error):
-        """Find out whether a write whose answer was lost has taken effect.
+    async def _resolve_write(self, change, error):
+        """Determine whether a write with a lost answer or a conflict took effect.
 
-        The table service may lose an answer after the write took effect. A conflict
-        or a failure reported then would make the author apply the change again on
-        top of itself, or give it up while it is in force. The row's history names
-        every change by its id, also when others have been accepted on top of it.
+        The table service may lose an answer after the write took effect. If a conflict
+        or a failure were reported then, the author would apply the change a second time
+        or abandon it while it is in force. The row's history lists every change by its
+        id, even when others have been accepted after it.
         """
         stored, _ = await self._row.read()
         entry = stored.entry_of(change.change_id)
@@ -128,8 +128,8 @@
             return _result(entry, repeated=True)
         if stored.declarations.version != change.read_version:
             raise _conflict(stored, change) from error
-        # The row is as it was read, and the write may still arrive: "not accepted"
-        # would not be true.
+        # The row is unchanged, but the write may still arrive: reporting the change as
+        # not accepted could turn out to be false.
         raise error
 
 
@@ -140,16 +140,21 @@
 
 
 def _conflict(stored, change):
-    """Return an error that names whoever changed the version that was read."""
+    """Return an error that names the author who changed the version that was read."""
     current = stored.declarations.version
     if change.read_version > current:
-        message = f"version {change.read_version} was never accepted; {current} is"
+        message = (
+            f"version {change.read_version} was never accepted; "
+            f"{current} is the current version"
+        )
         return DeclarationError(message, code=ResultCode.DECLARATION_CONFLICT)
     entry = stored.entry_at(change.read_version + 1)
-    who = f"by {entry.author}" if entry else "long ago"
-    what = "; ".join(entry.changes) if entry else "its entry is no longer kept"
+    changed_by = f"by {entry.author}" if entry else "earlier"
+    change_list = (
+        "; ".join(entry.changes) if entry else "its history entry is no longer kept"
+    )
     message = (
-        f"version {change.read_version} was changed {who} ({what}); "
+        f"version {change.read_version} was changed {changed_by} ({change_list}); "
         f"the current version is {current}"
     )
     return DeclarationError(message, code=ResultCode.DECLARATION_CONFLICT)
@@ -158,7 +163,7 @@
 def _check_change(change):
     if not _CHANGE_ID.match(change.change_id):
         raise DeclarationError(
-            "change_id: is malformed; allowed: 8 to 64 letters, digits, '-', '_'"
+            "change_id: is malformed; allowed: 8 to 64 letters, digits, '-' or '_'"
         )
     if not _AUTHOR.match(change.author) or not change.author.strip():
-        raise DeclarationError("author: is empty or has control characters")
+        raise DeclarationError("author: is empty, too long or has control characters")
--- a/libs/host/src/hemlockhoist/host/operators.py
+++ b/libs/host/src/hemlockhoist/host/operators.py
@@ -1,4 +1,4 @@
-"""The operators' surface under ``/-/``."""
+"""HTTP API for operators under ``/-/``."""
 
 import hmac
 
@@ -25,12 +25,12 @@
 
 _log = get_logger("host.operators")
 
-# The largest fleet's declarations are under a megabyte.
+# The declarations of the largest fleet take less than 1 MB.
 MAX_BODY_BYTES = 4_194_304
 
 
 class OperatorHandlers:
-    """Answers operators' commands.
+    """Handles requests of operators' commands.
 
     Parameters
     ==========
@@ -48,18 +48,20 @@
         self._begin_drain = begin_drain
 
     def add_routes(self, router):
-        """Add the surface to an application's router."""
-        router.add_get(STATUS_PATH, self._guarded(self._status))
-        router.add_post(DRAIN_PATH, self._guarded(self._drain))
-        router.add_get(DECLARATIONS_PATH, self._guarded(self._read))
-        router.add_put(DECLARATIONS_PATH, self._guarded(self._apply))
-        router.add_get(HISTORY_PATH, self._guarded(self._history))
-        router.add_get(MOVES_PATH, self._guarded(self._moves))
-        router.add_post(MOVES_PATH, self._guarded(self._start_move))
-        router.add_delete(MOVES_PATH + "/{move_id}", self._guarded(self._cancel_move))
-
-    def _guarded(self, handler):
-        """Return the handler behind the check of the operator's key."""
+        """Add the routes of the API to an application's router."""
+        router.add_get(STATUS_PATH, self._require_key(self._status))
+        router.add_post(DRAIN_PATH, self._require_key(self._drain))
+        router.add_get(DECLARATIONS_PATH, self._require_key(self._read))
+        router.add_put(DECLARATIONS_PATH, self._require_key(self._apply))
+        router.add_get(HISTORY_PATH, self._require_key(self._history))
+        router.add_get(MOVES_PATH, self._require_key(self._moves))
+        router.add_post(MOVES_PATH, self._require_key(self._start_move))
+        router.add_delete(
+            MOVES_PATH + "/{move_id}", self._require_key(self._cancel_move)
+        )
+
+    def _require_key(self, handler):
+        """Return a handler that checks the operator's key before ``handler`` runs."""
 
         async def handle(request):
             self._authenticate(request.headers)
@@ -74,11 +76,11 @@
             raise BadRequest("", ResultCode.OPERATOR_KEY_WRONG)
 
     async def _status(self, request):
-        return _encoded(host_status(self._context))
+        return _json_response(host_status(self._context))
 
     async def _drain(self, request):
         self._begin_drain()
-        return _encoded({"leaving": True, "host": self._context.identity.name})
+        return _json_response({"leaving": True, "host": self._context.identity.name})
 
     async def _read(self, request):
         in_force = self._context.declarations
@@ -86,16 +88,16 @@
             stored = await self._declarations.current()
             declarations = stored.declarations
         except PlatformError:
-            # Operators must see what is in force also while the store is down.
+            # Operators must see the declarations in force even while the store is down.
             declarations = in_force
         view = DeclarationsView(
             version=declarations.version,
-            hosts=await self._versions_in_force(declarations.version),
+            hosts=await self._host_versions(declarations.version),
             declarations=declarations,
         )
-        return _encoded(view)
+        return _json_response(view)
 
-    async def _versions_in_force(self, version):
+    async def _host_versions(self, version):
         versions = await self._context.configuration.versions_in_force(version)
         return tuple(
             HostVersion(host_id=host, version=version)
@@ -106,27 +108,27 @@
         change = await self._decode(request, DeclarationChange)
         result = await self._declarations.apply(change)
         self._context.configuration.look_now()
-        return _encoded(result)
+        return _json_response(result)
 
     async def _history(self, request):
-        return _encoded(HistoryView(entries=await self._declarations.history()))
+        return _json_response(HistoryView(entries=await self._declarations.history()))
 
     async def _moves(self, request):
         rows = await self._context.moves.rows()
-        return _encoded(MovesView(moves=tuple(move_view(row) for row in rows)))
+        return _json_response(MovesView(moves=tuple(move_view(row) for row in rows)))
 
     async def _start_move(self, request):
         order = await self._decode(request, MoveRequest)
         row = await self._context.moves.order(order)
         _log.info("move_ordered", move_id=row.move_id, pool=row.pool, author=row.author)
-        return _encoded(move_view(row))
+        return _json_response(move_view(row))
 
     async def _cancel_move(self, request):
         move_id = request.match_info["move_id"]
         reason = request.query.get("reason", "cancelled by an operator")
         author = request.query.get("author", "operator")
         row = await self._context.moves.cancel(move_id, reason, author)
-        return _encoded(move_view(row))
+        return _json_response(move_view(row))
 
     async def _decode(self, request, kind):
         timeout_ms = self._context.settings.body_timeout_ms
@@ -138,7 +140,7 @@
 
 
 def move_view(row):
-    """Return what operators see of a move's row."""
+    """Return the view of a move's row for operators."""
     return MoveView(
         move_id=row.move_id,
         pool=row.pool,
@@ -225,7 +227,7 @@
     return status
 
 
-def _encoded(payload):
+def _json_response(payload):
     body = msgspec.json.format(msgspec.json.encode(payload), indent=2) + b"\n"
     headers = result_headers(ResultCode.OK, "")
     return web.Response(body=body, headers=headers, content_type="application/json")
--- a/libs/host/src/hemlockhoist/host/process.py
+++ b/libs/host/src/hemlockhoist/host/process.py
@@ -1,4 +1,4 @@
-"""One host process: its parts, started, joined, drained and closed."""
+"""The host process: starts its parts, joins the fleet, drains and closes."""
 
 import asyncio
 import contextlib
@@ -67,34 +67,34 @@
 GAUGE_INTERVAL_MS = 1_000
 DRAIN_CHECK_INTERVAL_MS = 50
 FLUSH_TIMEOUT_MS = 500
-# Work in this process that a thread has to do is small; the default pool of the
-# service framework is sized for much more memory than a host has.
+# Little work of this process runs in threads, and the default pool of the service
+# framework is sized for much more memory than a host has.
 THREAD_POOL_SIZE = 2
 TEST_VARIABLE = "HEMLOCKHOIST_TEST"
 
 
 class HostProcess:
-    """A host: entry for callers, home of pools, surface for operators.
+    """A host: entry for callers, home of pools and API for operators.
 
     Parameters
     ==========
     settings : Settings
     traces : Traces, optional
-        By default those that the settings name.
+        By default configured by the settings.
     """
 
     def __init__(self, settings, traces=None):
         self.settings = settings
-        self._given_traces = traces
+        self._traces_override = traces
         self.context = None
         self.finished = asyncio.Event()
         self._drain_task = None
-        self._closers = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
         self._server = None
         self._upstreams = ()
 
     async def start(self):
-        """Start all parts; the host serves when this returns."""
+        """Start all parts; the host serves requests when this returns."""
         clock = Clock.from_running_loop()
         invariants = InvariantLog(fatal=TEST_VARIABLE in os.environ)
         incarnation = new_incarnation()
@@ -111,20 +111,22 @@
         context.traces = await self._open(self._traces(bus.address))
         transport = await self._open(self._transport())
         tables = TableClient.from_config(transport)
-        self._build(context, tables)
-        await self._serve(context, tables)
+        self._create_parts(context, tables)
+        await self._start_serving(context, tables)
         inbound.open(context)
         await self._open(context.fleet)
         members = HostListClient.from_config(transport)
         interval_ms = self.settings.host_list_poll_ms
-        await self._open(HostListWatch(members, interval_ms, self._on_list))
+        await self._open(HostListWatch(members, interval_ms, self._on_host_list))
         await self._open(context.configuration)
         await self._open(context.moves)
         watch = LoadWatch(context.upstreams, context.homes, self.settings.load_poll_ms)
         await self._open(watch)
         await self._open(PeriodicTask(HOME_TICK_INTERVAL_MS, context.homes.tick))
-        await self._open(PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held))
-        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
+        await self._open(
+            PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held_grants)
+        )
+        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._update_gauges))
         _log.info("host_started", address=context.identity.address)
 
     def _bus(self, clock, incarnation, inbound):
@@ -149,8 +151,8 @@
         )
 
     def _traces(self, host_id):
-        if self._given_traces is not None:
-            return self._given_traces
+        if self._traces_override is not None:
+            return self._traces_override
         return Traces.from_config(
             self.settings.otlp_endpoint,
             self.settings.trace_sample_permille,
@@ -162,8 +164,8 @@
         config = PlatformConfig(url=f"http://{self.settings.platform_address}")
         return PlatformTransport.from_config(config)
 
-    def _build(self, context, tables):
-        """Make the parts that need no address of this host."""
+    def _create_parts(self, context, tables):
+        """Create the parts that do not need the address of this host."""
         clock, send = context.clock, context.bus.send
         context.declarations = Declarations()
         context.callers = CallerDirectory(context.declarations)
@@ -173,7 +175,7 @@
             clock,
             send,
             context.homes.home_of,
-            self._on_silent,
+            self._on_unresponsive,
             context.bus.renew,
         )
         context.dispatcher = Dispatcher(
@@ -182,7 +184,7 @@
         context.upstreams = UpstreamClient()
         context.moves = MoveService(context, tables, send)
         context.configuration = ConfigurationService(
-            context, tables, send, self._on_change
+            context, tables, send, self._on_declarations
         )
         context.ledger = LedgerService.from_settings(
             self.settings,
@@ -190,20 +192,20 @@
             clock,
             context.invariants,
             send,
-            self._host_of,
+            self._find_host,
         )
 
-    def _on_silent(self, host_id):
+    def _on_unresponsive(self, host_id):
         self.context.fleet.on_unresponsive(host_id)
 
-    def _host_of(self, incarnation):
+    def _find_host(self, incarnation):
         return self.context.fleet.host_of(incarnation)
 
-    async def _serve(self, context, tables):
-        """Listen for callers; from here on this host's address is known."""
+    async def _start_serving(self, context, tables):
+        """Start to listen for callers, which determines this host's address."""
         await self._open(context.upstreams)
         chat = ChatHandlers(context)
-        self._closers.push_async_callback(chat.close)
+        self._exit_stack.push_async_callback(chat.close)
         operators = OperatorHandlers(
             context, OperatorDeclarations(tables, context.clock), self.begin_drain
         )
@@ -219,44 +221,44 @@
 
     async def _open(self, part):
         await part.start()
-        self._closers.push_async_callback(part.close)
+        self._exit_stack.push_async_callback(part.close)
         return part
 
     async def close(self):
-        """Stop all parts, the last started first."""
-        await self._closers.aclose()
+        """Stop all parts in the reverse order of their start."""
+        await self._exit_stack.aclose()
 
-    def _on_list(self, members):
+    def _on_host_list(self, members):
         self.context.fleet.on_list(listed_hosts(members))
         self._upstreams = listed_upstreams(members)
-        self._put_upstreams_in_force()
+        self._apply_upstreams()
 
-    def _put_upstreams_in_force(self):
+    def _apply_upstreams(self):
         evacuated = self.context.declarations.evacuations()
         self.context.homes.set_upstreams(mark_evacuated(self._upstreams, evacuated))
 
     def _log_evacuations(self, former, declarations):
-        """Say which failure domains go out of use and why, and which are back."""
+        """Log the failure domains whose evacuation begins, with its reason, or ends."""
         before, after = former.evacuations(), declarations.evacuations()
         for name in sorted(after.keys() - before.keys()):
             _log.info("domain_evacuated", failure_domain=name, reason=after[name])
         for name in sorted(before.keys() - after.keys()):
             _log.info("domain_taken_back", failure_domain=name)
 
-    def _on_change(self, declarations):
-        """Put a newer version of the declarations in force."""
+    def _on_declarations(self, declarations):
+        """Apply a newer version of the declarations."""
         self._log_evacuations(self.context.declarations, declarations)
         self.context.declarations = declarations
         self.context.callers = CallerDirectory(declarations)
         self.context.homes.redeclare()
-        self._put_upstreams_in_force()
+        self._apply_upstreams()
         _log.info("declarations_in_force", version=declarations.version)
 
-    def _report_held(self):
+    def _report_held_grants(self):
         pools = [pool.name for pool in self.context.declarations.pools]
         self.context.grants.send_held_ids(pools)
 
-    def _report_gauges(self):
+    def _update_gauges(self):
         context = self.context
         context.metrics.gauge(REQUESTS_OPEN, context.open_requests)
         context.metrics.gauge(HOSTS_LIVE, len(context.fleet.live_hosts()))
@@ -270,10 +272,11 @@
             context.metrics.gauge(GRANTS_IN_FLIGHT, granted, pool)
 
     def begin_drain(self):
-        """Begin a graceful shutdown; a second call changes nothing.
+        """Begin a graceful shutdown; further calls have no effect.
 
-        An impatient operator or supervisor sends the signal twice; taking that for
-        "stop at once" would cut the requests that the first one promised to finish.
+        Operators and supervisors may send the signal twice. Treating the second one as
+        a request for immediate termination would cut the requests that the first one
+        allows to finish.
         """
         if self._drain_task is not None:
             _log.info("drain_already_begun")
@@ -281,7 +284,7 @@
         self._drain_task = asyncio.create_task(self._drain())
 
     async def _drain(self):
-        """Leave without cutting a request."""
+        """Leave the fleet, and let open requests finish or hand them over."""
         context = self.context
         _log.info("drain_begun", open_requests=context.open_requests)
         successor = context.fleet.successor()
@@ -290,25 +293,25 @@
         context.homes.close()
         if successor and await self._hand_over(successor):
             context.fleet.leave(successor)
-        # Callers hold this host's address for its time to live, and connect meanwhile.
+        # Callers cache this host's address for its time to live and connect until then.
         await asyncio.sleep(self.settings.address_ttl_ms / MS_PER_S)
         await self._server.stop_listening()
         await self._wait_idle(self.settings.drain_limit_ms)
         if context.open_requests:
             _log.warning("drain_overrun", open_requests=context.open_requests)
             context.handover.begin()
-            # What can not move, an unstreamed answer or a call of a plain service,
-            # is waited for as long again rather than cut.
+            # Non-streaming answers and calls of plain services can not be handed over.
+            # They are not cut either, but get the same time again to finish.
             await self._wait_idle(self.settings.drain_limit_ms)
         await context.bus.flush(FLUSH_TIMEOUT_MS)
         _log.info("drain_ended", open_requests=context.open_requests)
         self.finished.set()
 
     async def _hand_over(self, successor):
-        """Return whether the successor has this host's key ledger."""
-        # A fault here must not end the drain: the host would say that it leaves, and
-        # stay until it is killed, with its requests. Without the ledger its keys are
-        # "outcome unknown" to those who repeat them, which is true.
+        """Hand the key ledger to the successor; return whether it has it."""
+        # An error here must not end the drain: the host would have announced that it
+        # leaves, and stay with its requests until it is killed. Without the ledger, a
+        # repeated key is answered with "outcome unknown", which is correct.
         try:
             return await self.context.ledger.hand_over(successor)
         except Exception:
@@ -343,8 +346,8 @@
     ==========
     settings : Settings
     announce : callable, optional
-        ``announce(identity)`` is called when the host serves; by default one line
-        with its addresses goes to standard output.
+        ``announce(identity)`` is called when the host serves requests; by default a
+        line with its addresses is printed to standard output.
     """
     configure_logs(settings.log_level, for_good=True)
     with aiomisc.entrypoint(pool_size=THREAD_POOL_SIZE, log_config=False) as loop:
--- a/libs/host/src/hemlockhoist/host/settings.py
+++ b/libs/host/src/hemlockhoist/host/settings.py
@@ -1,4 +1,4 @@
-"""The host's settings: read from values, flags and variables, checked all at once."""
+"""Settings of a host, read from flags and environment variables and validated."""
 
 import difflib
 
@@ -9,21 +9,22 @@
 from hemlockhoist.host.settings_table import PREFIX, SETTING_NAMES, SETTINGS
 
 MASK = "***"
-# Variables with the product's prefix that are no settings of a host.
+# Variables with the product's prefix that are not settings of a host.
 NON_SETTING_VARIABLES = frozenset(
     {PREFIX + name for name in ("AUTHOR", "CA_FILE", "HOST", "ROOT", "TEST")}
 )
 
 
 class SettingFault(msgspec.Struct, frozen=True, kw_only=True, order=True):
-    """One thing that is wrong with a setting.
+    """One invalid setting.
 
     Parameters
     ==========
     setting : str
     problem : str
-        With the value found, unless it is a secret.
+        What is wrong, with the value found unless it is a secret.
     allowed : str
+        What the setting accepts.
     """
 
     setting: str
@@ -35,7 +36,7 @@
 
 
 class SettingFaults(SettingError):
-    """Settings have faults; ``faults`` lists every one of them.
+    """Settings are invalid; ``faults`` lists every fault.
 
     Parameters
     ==========
@@ -51,9 +52,8 @@
 class Settings:
     """The settings of one host process, as attributes named in ``SETTINGS``.
 
-    Whole numbers are ``int``, addresses ``Endpoint``, all others ``str``; a setting
-    without a value is None. Instances come from ``from_values`` or
-    ``from_environment``.
+    Integers are ``int``, addresses ``Endpoint``, all others ``str``; a setting without
+    a value is None. Instances are created by ``from_values`` or ``from_environment``.
     """
 
     __slots__ = SETTING_NAMES
@@ -64,17 +64,17 @@
 
     @classmethod
     def from_values(cls, values):
-        """Return the settings that a mapping of names gives, defaults for the rest.
+        """Return settings from a mapping of names to values, with defaults.
 
         Parameters
         ==========
         values : mapping of str to object
-            Values are read as text; None and the empty text stand for "not given".
+            Values are parsed from their text; None and "" mean "not given".
 
         Raises
         ======
         SettingFaults
-            With every fault.
+            With all faults.
 
         Examples
         ========
@@ -88,7 +88,7 @@
         (500, 8400)
         """
         faults = [
-            _unknown(name, SETTING_NAMES)
+            _unknown_setting(name, SETTING_NAMES)
             for name in values
             if name not in SETTING_NAMES
         ]
@@ -96,8 +96,8 @@
         for setting in SETTINGS:
             given = values.get(setting.name)
             text = setting.default if given in (None, "") else str(given)
-            found[setting.name] = _read(setting, text, faults)
-        faults += _faults_between(found)
+            found[setting.name] = _parse_setting(setting, text, faults)
+        faults += _cross_setting_faults(found)
         if faults:
             raise SettingFaults(faults)
         if found["host_id"] is None:
@@ -106,19 +106,19 @@
 
     @classmethod
     def from_environment(cls, environment, flags=None):
-        """Return the settings of flags and ``HEMLOCKHOIST_…`` variables.
+        """Return settings from flags and ``HEMLOCKHOIST_…`` variables.
 
         Parameters
         ==========
         environment : mapping of str to str
         flags : mapping of str to str, optional
-            By setting name; they go before variables.
+            By setting name; flags take precedence over variables.
 
         Raises
         ======
         SettingFaults
-            With every fault; a variable with the product's prefix that names no
-            setting is one, as a misspelt limit would silently be the default.
+            With all faults. A variable with the product's prefix that names no setting
+            is a fault, as a misspelt name would silently leave the default in place.
         """
         known = {setting.variable: setting.name for setting in SETTINGS}
         values, faults = {}, []
@@ -126,7 +126,7 @@
             if variable in known:
                 values[known[variable]] = text
             elif variable.startswith(PREFIX) and variable not in NON_SETTING_VARIABLES:
-                faults.append(_unknown(variable, tuple(known)))
+                faults.append(_unknown_setting(variable, tuple(known)))
         given = {name: text for name, text in (flags or {}).items() if text}
         try:
             settings = cls.from_values({**values, **given})
@@ -137,12 +137,12 @@
         return settings
 
     def replaced(self, **values):
-        """Return a copy with some values changed, such as ports from the kernel."""
+        """Return a copy with some values replaced, such as ports the kernel chose."""
         current = {name: getattr(self, name) for name in SETTING_NAMES}
         return type(self)(**{**current, **values})
 
     def masked(self):
-        """Return every setting as text or number for ``status``, secrets masked."""
+        """Return all settings as text or numbers for ``status``, secrets masked."""
         shown = {}
         for setting in SETTINGS:
             value = getattr(self, setting.name)
@@ -155,7 +155,7 @@
         return f"Settings({self.masked()})"
 
 
-def _read(setting, text, faults):
+def _parse_setting(setting, text, faults):
     if text == "":
         if setting.required:
             allowed = (
@@ -177,22 +177,22 @@
         return None
 
 
-def _unknown(name, known):
-    near = difflib.get_close_matches(name, known, n=1)
-    allowed = near[0] if near else "a name listed in docs/SETTINGS.md"
-    return SettingFault(setting=name, problem="is no setting", allowed=allowed)
+def _unknown_setting(name, known):
+    matches = difflib.get_close_matches(name, known, n=1)
+    allowed = matches[0] if matches else "a name listed in docs/SETTINGS.md"
+    return SettingFault(setting=name, problem="is not a setting", allowed=allowed)
 
 
-def _faults_between(found):
-    """Return the faults that only show between two settings."""
+def _cross_setting_faults(found):
+    """Return the faults in combinations of settings."""
     faults = []
     if found["peer_key"] is not None and found["peer_key"] == found["operator_key"]:
-        # An operator's key that passes for a host's lets its holder speak for the
-        # whole fleet: every host would believe its grants and versions.
+        # With an operator's key that is also the peer key, its holder could impersonate
+        # a host: every host would trust its grants and versions.
         fault = SettingFault(
             setting="operator_key",
             problem="is the same as peer_key",
-            allowed="a key of its own",
+            allowed="a different key",
         )
         faults.append(fault)
     for name, other in (
@@ -201,13 +201,13 @@
     ):
         if found[name] is not None and found[other] is None:
             fault = SettingFault(
-                setting=other, problem=f"is missing beside {name}", allowed="a file"
+                setting=other, problem=f"is required with {name}", allowed="a file"
             )
             faults.append(fault)
     return faults
 
 
 def _default_host_id(found):
-    """Return the advertised address, or None until the kernel has given a port."""
+    """Return the advertised address, or None if its port is not chosen yet."""
     address = found["advertise_address"] or found["listen_address"]
     return str(address) if address.port else None
--- a/libs/host/src/hemlockhoist/host/settings_doc.py
+++ b/libs/host/src/hemlockhoist/host/settings_doc.py
@@ -1,35 +1,35 @@
-"""The page ``docs/SETTINGS.md``, generated from the table of settings."""
+"""Generates the page ``docs/SETTINGS.md`` from the table of settings."""
 
 from hemlockhoist.host.settings_kinds import describe
 from hemlockhoist.host.settings_table import SETTINGS
 
 _HEAD = """# Settings
 
-Generated from `hemlockhoist.host.settings_table`; a test checks that this page
-matches. To write it anew: `python -m hemlockhoist.host.settings_doc > docs/SETTINGS.md`.
+Generated from `hemlockhoist.host.settings_table`; a test checks that this page matches.
+To regenerate it: `python -m hemlockhoist.host.settings_doc > docs/SETTINGS.md`.
 
 Every setting is a flag of `hemlockhoist host run` and an environment variable; a flag
-goes before a variable. A name ends in its unit: `_ms` milliseconds, `_bytes` bytes,
-`_permille` thousandths. All faults are reported at once at start. An environment
-variable with the prefix `HEMLOCKHOIST_` that names no setting is a fault too.
+takes precedence over a variable. A name ends in its unit: `_ms` milliseconds, `_bytes`
+bytes, `_permille` thousandths. All faults are reported at once at start. An environment
+variable with the prefix `HEMLOCKHOIST_` that names no setting is also a fault.
 
-Secrets are shown as `***` in `status` and logs. The flags of a process can be read by
-others on its machine: give a secret by its variable, or as `@FILE`.
+Secrets are shown as `***` in `status` and logs. Other users of the machine can read the
+flags of a process: pass a secret by its variable, or as `@FILE`.
 
 | Setting | Flag | Variable | Default | Allowed | What it does |
 |---|---|---|---|---|---|
 """
 
 _TAIL = """
-## Variables that are no settings of a host
+## Variables that are not settings of a host
 
 | Variable | Read by | What it does |
 |---|---|---|
 | `HEMLOCKHOIST_HOST` | operators' commands | Addresses of hosts, `IP:port`, separated by spaces. |
 | `HEMLOCKHOIST_OPERATOR_KEY` | operators' commands | The key they send; the same name as the host's setting. |
-| `HEMLOCKHOIST_AUTHOR` | `declare apply`, `move start` | Who makes the change, for the history. |
-| `HEMLOCKHOIST_CA_FILE` | operators' commands | Certificates (PEM) to check hosts by; HTTPS is used with it. |
-| `HEMLOCKHOIST_ROOT` | the binary | Folder on a memory file system that it unpacks to, by default `/run/hemlockhoist`. |
+| `HEMLOCKHOIST_AUTHOR` | `declare apply`, `move start` | Author of the change, for the history. |
+| `HEMLOCKHOIST_CA_FILE` | operators' commands | Certificates (PEM) to verify hosts with; if set, HTTPS is used. |
+| `HEMLOCKHOIST_ROOT` | the binary | Folder on a memory file system to which it is unpacked, by default `/run/hemlockhoist`. |
 """
 
 
--- a/libs/host/src/hemlockhoist/host/settings_kinds.py
+++ b/libs/host/src/hemlockhoist/host/settings_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of values that a setting may hold, read from text."""
+"""Kinds of setting values, and how they are parsed from text."""
 
 import ipaddress
 import pathlib
@@ -9,7 +9,7 @@
 
 
 class Integer(msgspec.Struct, frozen=True):
-    """A whole number within bounds."""
+    """An integer within inclusive bounds."""
 
     minimum: int
     maximum: int
@@ -22,33 +22,33 @@
 
 
 class Secret(msgspec.Struct, frozen=True):
-    """A key; ``@PATH`` reads it from a file."""
+    """A key of at least ``min_length`` characters; ``@PATH`` reads it from a file."""
 
     min_length: int = 16
 
 
 class Address(msgspec.Struct, frozen=True):
-    """An IP number with a port; 0 lets the kernel choose, where that is allowed."""
+    """An IP address with a port; with ``any_port``, port 0 lets the kernel choose."""
 
     any_port: bool = False
 
 
 class Url(msgspec.Struct, frozen=True):
-    """An HTTP address."""
+    """An HTTP or HTTPS URL."""
 
 
 class File(msgspec.Struct, frozen=True):
-    """The path of a file that exists."""
+    """The path of an existing file."""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """One of several words."""
+    """One of ``choices``."""
 
     choices: tuple[str, ...]
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """The IP number and port that an address setting holds.
+    """The IP address and port of an address setting.
 
     Examples
     ========
@@ -62,12 +62,12 @@
 
     @classmethod
     def from_text(cls, text):
-        """Return the endpoint that ``IP:port`` names.
+        """Parse an endpoint from ``IP:port``.
 
         Raises
         ======
         ValueError
-            When it is no IP number with a port; names are not looked up.
+            When the text is not an IP address with a port; host names are not resolved.
         """
         ip, colon, port = text.rpartition(":")
         if not colon or not port.isdecimal() or len(port) > 5 or int(port) > 65_535:
@@ -83,12 +83,12 @@
 
 @singledispatch
 def parse_value(kind, text):
-    """Return the value that ``text`` stands for.
+    """Parse a value of a kind from text.
 
     Raises
     ======
     ValueError
-        When the text is not what the kind takes.
+        When the kind does not accept the text.
     """
     raise TypeError(kind)
 
@@ -149,7 +149,7 @@
 
 @singledispatch
 def describe(kind):
-    """Return what a kind of setting takes, for people."""
+    """Return a description of the values that a kind accepts."""
     raise TypeError(kind)
 
 
--- a/libs/host/src/hemlockhoist/host/settings_table.py
+++ b/libs/host/src/hemlockhoist/host/settings_table.py
@@ -1,4 +1,4 @@
-"""Every setting of the host: name, kind, default and the reason for both."""
+"""Table of the host's settings: name, kind, default and description."""
 
 import msgspec
 
@@ -16,20 +16,20 @@
 
 
 class Setting(msgspec.Struct, frozen=True):
-    """One row of the table of settings.
+    """One setting of the table.
 
     Parameters
     ==========
     name : str
-        With its unit as suffix.
+        Ends in the unit, if any.
     kind : object
         One of the kinds of ``settings_kinds``.
     default : str
-        As it would be written; empty for "none".
+        As text; empty for no default.
     help : str
-        What it does, and why the default and the bounds are what they are.
+        What the setting does, and the reasons for its default and bounds.
     required : bool
-        Whether the process refuses to start without it.
+        Whether the process refuses to start without a value.
     """
 
     name: str
@@ -40,17 +40,17 @@
 
     @property
     def flag(self):
-        """The command-line flag."""
+        """Name of the command-line flag."""
         return "--" + self.name.replace("_", "-")
 
     @property
     def variable(self):
-        """The environment variable."""
+        """Name of the environment variable."""
         return PREFIX + self.name.upper()
 
     @property
     def is_secret(self):
-        """Whether the value is never shown."""
+        """Whether the value is a secret, which is always masked."""
         return isinstance(self.kind, Secret)
 
 
@@ -60,67 +60,67 @@
         Text(64),
         "",
         "Name of this host in logs and status, unique in the fleet. By default the "
-        "advertised address, which is unique already.",
+        "advertised address, which is already unique.",
     ),
     Setting(
         "listen_address",
         Address(any_port=True),
         "127.0.0.1:8400",
-        "Where callers and operators connect. The default is reachable from this "
-        "machine only, so that nothing is opened to a network by accident.",
+        "Address where callers and operators connect. The default is reachable from "
+        "this machine only, so that the host is not exposed to a network by accident.",
     ),
     Setting(
         "peer_listen_address",
         Address(any_port=True),
         "127.0.0.1:8401",
-        "Where other hosts connect.",
+        "Address where other hosts connect.",
     ),
     Setting(
         "advertise_address",
         Address(),
         "",
-        "Address that callers are told; by default the one listened on. Set it where "
-        "the process listens on 0.0.0.0.",
+        "Address advertised to callers; by default the one listened on. Set it if the "
+        "process listens on 0.0.0.0.",
     ),
     Setting(
         "peer_advertise_address",
         Address(),
         "",
-        "Address that other hosts are told; by default the one listened on.",
+        "Address advertised to other hosts; by default the one listened on.",
     ),
     Setting(
         "failure_domain",
         Text(64),
         "default",
-        "Failure domain that this host stands in, as in the platform's host list.",
+        "Failure domain of this host, as in the platform's host list.",
     ),
     Setting(
         "platform_address",
         Address(),
         "",
-        "Address of the platform's service: tables, host list, object store.",
+        "Address of the platform's services: tables, host list, object store.",
         required=True,
     ),
     Setting(
         "peer_key",
         Secret(),
         "",
-        "Key that hosts prove to one another; the same on all hosts.",
+        "Key with which hosts authenticate to one another; the same on all hosts.",
         required=True,
     ),
     Setting(
         "operator_key",
         Secret(),
         "",
-        "Key that operators' commands send; must differ from peer_key.",
+        "Key with which operators' commands authenticate; must differ from peer_key.",
         required=True,
     ),
     Setting(
         "tls_cert_file",
         File(),
         "",
-        "Certificate chain (PEM) for callers and operators; without it the surface "
-        "is plain HTTP. Needs tls_key_file.",
+        "Certificate chain (PEM) presented to callers and operators; without it they "
+        "are served by plain HTTP. Requires tls_key_file.",
     ),
     Setting(
         "tls_key_file",
@@ -132,99 +132,100 @@
         "log_level",
         Choice(("debug", "info", "warning", "error")),
         "info",
-        "Least level of the log lines written. debug writes several lines for each "
+        "Minimum level of the log lines written. debug writes several lines for each "
         "request.",
     ),
     Setting(
         "statsd_address",
         Address(),
         "",
-        "Where metrics are sent by UDP; none are sent without it.",
+        "Address to which metrics are sent by UDP; none are sent without it.",
     ),
     Setting(
         "otlp_endpoint",
         Url(),
         "",
-        "Where traces are sent by OTLP over HTTP; none are sent without it.",
+        "URL to which traces are sent by OTLP over HTTP; none are sent without it.",
     ),
     Setting(
         "trace_sample_permille",
         Integer(0, 1_000),
         "10",
-        "Share of new traces that are recorded; a caller's own decision goes first. "
-        "1 in 100 keeps the cost of spans small beside the streams.",
+        "Fraction of new traces that are recorded; a caller's own sampling decision "
+        "takes precedence. 1 in 100 keeps the cost of spans small compared to that of "
+        "the streams.",
     ),
     Setting(
         "drain_limit_ms",
         Integer(1_000, 86_400_000),
         "900000",
         "How long a graceful shutdown waits for requests in progress before it is "
-        "reported as overrun. Has to exceed the longest tier's deadline, or a planned "
-        "stop would cut requests.",
+        "reported as overrun. Must exceed the longest deadline of any tier, or a "
+        "planned stop would cut requests.",
     ),
     Setting(
         "host_list_poll_ms",
         Integer(100, 60_000),
         "1000",
-        "Interval of reading the platform's lists of hosts and upstreams. Below 100 ms "
-        "a few hosts use up the service's reads; above a minute a leaving upstream "
-        "would get work for too long.",
+        "Interval at which the platform's lists of hosts and upstreams are polled. "
+        "Below 100 ms a few hosts would exhaust the service's read capacity; above a "
+        "minute a leaving upstream would receive work for too long.",
     ),
     Setting(
         "config_poll_ms",
         Integer(100, 13_000),
         "2000",
-        "Interval at which the few hosts that read the table service look for a newer "
-        "version of the declarations; the others learn it from them. A change must be "
-        "in force everywhere within 13 s.",
+        "Interval at which the few hosts that read the table service poll for a newer "
+        "version of the declarations; the others receive it from them. A change must "
+        "be in force everywhere within 13 s.",
     ),
     Setting(
         "max_header_bytes",
         Integer(1_024, 65_536),
         "16384",
-        "Greatest size of a request's headers; bounds the memory an unknown caller "
-        "can take before its key is checked.",
+        "Maximum size of a request's headers; bounds the memory that an unknown caller "
+        "can use before its key is checked.",
     ),
     Setting(
         "body_timeout_ms",
         Integer(100, 600_000),
         "10000",
-        "How long a request's body may take to arrive; bounds how long a slow caller "
-        "holds a connection.",
+        "Time-out for receiving a request's body; bounds how long a slow caller "
+        "occupies a connection.",
     ),
     Setting(
         "ledger_max_records",
         Integer(1_000, 10_000_000),
         "50000",
-        "Idempotency keys kept by this host. At 31 requests a second, all of them "
-        "non-idempotent, the default lasts 26 minutes.",
+        "Maximum number of idempotency keys kept by this host. At 31 requests a "
+        "second, all of them non-idempotent, the default lasts for 26 minutes.",
     ),
     Setting(
         "answer_keep_bytes",
         Integer(65_536, 1_073_741_824),
         "8388608",
-        "Memory for answers of non-idempotent requests that are kept for a repeat of "
-        "the same key.",
+        "Memory for answers to non-idempotent requests, which are kept for repeats "
+        "with the same key.",
     ),
     Setting(
         "stream_buffer_bytes",
         Integer(16_384, 16_777_216),
         "262144",
-        "Bytes of one answer held for a caller that reads slowly, before reading from "
-        "the upstream pauses.",
+        "Bytes of one answer buffered for a caller that reads slowly, before reading "
+        "from the upstream pauses.",
     ),
     Setting(
         "address_ttl_ms",
         Integer(1_000, 3_600_000),
         "30000",
-        "How long a caller may keep the answer to which hosts it should use. Shorter "
-        "means more questions, longer means more connections to hosts that have gone.",
+        "How long a caller may cache the list of hosts to use. Shorter means more "
+        "requests for it, longer means more connections to hosts that have gone.",
     ),
     Setting(
         "load_poll_ms",
         Integer(50, 60_000),
         "500",
-        "Interval of reading an upstream's load report.",
+        "Interval at which an upstream's load report is polled.",
     ),
 )
 
--- a/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
@@ -29,7 +29,7 @@
 
 
 class FakeTables:
-    """A table service whose next write can be made to go wrong."""
+    """A table service whose next write can be made to fail."""
 
     def __init__(self):
         self.rows = {}
@@ -92,8 +92,8 @@
     async def accepted_version(self):
         return (await self.operator.current()).declarations.version
 
-    async def test_a_change_counts_the_version_up(self):
-        """Each accepted change makes one version and one entry of history."""
+    async def test_change_increments_version(self):
+        """Each accepted change creates one version and one history entry."""
         await self.operator.apply(change(0))
         result = await self.operator.apply(change(1, "change-of-two", "two", "v2"))
         self.assertEqual(result.version, 2)
@@ -103,11 +103,11 @@
         self.assertEqual(oldest.version, 1)
         self.assertIn("more", oldest.changes[-1])
 
-    async def test_two_operators_race(self):
+    async def test_concurrent_change_is_rejected(self):
         """
-        Two operators read version 1 and each apply a change. Were the second
-        accepted, the first one's change would be gone without anybody having
-        decided so. The second is told who changed what, and nothing is written.
+        Two operators read version 1 and each apply a change. If the second were
+        accepted, it would silently revert the first. It fails with an error that names
+        the author and the change, and nothing is written.
         """
         await self.operator.apply(change(0))
         await self.operator.apply(change(1, "change-of-two", "two", "v2"))
@@ -118,37 +118,36 @@
         self.assertIn("v1 -> v2", str(caught.exception))
         self.assertEqual(await self.accepted_version(), 2)
 
-    async def test_two_operators_race_between_read_and_write(self):
+    async def test_concurrent_change_between_read_and_write_is_rejected(self):
         """
-        The other operator's change is accepted after this one has read the row and
-        before it writes. The compare-and-set fails, and the message names the other
-        author all the same.
+        Another operator's change is accepted between this one's read and write of the
+        row. The compare-and-set fails, and the error still names the other author.
         """
         await self.operator.apply(change(0))
 
-        async def other():
+        async def apply_other_change():
             await self.operator.apply(change(1, "change-of-two", "two", "v2"))
 
-        self.tables.before_write = other
+        self.tables.before_write = apply_other_change
         with self.assertRaises(DeclarationError) as caught:
             await self.operator.apply(change(1, "change-of-three", "three", "v3"))
         self.assertIn("changed by two", str(caught.exception))
 
-    async def test_a_lost_answer_is_settled(self):
+    async def test_write_with_lost_answer_is_accepted(self):
         """
-        The write takes effect and its answer is lost. A failure reported here would
-        make the operator apply the change again, and get a conflict with itself.
-        The row names the change's id: it is accepted, and says so.
+        The write takes effect and its answer is lost. If a failure were reported, the
+        operator would apply the change again and conflict with it. The row's history
+        has the change's id, so the change is reported as accepted.
         """
         self.tables.lose_answer = True
         result = await self.operator.apply(change(0))
         self.assertEqual((result.version, result.repeated), (1, True))
 
-    async def test_a_repeat_after_others_have_changed(self):
+    async def test_repeat_after_other_changes_is_accepted(self):
         """
-        A client loses the answer, and repeats its change after two more were
-        accepted. It is told that its change was accepted, as which version, and the
-        later changes stay.
+        A client that lost the answer repeats its change after a later one was accepted.
+        The result has the version that the change created, and the later change stays
+        in place.
         """
         await self.operator.apply(change(0))
         await self.operator.apply(change(1, "change-of-two", "two", "v2"))
@@ -157,11 +156,11 @@
         self.assertEqual((result.version, result.repeated), (2, True))
         self.assertEqual(await self.accepted_version(), 3)
 
-    async def test_a_write_that_may_still_arrive(self):
+    async def test_undecided_write_is_reported_as_unknown(self):
         """
-        The answer is lost, and the row is still as it was: the write may have been
-        dropped or be on its way. "Not accepted" might turn out false. The outcome
-        is reported as unknown, and the same change may be sent again.
+        The answer is lost and the row is unchanged: the write may have been dropped or
+        still arrive, so that "not accepted" could turn out to be false. The outcome is
+        reported as unknown, and the same change may be sent again.
         """
         self.tables.drop_write = True
         with self.assertRaises(StoreAnswerLost):
@@ -169,8 +168,8 @@
         result = await self.operator.apply(change(0))
         self.assertEqual((result.version, result.repeated), (1, False))
 
-    async def test_many_racing_operators(self):
-        """Of ten that read the same version, exactly one is accepted."""
+    async def test_one_of_many_concurrent_changes_is_accepted(self):
+        """Of ten changes to the same version, exactly one is accepted."""
         await self.operator.apply(change(0))
         calls = [
             self.operator.apply(change(1, f"change-of-{n}", str(n), f"v{n + 2}"))
@@ -181,25 +180,25 @@
         self.assertEqual(len(errors), 9)
         self.assertEqual(await self.accepted_version(), 2)
 
-    async def test_faults_and_outages_change_nothing(self):
-        """Faulty declarations, a bad id or author, and an outage leave the row."""
-        sound = change(0)
+    async def test_faults_and_outages_leave_rows_unchanged(self):
+        """Invalid declarations, change ids or authors and an outage write no row."""
+        valid = change(0)
         replace = msgspec.structs.replace
-        empty = replace(sound.declarations, tiers=())
+        empty = replace(valid.declarations, tiers=())
         with self.assertRaises(DeclarationFaults):
-            await self.operator.apply(replace(sound, declarations=empty))
+            await self.operator.apply(replace(valid, declarations=empty))
         for name, value in (("change_id", "x"), ("author", " "), ("author", "a\nb")):
             with self.assertRaises(DeclarationError):
-                await self.operator.apply(replace(sound, **{name: value}))
+                await self.operator.apply(replace(valid, **{name: value}))
         with self.assertRaises(DeclarationError):
             await self.operator.apply(change(7))
         self.tables.down = True
         with self.assertRaises(PlatformError):
-            await self.operator.apply(sound)
+            await self.operator.apply(valid)
         self.assertEqual(self.tables.rows, {})
 
     async def test_history_is_bounded(self):
-        """The row keeps the newest changes only."""
+        """The row keeps only the newest changes."""
         stored = await self.operator.current()
         for number in range(HISTORY_KEPT + 5):
             stored = stored.changed(example(), f"change-{number}", "one", 0)
@@ -208,8 +207,8 @@
 
 
 class RowTests(unittest.IsolatedAsyncioTestCase):
-    async def test_only_a_newer_version_is_read_in_full(self):
-        """A host that looks again and again reads the small row, until it grows."""
+    async def test_content_row_is_read_only_for_newer_version(self):
+        """A polling host reads only the version row until the version increases."""
         tables = FakeTables()
         row = DeclarationsRow(tables)
         self.assertIsNone(await row.read_newer(0))
@@ -223,8 +222,8 @@
 
 
 class ViewTests(unittest.TestCase):
-    def test_lagging_hosts_are_named(self):
-        """A host with a lower version, or that does not answer, is lagging."""
+    def test_lagging_hosts_are_listed(self):
+        """A host is lagging if its version is lower or it does not answer."""
         view = DeclarationsView(
             version=3,
             declarations=example(),
--- a/libs/host/src/hemlockhoist/host/tests/test_server.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_server.py
@@ -22,8 +22,8 @@
 )
 
 
-async def limits(request):
-    """Answer with the bound of the connection's write buffer."""
+async def write_buffer_limit(request):
+    """Answer with the limit of the connection's write buffer."""
     _, high = request.transport.get_write_buffer_limits()
     return web.json_response(high)
 
@@ -42,18 +42,22 @@
             configuration=ready,
             leaving=False,
         )
-        chat = types.SimpleNamespace(create=limits, resume=limits, models=limits)
-        services = types.SimpleNamespace(handle=limits)
+        chat = types.SimpleNamespace(
+            create=write_buffer_limit,
+            resume=write_buffer_limit,
+            models=write_buffer_limit,
+        )
+        services = types.SimpleNamespace(handle=write_buffer_limit)
         operators = types.SimpleNamespace(add_routes=lambda router: None)
         self.server = HttpServer(context, chat, services, operators)
         await self.server.start()
         self.addAsyncCleanup(self.server.close)
 
-    async def test_slow_callers_take_bounded_memory(self):
+    async def test_write_buffer_of_slow_caller_is_limited(self):
         """
-        A caller on a slow link reads a long answer. Without a bound the host holds
-        all that the engine has sent, for each such caller. The connection's buffer
-        has the bound of the setting.
+        Without a limit, the host would buffer all that the engine has sent for each
+        caller on a slow link. The connection's write buffer has the limit of the
+        setting.
         """
         url = f"http://{self.server.address}/v1/models"
         async with aiohttp.ClientSession() as session, session.get(url) as answer:
--- a/libs/host/src/hemlockhoist/host/tests/test_upstream_watch.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_upstream_watch.py
@@ -16,8 +16,8 @@
 
 
 class EvacuationTests(unittest.TestCase):
-    def test_upstreams_of_evacuated_domains_get_nothing(self):
-        """An operator empties a zone, and its engines go on getting requests."""
+    def test_upstreams_of_evacuated_domains_are_marked(self):
+        """Upstreams of an evacuated domain are marked, or would still get requests."""
         leaving = upstream("a2", UpstreamState.LEAVING)
         found = mark_evacuated(
             [upstream("a1"), leaving, upstream("b1")], {"a": "repairs"}
--- a/libs/host/src/hemlockhoist/host/upstream_watch.py
+++ b/libs/host/src/hemlockhoist/host/upstream_watch.py
@@ -1,4 +1,4 @@
-"""Watching upstreams: the platform's list, and each one's own load reports."""
+"""Polls the platform's list of hosts and upstreams, and the upstreams' load reports."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 class _LoadAnswer(msgspec.Struct):
-    """What an upstream's ``GET /load`` answers."""
+    """Body of an upstream's answer to ``GET /load``."""
 
     in_flight: int = 0
     queued: int = 0
@@ -37,14 +37,14 @@
 
 
 class HostListWatch:
-    """Reads the platform's list again and again and hands it on.
+    """Polls the platform's list of hosts and upstreams.
 
     Parameters
     ==========
     client : HostListClient
     interval_ms : int
     on_list : callable
-        ``on_list(members)``.
+        ``on_list(members)`` is called with each list that is read.
     """
 
     __slots__ = ("_client", "_on_list", "_task")
@@ -52,22 +52,22 @@
     def __init__(self, client, interval_ms, on_list):
         self._client = client
         self._on_list = on_list
-        self._task = PeriodicTask(interval_ms, self._read)
+        self._task = PeriodicTask(interval_ms, self._poll)
 
     async def start(self):
-        """Begin to read."""
+        """Start polling."""
         await self._task.start()
 
     async def close(self):
-        """Stop reading."""
+        """Stop polling."""
         await self._task.close()
 
-    async def _read(self):
+    async def _poll(self):
         try:
             members = await self._client.read()
         except PlatformError as error:
-            # What was read last stays in force: an unreachable list says nothing
-            # about the hosts and upstreams in it.
+            # The last list remains in use: that the list service is unreachable says
+            # nothing about the hosts and upstreams in the list.
             _log.warning("host_list_unreadable", reason=error.message)
             return
         self._on_list(members)
@@ -97,7 +97,7 @@
             address=member.address,
             failure_domain=member.failure_domain,
             generation=member.generation,
-            state=_state_of(member),
+            state=_upstream_state(member),
         )
         for member in members
         if member.kind is MemberKind.UPSTREAM
@@ -105,13 +105,13 @@
 
 
 def mark_evacuated(upstreams, evacuated):
-    """Return the upstreams, those of evacuated failure domains marked.
+    """Return the upstreams with those in evacuated failure domains marked.
 
     Parameters
     ==========
     upstreams : iterable of Upstream
     evacuated : collection of str
-        Failure domains.
+        Names of the evacuated failure domains.
     """
     return [
         evacuated_upstream(item) if item.failure_domain in evacuated else item
@@ -119,14 +119,14 @@
     ]
 
 
-def _state_of(member):
+def _upstream_state(member):
     if member.state is MemberState.LEAVING:
         return UpstreamState.LEAVING
     return UpstreamState.LIVE
 
 
 class LoadWatch:
-    """Reads the load of the upstreams of the pools at home here.
+    """Polls the load of the upstreams whose pools have their home on this host.
 
     Parameters
     ==========
@@ -140,21 +140,21 @@
     def __init__(self, client, homes, interval_ms):
         self._client = client
         self._homes = homes
-        self._task = PeriodicTask(interval_ms, self._read_all)
+        self._task = PeriodicTask(interval_ms, self._poll_all)
 
     async def start(self):
-        """Begin to read."""
+        """Start polling."""
         await self._task.start()
 
     async def close(self):
-        """Stop reading."""
+        """Stop polling."""
         await self._task.close()
 
-    async def _read_all(self):
+    async def _poll_all(self):
         upstreams = self._homes.watched_upstreams()
-        await asyncio.gather(*(self._read(item) for item in upstreams))
+        await asyncio.gather(*(self._poll(item) for item in upstreams))
 
-    async def _read(self, upstream):
+    async def _poll(self, upstream):
         call = UpstreamCall(
             address=upstream.address,
             method="GET",
@@ -166,7 +166,8 @@
             answer = msgspec.json.decode(body, type=_LoadAnswer)
             state = UpstreamState(answer.state)
         except (DispatchError, Refused, msgspec.MsgspecError, ValueError):
-            # An upstream that does not report is judged by its answers alone.
+            # The load of an upstream that does not report is estimated from its answers
+            # alone.
             return
         if status != 200:
             return
