--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -1,4 +1,4 @@
-"""This host's view of the fleet: drives the membership protocol."""
+"""This host's view of the fleet, maintained by the membership protocol."""
 
 import asyncio
 import contextlib
--- a/libs/host/src/hemlockhoist/host/relay.py
+++ b/libs/host/src/hemlockhoist/host/relay.py
@@ -201,7 +201,7 @@
 
 
 def check_answer(answer, request_id):
-    """Reject an answer that names another request as its own.
+    """Reject an answer that carries the id of another request.
 
     Raises
     ======
--- a/libs/host/src/hemlockhoist/host/server.py
+++ b/libs/host/src/hemlockhoist/host/server.py
@@ -23,7 +23,7 @@
 
 HOSTS_PATH = "/v1/hosts"
 OPERATORS_PREFIX = "/-/"
-# A new host receives its declarations from the store or a peer within 1 s to 2 s.
+# A new host usually has its declarations within 1 s to 2 s, from the store or a peer.
 NOT_READY_RETRY_MS = 2_000
 # Idle connections are kept open for this long; a leaving host closes them after the
 # response instead.
