--- a/libs/standins/src/hemlockhoist/standins/callers/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/__init__.py
@@ -2,15 +2,20 @@
 
 from hemlockhoist.standins.callers.caller import Caller
 from hemlockhoist.standins.callers.config import CallerConfig
-from hemlockhoist.standins.callers.records import CallRecord, Kind, Refusal, Seen
+from hemlockhoist.standins.callers.records import (
+    CallOutcome,
+    CallRecord,
+    Refusal,
+    RequestKind,
+)
 from hemlockhoist.standins.callers.table import tier_table
 
 __all__ = [
     "CallRecord",
     "Caller",
     "CallerConfig",
-    "Kind",
+    "RequestKind",
     "Refusal",
-    "Seen",
+    "CallOutcome",
     "tier_table",
 ]
--- a/libs/standins/src/hemlockhoist/standins/callers/caller.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/caller.py
@@ -7,7 +7,7 @@
 from hemlockhoist.base import Clock
 from hemlockhoist.standins.callers.chat import ChatCall
 from hemlockhoist.standins.callers.directory import HostDirectory
-from hemlockhoist.standins.callers.records import CallRecord, Kind, Seen
+from hemlockhoist.standins.callers.records import CallOutcome, CallRecord, RequestKind
 from hemlockhoist.standins.callers.services import ServiceCall
 
 _MS_PER_S = 1000
@@ -79,12 +79,12 @@
             "max_tokens": max_tokens,
             "stream": stream,
         }
-        record = self._new_record(Kind.CHAT)
+        record = self._new_record(RequestKind.CHAT)
         return await self._run(ChatCall(self, record, body), record)
 
     async def lookup(self, service, path):
         """Make an idempotent call of a plain service; return its record."""
-        record = self._new_record(Kind.LOOKUP)
+        record = self._new_record(RequestKind.LOOKUP)
         call = ServiceCall(self, record, service, "GET", path, b"")
         return await self._run(call, record)
 
@@ -96,7 +96,7 @@
         service, path : str
         body : bytes
         """
-        record = self._new_record(Kind.BOOKING)
+        record = self._new_record(RequestKind.BOOKING)
         call = ServiceCall(self, record, service, "POST", path, body)
         return await self._run(call, record)
 
@@ -112,11 +112,11 @@
 
     async def _run(self, call, record):
         try:
-            async with asyncio.timeout(self._config.patience_ms / _MS_PER_S):
+            async with asyncio.timeout(self._config.max_wait_ms / _MS_PER_S):
                 await call.run()
         except TimeoutError:
-            call.give_up()
+            call.record_timeout()
         record.ended_ms = self.clock.now_ms()
-        in_time = record.first_ms <= self._config.first_token_target_ms
-        record.in_time = record.seen is Seen.WHOLE and in_time
+        in_time = record.first_output_ms <= self._config.first_token_target_ms
+        record.in_time = record.outcome is CallOutcome.WHOLE and in_time
         return record
--- a/libs/standins/src/hemlockhoist/standins/callers/chat.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/chat.py
@@ -6,9 +6,9 @@
 import aiohttp
 
 from hemlockhoist.standins.answers import expected_answer, prompt_text
-from hemlockhoist.standins.callers.answers import read_events, read_refusal
-from hemlockhoist.standins.callers.directory import HostsRefused, NoHost
-from hemlockhoist.standins.callers.records import MAX_RESENDS, Seen
+from hemlockhoist.standins.callers.directory import HostQueryRefused, NoHostAnswered
+from hemlockhoist.standins.callers.records import MAX_RESENDS, CallOutcome
+from hemlockhoist.standins.callers.responses import read_events, read_refusal
 
 _CHAT_PATH = "/v1/chat/completions"
 _STREAM_PATH = "/v1/streams/"
@@ -54,30 +54,30 @@
         prompt = prompt_text(self._body["messages"])
         whole = expected_answer(prompt, self._body["max_tokens"])
         right = "".join(self._pieces) == whole
-        record.seen = Seen.WHOLE if right else Seen.WRONG
+        record.outcome = CallOutcome.WHOLE if right else CallOutcome.WRONG
 
-    def give_up(self):
+    def record_timeout(self):
         """Note the end of the caller's patience."""
         if self._pieces:
-            self._record.seen = Seen.CUT
+            self._record.outcome = CallOutcome.CUT
         elif self._record.refusals and self._record.refusals[-1].not_run:
-            self._record.seen = Seen.REFUSED
+            self._record.outcome = CallOutcome.REFUSED
         else:
-            self._record.seen = Seen.UNKNOWN
+            self._record.outcome = CallOutcome.UNKNOWN
 
     async def _attempt(self):
         """Make one attempt; return the pause before the next, None at the end."""
         directory = self._caller.directory
         try:
             host = await directory.pick()
-        except NoHost:
+        except NoHostAnswered:
             return _PAUSE_MS
-        except HostsRefused as error:
+        except HostQueryRefused as error:
             return self._end_with_refusal(error.refusal)
         try:
             return await self._exchange(host)
         except (aiohttp.ClientError, TimeoutError, OSError):
-            directory.note_failed(host)
+            directory.record_failure(host)
             return _PAUSE_MS
 
     async def _exchange(self, host):
@@ -126,7 +126,7 @@
 
     def _end_with_error(self, event):
         error = json.loads(event.data)["error"]
-        self._record.seen = Seen.CUT if self._pieces else Seen.FAILED
+        self._record.outcome = CallOutcome.CUT if self._pieces else CallOutcome.FAILED
         self._record.request_ids.append(error.get("request_id", ""))
 
     async def _refused(self, response):
@@ -139,18 +139,18 @@
     def _end_with_refusal(self, refusal):
         self._record.refusals.append(refusal)
         if self._pieces:
-            self._record.seen = Seen.CUT
+            self._record.outcome = CallOutcome.CUT
         elif refusal.not_run:
-            self._record.seen = Seen.REFUSED
+            self._record.outcome = CallOutcome.REFUSED
         elif self._record.resends < MAX_RESENDS:
             self._record.resends += 1
             return _PAUSE_MS
         else:
-            self._record.seen = Seen.FAILED
+            self._record.outcome = CallOutcome.FAILED
         return None
 
     def _note_piece(self, text):
-        if self._record.first_ms < 0:
+        if self._record.first_output_ms < 0:
             now_ms = self._caller.clock.now_ms()
-            self._record.first_ms = now_ms - self._record.started_ms
+            self._record.first_output_ms = now_ms - self._record.started_ms
         self._pieces.append(text)
--- a/libs/standins/src/hemlockhoist/standins/callers/config.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/config.py
@@ -15,7 +15,7 @@
         Name for the records.
     tier : str
         Asked for in the header; empty for the highest that the key may have.
-    patience_ms : int
+    max_wait_ms : int
         A request that has no end after this is given up.
     read_timeout_ms : int
         Without any byte for this long, a connection is taken for broken.
@@ -29,7 +29,7 @@
     key: str
     customer: str = ""
     tier: str = ""
-    patience_ms: int = 30_000
+    max_wait_ms: int = 30_000
     read_timeout_ms: int = 15_000
     first_token_target_ms: int = 1_000
     seed: int = 1
--- a/libs/standins/src/hemlockhoist/standins/callers/directory.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/directory.py
@@ -5,17 +5,17 @@
 import aiohttp
 import msgspec
 
-from hemlockhoist.standins.callers.answers import read_refusal
+from hemlockhoist.standins.callers.responses import read_refusal
 
 _HOSTS_PATH = "/v1/hosts"
 _FAILED_MS = 2_000
 
 
-class NoHost(Exception):
+class NoHostAnswered(Exception):
     """No host answered the question which hosts to use."""
 
 
-class HostsRefused(Exception):
+class HostQueryRefused(Exception):
     """A host refused the question, and would again.
 
     Parameters
@@ -28,7 +28,7 @@
         self.refusal = refusal
 
 
-class HostsAnswer(msgspec.Struct, frozen=True):
+class HostsResponse(msgspec.Struct, frozen=True):
     """The answer of one host.
 
     Parameters
@@ -71,7 +71,7 @@
         "_rng",
         "_seeds",
         "_session",
-        "questions",
+        "query_count",
     )
 
     def __init__(self, session, seeds, headers, clock, rng):
@@ -84,7 +84,7 @@
         self._keep_until_ms = 0
         self._prefixes = {}
         self._failed = {}
-        self.questions = 0
+        self.query_count = 0
 
     @classmethod
     def from_config(cls, config, session, headers, clock):
@@ -118,11 +118,11 @@
             return prefix
         answer = await self._ask(host)
         if answer is None:
-            self.note_failed(host)
-            raise NoHost(host)
+            self.record_failure(host)
+            raise NoHostAnswered(host)
         return answer.key_prefix
 
-    def note_failed(self, host):
+    def record_failure(self, host):
         """Use other hosts for a while, and ask anew which ones there are."""
         now_ms = self._clock.now_ms()
         self._failed[host] = now_ms + _FAILED_MS
@@ -141,10 +141,10 @@
                 self._answer = answer
                 self._keep_until_ms = self._clock.now_ms() + answer.keep_ms
                 return
-        raise NoHost(f"none of {len(asked)} hosts answered")
+        raise NoHostAnswered(f"none of {len(asked)} hosts answered")
 
     async def _ask(self, host):
-        self.questions += 1
+        self.query_count += 1
         try:
             async with self._session.get(
                 f"http://{host}{_HOSTS_PATH}", headers=self._headers
@@ -153,7 +153,7 @@
                     _check_retryable(await read_refusal(response))
                     return None
                 body = await response.read()
-                answer = msgspec.json.decode(body, type=HostsAnswer)
+                answer = msgspec.json.decode(body, type=HostsResponse)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError):
             return None
         until_ms = self._clock.now_ms() + answer.keep_ms
@@ -163,4 +163,4 @@
 
 def _check_retryable(refusal):
     if refusal.retry_after_ms < 0:
-        raise HostsRefused(refusal)
+        raise HostQueryRefused(refusal)
--- a/libs/standins/src/hemlockhoist/standins/callers/records.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/records.py
@@ -8,7 +8,7 @@
 MAX_RESENDS = 2
 
 
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """What a request was."""
 
     CHAT = "chat"
@@ -16,7 +16,7 @@
     BOOKING = "booking"
 
 
-class Seen(enum.Enum):
+class CallOutcome(enum.Enum):
     """How a request ended for its caller.
 
     ``WRONG`` is a whole answer that is not the one to this request; ``CUT`` an answer
@@ -66,10 +66,10 @@
     ==========
     kind : Kind
     customer, tier : str
-    seen : Seen
+    outcome : Seen
     started_ms, ended_ms : int
         On the loop's clock.
-    first_ms : int
+    first_output_ms : int
         From start to the first piece, or to a service's answer; -1 where none came,
         and for an unstreamed chat, whose caller does not see it.
     in_time : bool
@@ -85,13 +85,13 @@
     upstream_version : str
     """
 
-    kind: Kind
+    kind: RequestKind
     customer: str
     tier: str
-    seen: Seen = Seen.UNKNOWN
+    outcome: CallOutcome = CallOutcome.UNKNOWN
     started_ms: int = 0
     ended_ms: int = 0
-    first_ms: int = -1
+    first_output_ms: int = -1
     in_time: bool = False
     key: str = ""
     request_ids: list[str] = []
--- a/libs/standins/src/hemlockhoist/standins/callers/services.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/services.py
@@ -6,9 +6,9 @@
 import aiohttp
 import msgspec
 
-from hemlockhoist.standins.callers.answers import read_refusal
-from hemlockhoist.standins.callers.directory import HostsRefused, NoHost
-from hemlockhoist.standins.callers.records import MAX_RESENDS, Kind, Seen
+from hemlockhoist.standins.callers.directory import HostQueryRefused, NoHostAnswered
+from hemlockhoist.standins.callers.records import MAX_RESENDS, CallOutcome, RequestKind
+from hemlockhoist.standins.callers.responses import read_refusal
 from hemlockhoist.standins.service import expected_reply
 
 _SERVICES_PATH = "/services/"
@@ -54,33 +54,33 @@
                 return
             await asyncio.sleep(pause_ms / _MS_PER_S)
 
-    def give_up(self):
+    def record_timeout(self):
         """Note the end of the caller's patience."""
         refused = self._record.refusals and self._record.refusals[-1].not_run
         known = refused and not self._lost
-        self._record.seen = Seen.REFUSED if known else Seen.UNKNOWN
+        self._record.outcome = CallOutcome.REFUSED if known else CallOutcome.UNKNOWN
 
     async def _attempt(self):
         directory = self._caller.directory
         try:
             host = await directory.pick()
             await self._choose_key(host)
-        except NoHost:
+        except NoHostAnswered:
             return _PAUSE_MS
-        except HostsRefused as error:
+        except HostQueryRefused as error:
             return self._end_with_refusal(error.refusal)
         try:
             return await self._exchange(host)
         except aiohttp.ClientConnectorError:
-            directory.note_failed(host)
+            directory.record_failure(host)
             return _PAUSE_MS
         except (aiohttp.ClientError, TimeoutError, OSError):
             self._lost = True
-            directory.note_failed(host)
+            directory.record_failure(host)
             return _PAUSE_MS
 
     async def _choose_key(self, host):
-        if self._record.kind is Kind.BOOKING and not self._record.key:
+        if self._record.kind is RequestKind.BOOKING and not self._record.key:
             prefix = await self._caller.directory.key_prefix(host)
             self._record.key = f"{prefix}.{uuid.uuid4().hex}"
 
@@ -104,10 +104,10 @@
 
     def _finish(self, body):
         record = self._record
-        record.first_ms = self._caller.clock.now_ms() - record.started_ms
+        record.first_output_ms = self._caller.clock.now_ms() - record.started_ms
         reply = msgspec.json.decode(body, type=_Reply).reply
         right = reply == expected_reply(self._method, self._path, self._body)
-        record.seen = Seen.WHOLE if right else Seen.WRONG
+        record.outcome = CallOutcome.WHOLE if right else CallOutcome.WRONG
 
     async def _refused(self, response):
         refusal = await read_refusal(response)
@@ -120,12 +120,12 @@
         record = self._record
         record.refusals.append(refusal)
         if refusal.not_run and not self._lost:
-            record.seen = Seen.REFUSED
-        elif record.kind is Kind.LOOKUP and record.resends < MAX_RESENDS:
+            record.outcome = CallOutcome.REFUSED
+        elif record.kind is RequestKind.LOOKUP and record.resends < MAX_RESENDS:
             record.resends += 1
             return _PAUSE_MS
         elif refusal.ran == "run":
-            record.seen = Seen.FAILED
+            record.outcome = CallOutcome.FAILED
         else:
-            record.seen = Seen.UNKNOWN
+            record.outcome = CallOutcome.UNKNOWN
         return None
--- a/libs/standins/src/hemlockhoist/standins/callers/table.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/table.py
@@ -1,6 +1,6 @@
 """A table of what callers saw, for each tier."""
 
-from hemlockhoist.standins.callers.records import Seen
+from hemlockhoist.standins.callers.records import CallOutcome
 
 _COLUMNS = (
     "tier",
@@ -38,19 +38,22 @@
 
 def tier_row(tier, records):
     """Return one tier's values in the order of the columns."""
-    counts = {seen: sum(item.seen is seen for item in records) for seen in Seen}
-    firsts = [item.first_ms for item in records if item.first_ms >= 0]
-    totals = [item.total_ms for item in records if item.seen is Seen.WHOLE]
+    counts = {
+        outcome: sum(item.outcome is outcome for item in records)
+        for outcome in CallOutcome
+    }
+    firsts = [item.first_output_ms for item in records if item.first_output_ms >= 0]
+    totals = [item.total_ms for item in records if item.outcome is CallOutcome.WHOLE]
     return (
         tier,
         len(records),
-        counts[Seen.WHOLE],
+        counts[CallOutcome.WHOLE],
         sum(item.in_time for item in records),
-        counts[Seen.REFUSED],
-        counts[Seen.UNKNOWN],
-        counts[Seen.FAILED],
-        counts[Seen.CUT],
-        counts[Seen.WRONG],
+        counts[CallOutcome.REFUSED],
+        counts[CallOutcome.UNKNOWN],
+        counts[CallOutcome.FAILED],
+        counts[CallOutcome.CUT],
+        counts[CallOutcome.WRONG],
         sum(item.resumes > 0 for item in records),
         sum(item.moves > 0 for item in records),
         sum(item.resends > 0 for item in records),
--- a/libs/standins/src/hemlockhoist/standins/callers/tests/test_caller.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/tests/test_caller.py
@@ -3,7 +3,7 @@
 from aiohttp import web
 
 from hemlockhoist.standins.answers import answer_pieces, prompt_text
-from hemlockhoist.standins.callers import Caller, CallerConfig, Seen, tier_table
+from hemlockhoist.standins.callers import Caller, CallerConfig, CallOutcome, tier_table
 from hemlockhoist.standins.service import expected_reply
 from hemlockhoist.standins.serving import serving
 
@@ -105,7 +105,7 @@
         for item in self.serving:
             await item.__aenter__()
         seeds = tuple(host.server.address for host in self.hosts)
-        config = CallerConfig(seeds=seeds, key="K", patience_ms=3_000, tier="batch")
+        config = CallerConfig(seeds=seeds, key="K", max_wait_ms=3_000, tier="batch")
         self.caller = Caller.from_config(config)
         await self.caller.start()
 
@@ -133,13 +133,15 @@
     async def test_whole_stream(self):
         """An unbroken stream is whole, in one attempt."""
         record = await self._chat(_stream(0, 6, _DONE))
-        self.assertEqual((record.seen, record.attempts), (Seen.WHOLE, 1))
+        self.assertEqual((record.outcome, record.attempts), (CallOutcome.WHOLE, 1))
         self.assertTrue(record.in_time)
 
     async def test_whole_unstreamed_answer(self):
         """An unstreamed answer has no first piece that could be late."""
         record = await self._chat(_completion, stream=False)
-        self.assertEqual((record.seen, record.first_ms), (Seen.WHOLE, -1))
+        self.assertEqual(
+            (record.outcome, record.first_output_ms), (CallOutcome.WHOLE, -1)
+        )
         self.assertTrue(record.in_time)
 
     async def test_broken_and_moved_streams_are_resumed(self):
@@ -147,40 +149,40 @@
         record = await self._chat(
             _stream(0, 2, _MOVED), _stream(2, 4), _stream(3, 6, _DONE)
         )
-        self.assertIs(record.seen, Seen.WHOLE)
+        self.assertIs(record.outcome, CallOutcome.WHOLE)
         self.assertEqual((record.resumes, record.moves), (2, 1))
 
     async def test_cut_and_wrong_answers_are_told(self):
         """An answer without its rest is cut; one with another text is wrong."""
         record = await self._chat(_stream(0, 2, _ERROR))
-        self.assertIs(record.seen, Seen.CUT)
+        self.assertIs(record.outcome, CallOutcome.CUT)
         record = await self._chat(_stream(0, 5, _DONE))
-        self.assertIs(record.seen, Seen.WRONG)
+        self.assertIs(record.outcome, CallOutcome.WRONG)
 
     async def test_retry_after(self):
         """A refusal with a time is followed; one without ends the request."""
         busy = _answer(503, 200, "not run", "1")
         record = await self._chat(busy, _stream(0, 6, _DONE))
-        self.assertIs(record.seen, Seen.WHOLE)
+        self.assertIs(record.outcome, CallOutcome.WHOLE)
         self.assertGreaterEqual(record.total_ms, 1_000)
         record = await self._chat(_answer(404, 103, "not run"))
-        self.assertIs(record.seen, Seen.REFUSED)
+        self.assertIs(record.outcome, CallOutcome.REFUSED)
 
     async def test_idempotent_requests_are_sent_again(self):
         """A chat or lookup of unknown outcome is sent anew, a few times at most."""
         unknown = _answer(502, 302, "outcome unknown")
         record = await self._chat(unknown, _stream(0, 6, _DONE))
-        self.assertEqual((record.seen, record.resends), (Seen.WHOLE, 1))
+        self.assertEqual((record.outcome, record.resends), (CallOutcome.WHOLE, 1))
         self._script(*[unknown] * 3)
         record = await self.caller.lookup("halls", "/availability")
-        self.assertEqual((record.seen, record.attempts), (Seen.UNKNOWN, 3))
+        self.assertEqual((record.outcome, record.attempts), (CallOutcome.UNKNOWN, 3))
 
     async def test_key_that_may_not(self):
         """A caller whose key is refused everywhere learns it at once."""
         for host in self.hosts:
             host.refuses = True
         record = await self._chat()
-        self.assertEqual((record.seen, record.attempts), (Seen.REFUSED, 0))
+        self.assertEqual((record.outcome, record.attempts), (CallOutcome.REFUSED, 0))
 
     async def test_booking_keeps_its_key(self):
         """
@@ -188,7 +190,7 @@
         under the same key, so that the fleet can tell that it is the same booking.
         """
         record = await self._book(_drop, _reply)
-        self.assertIs(record.seen, Seen.WHOLE)
+        self.assertIs(record.outcome, CallOutcome.WHOLE)
         keys = {key for host in self.hosts for key in host.keys}
         self.assertEqual(keys, {record.key})
         self.assertRegex(record.key, r"^(one|two)\.1\.\w+$")
@@ -196,11 +198,11 @@
     async def test_booking_of_unknown_outcome(self):
         """After a lost answer, a refusal does not make the booking "not run"."""
         record = await self._book(_drop, _answer(400, 108, "not run"))
-        self.assertIs(record.seen, Seen.UNKNOWN)
+        self.assertIs(record.outcome, CallOutcome.UNKNOWN)
         record = await self._book(_answer(502, 302, "outcome unknown"))
-        self.assertIs(record.seen, Seen.UNKNOWN)
+        self.assertIs(record.outcome, CallOutcome.UNKNOWN)
         record = await self._book(_answer(502, 300, "run"))
-        self.assertIs(record.seen, Seen.FAILED)
+        self.assertIs(record.outcome, CallOutcome.FAILED)
 
     async def test_table(self):
         """The table has a line for each tier, with its counts."""
--- a/libs/standins/src/hemlockhoist/standins/engine/app.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/app.py
@@ -8,8 +8,8 @@
 from hemlockhoist.base import Clock
 from hemlockhoist.standins import answers
 from hemlockhoist.standins.engine import wire
-from hemlockhoist.standins.engine.core import EngineCore, EngineFailed
-from hemlockhoist.standins.engine.faults import NEVER, EngineFaults
+from hemlockhoist.standins.engine.core import EngineCore, EngineRequestFailed
+from hemlockhoist.standins.engine.faults import NO_BREAK, EngineFaults
 from hemlockhoist.standins.engine.orders import Order, OrderRefused
 
 _DEFAULT_MAX_TOKENS = 64
@@ -109,11 +109,11 @@
         model_name = str(body.get("model", ""))
         try:
             stream = self.core.begin(request_id, model_name, prompt, max_tokens)
-        except EngineFailed:
+        except EngineRequestFailed:
             return self._error(request_id, 500, "the engine failed")
         if body.get("stream"):
             return await self._send(request, stream, 0, self._next_crossing(stream))
-        await stream.wait_beyond(len(stream.pieces))
+        await stream.wait_for_more(len(stream.pieces))
         if stream.cancelled:
             return self._error(request_id, 410, "cancelled")
         headers = self._headers(stream.request_id, stream.version)
@@ -146,11 +146,11 @@
         await response.prepare(request)
         try:
             while offset < len(stream.pieces):
-                await stream.wait_beyond(offset)
+                await stream.wait_for_more(offset)
                 if stream.cancelled:
                     return _abort(request, response)
                 until = stream.produced
-                if break_at != NEVER:
+                if break_at != NO_BREAK:
                     until = min(until, break_at)
                 events = [
                     wire.piece_event(crossing.source(stream, i), i)
@@ -178,14 +178,14 @@
         """Return the offset at which a fault breaks this connection, or NEVER."""
         faults = self.core.faults
         if faults.break_streams <= 0:
-            return NEVER
+            return NO_BREAK
         faults.break_streams -= 1
         return offset + faults.break_after_pieces
 
     def _next_crossing(self, stream):
         """Return the crossing of a stream that begins, if a fault says so."""
         faults = self.core.faults
-        other = self.core.streams.other_than(stream.request_id)
+        other = self.core.streams.newest_except(stream.request_id)
         if faults.cross_streams <= 0 or other is None:
             return _NO_CROSSING
         faults.cross_streams -= 1
@@ -202,15 +202,15 @@
         orders = self.core.orders
         try:
             order = msgspec.json.decode(await request.read(), type=Order)
-            orders.take(order, self.core.now_ms())
+            orders.accept(order, self.core.now_ms())
         except OrderRefused as error:
-            return web.json_response({"fencing": error.highest}, status=409)
+            return web.json_response({"fencing": error.highest_fencing}, status=409)
         except ValueError as error:
             return web.json_response({"error": str(error)}, status=400)
         return web.json_response(orders.as_json(), status=202)
 
     async def _show_orders(self, _request):
-        self.core.orders.settle(self.core.now_ms())
+        self.core.orders.apply_due(self.core.now_ms())
         return web.json_response(self.core.orders.as_json())
 
     async def _runs(self, _request):
--- a/libs/standins/src/hemlockhoist/standins/engine/core.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/core.py
@@ -8,7 +8,7 @@
 from hemlockhoist.standins import answers
 from hemlockhoist.standins.counting import RunCounter, Share
 from hemlockhoist.standins.engine.faults import EngineFaults
-from hemlockhoist.standins.engine.orders import OrderBook
+from hemlockhoist.standins.engine.orders import OrderHandler
 from hemlockhoist.standins.engine.streams import Stream, StreamStore
 from hemlockhoist.standins.engine_model import EngineModel
 from hemlockhoist.standins.lagging import Lagging
@@ -19,7 +19,7 @@
 _IDLE_WAIT_MS = 1_000
 
 
-class EngineFailed(Exception):
+class EngineRequestFailed(Exception):
     """A fault makes this request fail after it was begun."""
 
 
@@ -91,13 +91,13 @@
             Time to load a version.
         """
         model = EngineModel.from_config(config)
-        orders = OrderBook(version, role, checks_fencing, load_ms)
+        orders = OrderHandler(version, role, checks_fencing, load_ms)
         return cls(clock, model, config.block_tokens, orders, _KEEP_STREAMS_MS)
 
     @property
     def version(self):
         """The version that new requests run on."""
-        self.orders.settle(self._clock.now_ms())
+        self.orders.apply_due(self._clock.now_ms())
         return self.orders.version
 
     def now_ms(self):
@@ -128,7 +128,7 @@
             self.begun_after_leaving_ms.append(now_ms - self._leaving_since_ms)
         if self._hits_failure():
             self.runs.failed[request_id] += 1
-            raise EngineFailed(request_id)
+            raise EngineRequestFailed(request_id)
         pieces = answers.answer_pieces(prompt, max_tokens)
         tokens = answers.count_tokens(prompt)
         stream = Stream(request_id, model_name, self.version, pieces, tokens)
@@ -184,7 +184,7 @@
         return {"events": found, "block_tokens": self._block_tokens}
 
     def _hits_failure(self):
-        if not self.faults.hold_for(self.version):
+        if not self.faults.applies_to(self.version):
             return False
         return self._failures.hits(self.faults.fail_share)
 
@@ -211,7 +211,7 @@
                 self._deliver(event, now_ms)
             self._note_cache(now_ms)
             self._note_load(now_ms)
-            self.streams.forget_old(now_ms)
+            self.streams.evict_expired(now_ms)
             await self._wait(now_ms)
 
     async def _wait(self, now_ms):
@@ -223,14 +223,14 @@
                 await self._wake.wait()
 
     def _apply_slowdown(self):
-        slow = self.faults.hold_for(self.version)
+        slow = self.faults.applies_to(self.version)
         self._model.set_slowdown(self.faults.slowdown_permille if slow else 1_000)
 
     def _deliver(self, event, now_ms):
         stream = self._sequences.get(event.request_id)
         if stream is None:
             return
-        stream.grow(event.output_tokens, event.cached_tokens)
+        stream.publish(event.output_tokens, event.cached_tokens)
         if stream.finished and stream.ended_ms is None:
             stream.ended_ms = now_ms
             self.runs.finished[stream.request_id] += 1
--- a/libs/standins/src/hemlockhoist/standins/engine/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/faults.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-NEVER = -1
+NO_BREAK = -1
 
 
 class EngineFaults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
@@ -54,6 +54,6 @@
     cache_lag_ms: int = 0
     cache_gap_every: int = 0
 
-    def hold_for(self, version):
+    def applies_to(self, version):
         """Return whether the slowdown and the failures hold for ``version``."""
         return self.only_version in ("", version)
--- a/libs/standins/src/hemlockhoist/standins/engine/orders.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/orders.py
@@ -8,12 +8,12 @@
 
     Parameters
     ==========
-    highest : int
+    highest_fencing : int
     """
 
-    def __init__(self, highest):
-        super().__init__(f"fencing number is below {highest}")
-        self.highest = highest
+    def __init__(self, highest_fencing):
+        super().__init__(f"fencing number is below {highest_fencing}")
+        self.highest_fencing = highest_fencing
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
@@ -42,7 +42,7 @@
 }
 
 
-class OrderBook:
+class OrderHandler:
     """What an engine was told to run, and what it runs.
 
     Parameters
@@ -60,7 +60,7 @@
         "adapter",
         "highest_fencing",
         "role",
-        "taken",
+        "accepted",
         "version",
     )
 
@@ -69,12 +69,12 @@
         self.role = role
         self.adapter = ""
         self.highest_fencing = 0
-        self.taken = []
+        self.accepted = []
         self._checks_fencing = checks_fencing
         self._load_ms = load_ms
         self._loading = {}
 
-    def take(self, order, now_ms):
+    def accept(self, order, now_ms):
         """Take an order; repeating one changes nothing.
 
         Raises
@@ -90,12 +90,12 @@
         if self._checks_fencing and order.fencing < self.highest_fencing:
             raise OrderRefused(self.highest_fencing)
         self.highest_fencing = max(self.highest_fencing, order.fencing)
-        self.taken.append(order)
+        self.accepted.append(order)
         wanted = getattr(order, subject)
         if wanted != self._target(subject):
             self._loading[subject] = (now_ms + self._load_ms, wanted)
 
-    def settle(self, now_ms):
+    def apply_due(self, now_ms):
         """Put into effect what has been loaded by now."""
         for subject, (ready_ms, wanted) in list(self._loading.items()):
             if ready_ms <= now_ms:
@@ -111,7 +111,7 @@
             "adapter": self.adapter,
             "role": self.role,
             "loading": loading,
-            "taken": [msgspec.to_builtins(order) for order in self.taken],
+            "taken": [msgspec.to_builtins(order) for order in self.accepted],
         }
 
     def _target(self, subject):
--- a/libs/standins/src/hemlockhoist/standins/engine/streams.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/streams.py
@@ -47,7 +47,7 @@
         """Whether the whole answer is there."""
         return self.produced == len(self.pieces)
 
-    def grow(self, produced, cached_tokens):
+    def publish(self, produced, cached_tokens):
         """Release the pieces up to ``produced`` to the readers."""
         self.produced = max(self.produced, produced)
         self.cached_tokens = cached_tokens
@@ -58,7 +58,7 @@
         self.cancelled = True
         self._notify()
 
-    async def wait_beyond(self, count):
+    async def wait_for_more(self, count):
         """Wait till there are more than ``count`` pieces, or no more will come."""
         while self.produced <= count and not self.finished and not self.cancelled:
             await self._changed.wait()
@@ -91,14 +91,14 @@
         """Return the stream, or None."""
         return self._streams.get(request_id)
 
-    def other_than(self, request_id):
+    def newest_except(self, request_id):
         """Return some stream of another request, the newest, or None."""
         for stream in reversed(self._streams.values()):
             if stream.request_id != request_id:
                 return stream
         return None
 
-    def forget_old(self, now_ms):
+    def evict_expired(self, now_ms):
         """Drop the streams that ended long ago."""
         old = [
             request_id
--- a/libs/standins/src/hemlockhoist/standins/measure/__main__.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/__main__.py
@@ -5,11 +5,11 @@
 import click
 
 from hemlockhoist.standins.measure.loads import (
-    AULAS,
-    GROWING_LOAD_NAMES,
+    ASSISTANT_DEPLOYMENT,
+    DRAFTER_DEPLOYMENT,
     LOAD_NAMES,
-    TIDEWATER,
-    larger,
+    SCALING_LOAD_NAMES,
+    mixed_deployment,
 )
 from hemlockhoist.standins.measure.runs import POLICIES, Run, execute_all
 from hemlockhoist.standins.measure.slopes import measure as measure_slopes
@@ -17,23 +17,23 @@
 from hemlockhoist.standins.measure.table import render, shortfalls
 
 SEEDS = (1, 2, 3)
-GROWING = (12, 24, 48)
-GROWING_POLICIES = ("least connections", "scheduler, late", "scheduler")
+SCALING_COUNTS = (12, 24, 48)
+SCALING_POLICIES = ("least connections", "scheduler, late", "scheduler")
 
 
 def _plan():
     runs = [
         Run(load=load, deployment=deployment, policy=policy, seed=seed)
-        for deployment in (AULAS, TIDEWATER)
+        for deployment in (ASSISTANT_DEPLOYMENT, DRAFTER_DEPLOYMENT)
         for load in LOAD_NAMES
         for policy in POLICIES
         for seed in SEEDS
     ]
     runs += [
-        Run(load=load, deployment=larger(count), policy=policy, seed=seed)
-        for count in GROWING
-        for load in GROWING_LOAD_NAMES
-        for policy in GROWING_POLICIES
+        Run(load=load, deployment=mixed_deployment(count), policy=policy, seed=seed)
+        for count in SCALING_COUNTS
+        for load in SCALING_LOAD_NAMES
+        for policy in SCALING_POLICIES
         for seed in SEEDS
     ]
     return runs
--- a/libs/standins/src/hemlockhoist/standins/measure/arrivals.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/arrivals.py
@@ -36,7 +36,7 @@
     failure_domain: str = ""
 
 
-class Shape(msgspec.Struct, frozen=True, kw_only=True):
+class RequestProfile(msgspec.Struct, frozen=True, kw_only=True):
     """How long requests of one sort are, and what they share.
 
     Parameters
@@ -45,32 +45,32 @@
         Of all requests.
     prompt_tokens, output_tokens : int
         Medians; lengths are log-normal.
-    spread : float
+    log_sigma : float
         Sigma of the logarithm.
-    ranks : tuple of float
+    tier_shares : tuple of float
         Shares of the tiers, highest first.
     shared_tokens : int
         Leading prompt tokens that requests of one document have in common.
-    documents : int
+    prefix_count : int
         How many shared beginnings there are; the n-th is used in proportion 1/n.
     """
 
     share: float = 1.0
     prompt_tokens: int = 600
     output_tokens: int = 160
-    spread: float = 0.5
-    ranks: tuple[float, ...] = (0.2, 0.4, 0.4)
+    log_sigma: float = 0.5
+    tier_shares: tuple[float, ...] = (0.2, 0.4, 0.4)
     shared_tokens: int = 256
-    documents: int = 10
+    prefix_count: int = 10
 
 
-class Stream:
+class ArrivalGenerator:
     """Draws arrivals from shapes with a seeded generator.
 
     Parameters
     ==========
     random : random.Random
-    shapes : sequence of Shape
+    profiles : sequence of Shape
     customers : dict of str to float
         Shares of the customers.
     failure_domains : sequence of str
@@ -78,14 +78,14 @@
 
     __slots__ = ("_customers", "_domains", "_random", "_shapes", "_unique")
 
-    def __init__(self, random, shapes, customers, failure_domains):
+    def __init__(self, random, profiles, customers, failure_domains):
         self._random = random
-        self._shapes = shapes
+        self._shapes = profiles
         self._customers = customers
         self._domains = failure_domains
         self._unique = itertools.count(1 << 40)
 
-    def between(self, start_ms, end_ms, rate_per_s):
+    def poisson_arrivals(self, start_ms, end_ms, rate_per_s):
         """Return the Poisson arrivals of a span of time."""
         arrivals = []
         at_ms = start_ms + self._gap_ms(rate_per_s)
@@ -99,44 +99,46 @@
 
     def _draw(self, at_ms):
         draw = self._random
-        shape = draw.choices(self._shapes, [item.share for item in self._shapes])[0]
+        profile = draw.choices(self._shapes, [item.share for item in self._shapes])[0]
         names, shares = zip(*self._customers.items(), strict=True)
-        output = self._length(shape.output_tokens, shape.spread)
-        prompt = shape.shared_tokens + self._length(
-            max(1, shape.prompt_tokens - shape.shared_tokens), shape.spread
+        output = self._length(profile.output_tokens, profile.log_sigma)
+        prompt = profile.shared_tokens + self._length(
+            max(1, profile.prompt_tokens - profile.shared_tokens), profile.log_sigma
         )
         return Arrival(
             at_ms=at_ms,
             customer=draw.choices(names, shares)[0],
-            tier_rank=draw.choices(range(len(shape.ranks)), shape.ranks)[0],
+            tier_rank=draw.choices(
+                range(len(profile.tier_shares)), profile.tier_shares
+            )[0],
             prompt_tokens=prompt,
             output_tokens=output,
             expected_tokens=max(1, int(output * draw.uniform(0.7, 1.6))),
-            prefix_hashes=self._hashes(shape, prompt),
+            prefix_hashes=self._hashes(profile, prompt),
             failure_domain=draw.choice(self._domains),
         )
 
-    def _length(self, median, spread):
-        drawn = self._random.lognormvariate(math.log(median), spread)
+    def _length(self, median, log_sigma):
+        drawn = self._random.lognormvariate(math.log(median), log_sigma)
         return max(1, min(int(drawn), 6 * median))
 
-    def _hashes(self, shape, prompt_tokens):
-        weights = [1 / (n + 1) for n in range(shape.documents)]
-        document = self._random.choices(range(shape.documents), weights)[0]
-        shared = shape.shared_tokens // BLOCK_TOKENS
-        base = (shape.shared_tokens << 24) + (document << 12)
+    def _hashes(self, profile, prompt_tokens):
+        weights = [1 / (n + 1) for n in range(profile.prefix_count)]
+        document = self._random.choices(range(profile.prefix_count), weights)[0]
+        shared = profile.shared_tokens // BLOCK_TOKENS
+        base = (profile.shared_tokens << 24) + (document << 12)
         own = next(self._unique) << 12
         count = prompt_tokens // BLOCK_TOKENS
         return tuple((base if n < shared else own) + n for n in range(count))
 
 
-def mean_tokens(shapes):
+def mean_token_counts(profiles):
     """Return the mean prompt, shared and output tokens of a mix of shapes."""
-    total = sum(item.share for item in shapes)
+    total = sum(item.share for item in profiles)
     prompt = shared = output = 0.0
-    for item in shapes:
+    for item in profiles:
         part = item.share / total
-        stretch = math.exp(item.spread**2 / 2)
+        stretch = math.exp(item.log_sigma**2 / 2)
         own = max(1, item.prompt_tokens - item.shared_tokens)
         prompt += part * (item.shared_tokens + own * stretch)
         shared += part * item.shared_tokens
--- a/libs/standins/src/hemlockhoist/standins/measure/baselines.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/baselines.py
@@ -78,7 +78,7 @@
         return min(self._upstreams, key=self._load)
 
 
-class RandomOfTwo(_Direct):
+class PowerOfTwoChoices(_Direct):
     """The better of two random upstreams by their load reports."""
 
     def __init__(self, pool, tiers):
@@ -97,7 +97,7 @@
         return min(pair, key=lambda item: self._reports.get(item.upstream_id, 0))
 
 
-class FirstComeRoundRobin(_Direct):
+class FifoRoundRobin(_Direct):
     """One queue in the order of arrival, upstreams in turn up to a fixed limit."""
 
     def __init__(self, pool, tiers):
--- a/libs/standins/src/hemlockhoist/standins/measure/first_policy.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/fifo_policy.py
@@ -9,7 +9,7 @@
 MAX_QUEUED = 1_000
 
 
-class FirstPolicy:
+class FifoPolicy:
     """Serves in the order of arrival, and refuses at the deadline.
 
     All methods take the home's clock and return the decisions that follow. The
--- a/libs/standins/src/hemlockhoist/standins/measure/loads.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/loads.py
@@ -8,15 +8,15 @@
 from hemlockhoist.standins.engine_model import GENERATIONS
 from hemlockhoist.standins.measure.arrivals import (
     Arrival,
-    Shape,
-    Stream,
-    mean_tokens,
+    ArrivalGenerator,
+    RequestProfile,
+    mean_token_counts,
 )
 
 SPAN_MS = 60_000
 LONG_SPAN_MS = 120_000
 # Larger deployments have as many more arrivals a second.
-GROWING_SPAN_MS = 30_000
+SCALING_SPAN_MS = 30_000
 REPORT_LAG_MS = 1_000
 
 THREE_TIERS = (
@@ -49,19 +49,19 @@
         return self.failure_domains[index % len(self.failure_domains)]
 
 
-AULAS = Deployment(
+ASSISTANT_DEPLOYMENT = Deployment(
     name="6 assistants",
     generations=("g3", "g3", "g2", "g2", "g4", "g3"),
     failure_domains=("d0", "d1", "d2", "d3"),
 )
-TIDEWATER = Deployment(
+DRAFTER_DEPLOYMENT = Deployment(
     name="5 drafters",
     generations=("g2", "g3", "g3", "g2", "g3"),
     failure_domains=("d0", "d1", "d2"),
 )
 
 
-def larger(count):
+def mixed_deployment(count):
     """Return a deployment of ``count`` upstreams of four generations."""
     names = sorted(GENERATIONS)
     return Deployment(
@@ -74,16 +74,16 @@
 class Slowdown(msgspec.Struct, frozen=True, kw_only=True):
     """From ``at_ms`` an upstream runs at ``permille`` of its normal step time.
 
-    ``lies`` keeps its load reports as they were at that time.
+    ``freezes_reports`` keeps its load reports as they were at that time.
     """
 
     at_ms: int
     upstream: int
     permille: int
-    lies: bool = False
+    freezes_reports: bool = False
 
 
-class Loss(msgspec.Struct, frozen=True, kw_only=True):
+class DomainLoss(msgspec.Struct, frozen=True, kw_only=True):
     """At ``at_ms`` all upstreams of a failure domain die; the list follows later."""
 
     at_ms: int
@@ -100,16 +100,16 @@
     arrivals: tuple[Arrival, ...]
     span_ms: int
     slowdowns: tuple[Slowdown, ...] = ()
-    losses: tuple[Loss, ...] = ()
+    domain_losses: tuple[DomainLoss, ...] = ()
     report_lag_ms: int = REPORT_LAG_MS
 
 
-def capacity_per_s(deployment, shapes):
+def capacity_per_s(deployment, profiles):
     """Return about how many requests a second a deployment can answer.
 
     Full batches, half of the shared prompt tokens cached.
     """
-    prompt, shared, output = mean_tokens(shapes)
+    prompt, shared, output = mean_token_counts(profiles)
     total = 0.0
     for name in deployment.generations:
         config = GENERATIONS[name]
@@ -125,38 +125,42 @@
 
 
 _SHORT_AND_LONG = (
-    Shape(share=0.9, prompt_tokens=64, output_tokens=16, spread=0.3, shared_tokens=0),
-    Shape(
+    RequestProfile(
+        share=0.9, prompt_tokens=64, output_tokens=16, log_sigma=0.3, shared_tokens=0
+    ),
+    RequestProfile(
         share=0.1,
         prompt_tokens=9_000,
         output_tokens=1_400,
-        spread=0.2,
-        ranks=(0.0, 0.3, 0.7),
+        log_sigma=0.2,
+        tier_shares=(0.0, 0.3, 0.7),
         shared_tokens=0,
     ),
 )
 _PREFIX_HEAVY = (
-    Shape(prompt_tokens=4_400, output_tokens=60, shared_tokens=4_096, documents=40),
+    RequestProfile(
+        prompt_tokens=4_400, output_tokens=60, shared_tokens=4_096, prefix_count=40
+    ),
 )
-_FIVE = (Shape(ranks=(0.1, 0.15, 0.2, 0.25, 0.3)),)
+_FIVE = (RequestProfile(tier_shares=(0.1, 0.15, 0.2, 0.25, 0.3)),)
 _LONG_TIERS = tuple(
     msgspec.structs.replace(tier, deadline_ms=30_000 + 60_000 * tier.rank)
     for tier in THREE_TIERS
 )
-_PLAIN = (Shape(),)
+_PLAIN = (RequestProfile(),)
 
 
 def _load(name, deployment, seed, parts, **options):
     """Return a load whose rate is a multiple of the capacity in each part of it."""
-    shapes = options.pop("shapes", _PLAIN)
+    profiles = options.pop("profiles", _PLAIN)
     customers = options.pop("customers", EVEN_CUSTOMERS)
     tiers = options.pop("tiers", THREE_TIERS)
     draw = random.Random(f"{name}/{deployment.name}/{seed}")
-    stream = Stream(draw, shapes, customers, deployment.failure_domains)
-    rate = capacity_per_s(deployment, shapes)
+    stream = ArrivalGenerator(draw, profiles, customers, deployment.failure_domains)
+    rate = capacity_per_s(deployment, profiles)
     arrivals, at_ms = [], 0
     for span_ms, factor in parts:
-        arrivals += stream.between(at_ms, at_ms + span_ms, rate * factor)
+        arrivals += stream.poisson_arrivals(at_ms, at_ms + span_ms, rate * factor)
         at_ms += span_ms
     return Load(
         name=name,
@@ -172,12 +176,17 @@
     """Return a slowdown that grows to tenfold while the reports look fine."""
     steps = (1_000, 1_500, 2_200, 3_300, 5_000, 7_000, 10_000)
     return tuple(
-        Slowdown(at_ms=10_000 + 5_000 * n, upstream=0, permille=permille, lies=True)
+        Slowdown(
+            at_ms=10_000 + 5_000 * n,
+            upstream=0,
+            permille=permille,
+            freezes_reports=True,
+        )
         for n, permille in enumerate(steps)
     )
 
 
-def build(name, deployment, seed):
+def build_load(name, deployment, seed):
     """Return the load of that name for a deployment and a seed."""
     steady = ((SPAN_MS, 0.7),)
     builders = {
@@ -193,18 +202,21 @@
         "one degrading": (((SPAN_MS, 0.7),), {"slowdowns": _degrading()}),
         "short and long": (
             ((SPAN_MS, 0.9),),
-            {"shapes": _SHORT_AND_LONG, "tiers": _LONG_TIERS},
+            {"profiles": _SHORT_AND_LONG, "tiers": _LONG_TIERS},
+        ),
+        "prefix heavy": (((SPAN_MS, 0.9),), {"profiles": _PREFIX_HEAVY}),
+        "domain lost": (
+            steady,
+            {"domain_losses": (DomainLoss(at_ms=20_000, failure_domain="d1"),)},
         ),
-        "prefix heavy": (((SPAN_MS, 0.9),), {"shapes": _PREFIX_HEAVY}),
-        "domain lost": (steady, {"losses": (Loss(at_ms=20_000, failure_domain="d1"),)}),
         "fresh reports": (((SPAN_MS, 0.9),), {"report_lag_ms": 0}),
         "reports 10 s old": (((SPAN_MS, 0.9),), {"report_lag_ms": 10_000}),
         "five tiers 2x": (
             ((SPAN_MS, 2.0),),
-            {"shapes": _FIVE, "tiers": FIVE_TIERS},
+            {"profiles": _FIVE, "tiers": FIVE_TIERS},
         ),
-        "growing 70 %": (((GROWING_SPAN_MS, 0.7),), {}),
-        "growing 1.5x": (((GROWING_SPAN_MS, 1.5),), {}),
+        "growing 70 %": (((SCALING_SPAN_MS, 0.7),), {}),
+        "growing 1.5x": (((SCALING_SPAN_MS, 1.5),), {}),
     }
     parts, options = builders[name]
     return _load(name, deployment, seed, parts, **options)
@@ -225,4 +237,4 @@
     "reports 10 s old",
     "five tiers 2x",
 )
-GROWING_LOAD_NAMES = ("growing 70 %", "growing 1.5x")
+SCALING_LOAD_NAMES = ("growing 70 %", "growing 1.5x")
--- a/libs/standins/src/hemlockhoist/standins/measure/answers.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/request_records.py
@@ -3,7 +3,7 @@
 from hemlockhoist.standins.measure.arrivals import BLOCK_TOKENS
 
 
-class Answer:
+class RequestRecord:
     """The course of one request.
 
     Parameters
@@ -38,7 +38,7 @@
         self._best_blocks = 0
 
     @property
-    def is_good(self):
+    def counts_as_goodput(self):
         """Whether it counts as goodput: whole, in time, first token in time."""
         if not self.is_whole:
             return False
@@ -56,36 +56,36 @@
         held = min(self._best_blocks * BLOCK_TOKENS, self.request.prompt_tokens - 1)
         return max(0, held - self.cached_tokens)
 
-    def refuse(self, code, now_ms):
+    def record_refusal(self, code, now_ms):
         """Record a refusal."""
         self.code = code
         self.ended_ms = now_ms
 
-    def dispatch(self, best_blocks, now_ms):
+    def record_dispatch(self, best_blocks, now_ms):
         """Record the dispatch, and the most blocks that any cache then held."""
         self.dispatched_ms = now_ms
         self._best_blocks = best_blocks
 
-    def begin(self, cached_tokens, at_ms):
+    def record_first_token(self, cached_tokens, at_ms):
         """Record the first token."""
         self.cached_tokens = cached_tokens
         self.first_token_ms = at_ms
 
-    def finish(self, at_ms):
+    def record_completion(self, at_ms):
         """Record the whole answer."""
         self.ended_ms = at_ms
         self.is_whole = True
 
-    def fail(self, now_ms):
+    def record_failure(self, now_ms):
         """Record an answer that broke off or came too late."""
         self.ended_ms = now_ms
 
-    def from_dispatch_ms(self, at_ms):
+    def since_dispatch_ms(self, at_ms):
         """Return the time since dispatch, or -1 where ``at_ms`` is None."""
         return -1 if at_ms is None else at_ms - self.dispatched_ms
 
 
-class CacheView:
+class PrefixCacheView:
     """The blocks in one engine's prefix cache, from its cache events."""
 
     __slots__ = ("_blocks",)
@@ -93,7 +93,7 @@
     def __init__(self):
         self._blocks = set()
 
-    def change(self, stored, removed):
+    def apply(self, stored, removed):
         """Take one event."""
         self._blocks.update(stored)
         self._blocks.difference_update(removed)
--- a/libs/standins/src/hemlockhoist/standins/measure/results.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/results.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-NEXT_MS = 1_000
+INVERSION_WINDOW_MS = 1_000
 
 
 class RunResult(msgspec.Struct, frozen=True, kw_only=True):
@@ -19,13 +19,13 @@
         By tier: whole answers within deadline and first token target.
     refused_permille : tuple of int
         By tier, of the requests that arrived.
-    out_of_order : int
+    priority_inversions : int
         Refusals after which a lower tier was dispatched within a second.
     wasted_permille : int
         Prompt tokens computed for nobody or again, of all that arrived.
     first_token_p95_ms, top_first_token_p95_ms : int
         From arrival, of all whole answers and of the highest tier's.
-    between_p95_ms : float
+    inter_token_p95_ms : float
         Mean time between tokens of an answer, 95th percentile over answers.
     fairness : float
         Least over tiers of the index of Jain on answers received over the max-min
@@ -35,11 +35,11 @@
     offered_per_s: tuple[float, ...]
     goodput_per_s: tuple[float, ...]
     refused_permille: tuple[int, ...]
-    out_of_order: int
+    priority_inversions: int
     wasted_permille: int
     first_token_p95_ms: int
     top_first_token_p95_ms: int
-    between_p95_ms: float
+    inter_token_p95_ms: float
     fairness: float
 
     @property
@@ -63,17 +63,17 @@
         offered_per_s=tuple(len(by_tier[rank]) / span_s for rank in ranks),
         goodput_per_s=tuple(_good(by_tier[rank]) / span_s for rank in ranks),
         refused_permille=tuple(_refused_permille(by_tier[rank]) for rank in ranks),
-        out_of_order=_out_of_order(answers),
+        priority_inversions=_out_of_order(answers),
         wasted_permille=1_000 * wasted // max(1, prompts),
         first_token_p95_ms=_p95([_first_token_ms(item) for item in whole]),
         top_first_token_p95_ms=_p95([_first_token_ms(item) for item in top]),
-        between_p95_ms=_p95([_between_ms(item) for item in whole]),
+        inter_token_p95_ms=_p95([_between_ms(item) for item in whole]),
         fairness=min(_fairness(by_tier[rank]) for rank in ranks),
     )
 
 
 def _good(answers):
-    return sum(1 for item in answers if item.is_good)
+    return sum(1 for item in answers if item.counts_as_goodput)
 
 
 def _refused_permille(answers):
@@ -94,7 +94,7 @@
         if answer.code is None:
             continue
         first = bisect.bisect_right(times, answer.ended_ms)
-        last = bisect.bisect_left(times, answer.ended_ms + NEXT_MS)
+        last = bisect.bisect_left(times, answer.ended_ms + INVERSION_WINDOW_MS)
         rank = answer.request.tier_rank
         count += any(other > rank for _, other in dispatched[first:last])
     return count
@@ -119,7 +119,7 @@
     offered, good = collections.Counter(), collections.Counter()
     for answer in answers:
         offered[answer.request.customer] += 1
-        good[answer.request.customer] += answer.is_good
+        good[answer.request.customer] += answer.counts_as_goodput
     if not sum(good.values()):
         return 1.0
     shares = max_min_shares(offered, sum(good.values()))
--- a/libs/standins/src/hemlockhoist/standins/measure/runs.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/runs.py
@@ -9,19 +9,19 @@
 from hemlockhoist.decisions.scheduling import PoolScheduler
 from hemlockhoist.declarations import Pool, PoolKind
 from hemlockhoist.standins.measure.baselines import (
-    FirstComeRoundRobin,
+    FifoRoundRobin,
     LeastConnections,
-    RandomOfTwo,
+    PowerOfTwoChoices,
 )
-from hemlockhoist.standins.measure.first_policy import FirstPolicy
-from hemlockhoist.standins.measure.loads import build
+from hemlockhoist.standins.measure.fifo_policy import FifoPolicy
+from hemlockhoist.standins.measure.loads import build_load
 from hemlockhoist.standins.measure.results import summarise
 from hemlockhoist.standins.measure.simulation import Simulation
 
 # The declared bound; the scheduler has to find each engine's own knee below it.
 MAX_IN_FLIGHT = 64
 # Baselines with a fixed limit get the default of the declarations.
-FIXED_LIMIT = 32
+FIXED_CONCURRENCY_LIMIT = 32
 WORKERS = 4
 
 
@@ -39,7 +39,7 @@
     return PoolScheduler.from_config(_pool(MAX_IN_FLIGHT), tiers, "m", invariants=log)
 
 
-class LateFirstTokens:
+class NoFirstTokenReports:
     """The scheduler, told of first tokens only with the outcome.
 
     Shows what the earlier message is worth.
@@ -56,14 +56,20 @@
 
 
 POLICIES = {
-    "round robin": lambda tiers: FirstComeRoundRobin(_pool(FIXED_LIMIT), tiers),
-    "random of two": lambda tiers: RandomOfTwo(_pool(FIXED_LIMIT), tiers),
-    "least connections": lambda tiers: LeastConnections(_pool(FIXED_LIMIT), tiers),
-    "first policy": lambda tiers: FirstPolicy.from_config(_pool(FIXED_LIMIT), tiers),
-    "scheduler, late": lambda tiers: LateFirstTokens(_scheduler(tiers)),
+    "round robin": lambda tiers: FifoRoundRobin(_pool(FIXED_CONCURRENCY_LIMIT), tiers),
+    "random of two": lambda tiers: PowerOfTwoChoices(
+        _pool(FIXED_CONCURRENCY_LIMIT), tiers
+    ),
+    "least connections": lambda tiers: LeastConnections(
+        _pool(FIXED_CONCURRENCY_LIMIT), tiers
+    ),
+    "first policy": lambda tiers: FifoPolicy.from_config(
+        _pool(FIXED_CONCURRENCY_LIMIT), tiers
+    ),
+    "scheduler, late": lambda tiers: NoFirstTokenReports(_scheduler(tiers)),
     "scheduler": _scheduler,
 }
-PRODUCT = "scheduler"
+PRODUCT_POLICY = "scheduler"
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
@@ -77,7 +83,7 @@
 
 def execute(run):
     """Run one combination and return its ``RunResult``."""
-    load = build(run.load, run.deployment, run.seed)
+    load = build_load(run.load, run.deployment, run.seed)
     policy = POLICIES[run.policy](load.tiers)
     return summarise(load, Simulation(load, policy).run())
 
--- a/libs/standins/src/hemlockhoist/standins/measure/simulation.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/simulation.py
@@ -18,10 +18,10 @@
     EngineEventKind,
     EngineModel,
 )
-from hemlockhoist.standins.measure.answers import Answer, CacheView
+from hemlockhoist.standins.measure.request_records import PrefixCacheView, RequestRecord
 
 TICK_MS = 100
-REPORT_EVERY_MS = 500
+REPORT_INTERVAL_MS = 500
 
 
 class _Engine:
@@ -34,7 +34,7 @@
         self.upstream = upstream
         self.alive = True
         self.frozen = None
-        self.cache = CacheView()
+        self.cache = PrefixCacheView()
         self.wake = 0
 
 
@@ -83,7 +83,7 @@
             self._at(arrival.at_ms, self._arrive, index, arrival)
         for change in self._load.slowdowns:
             self._at(change.at_ms, self._slow_down, change)
-        for loss in self._load.losses:
+        for loss in self._load.domain_losses:
             self._at(loss.at_ms, self._lose, loss)
         end_ms = self._load.span_ms + max(t.deadline_ms for t in self._load.tiers)
         self._at(0, self._tick, end_ms)
@@ -132,7 +132,7 @@
             entry_host="host-1",
             failure_domain=arrival.failure_domain,
         )
-        self._answers[request.request_id] = Answer(arrival, request)
+        self._answers[request.request_id] = RequestRecord(arrival, request)
         self._budget.on_request()
         self._decide(self._policy.submit(request, self._now_ms))
 
@@ -140,7 +140,7 @@
         for decision in decisions:
             answer = self._answers[decision.request.request_id]
             if isinstance(decision, Rejected):
-                answer.refuse(decision.code, self._now_ms)
+                answer.record_refusal(decision.code, self._now_ms)
             elif isinstance(decision, Granted):
                 self._dispatch(decision, answer)
 
@@ -156,7 +156,7 @@
             for item in self._engines.values()
             if item.alive
         )
-        answer.dispatch(best, self._now_ms)
+        answer.record_dispatch(best, self._now_ms)
         engine.model.submit(
             request.request_id,
             request.prompt_tokens,
@@ -176,7 +176,7 @@
         if self._budget.take(kind, answer.attempts, self._now_ms):
             self._decide(self._policy.submit(answer.request, self._now_ms))
         else:
-            answer.fail(self._now_ms)
+            answer.record_failure(self._now_ms)
 
     def _wake(self, engine):
         at_ms = engine.model.next_event_ms()
@@ -193,21 +193,21 @@
     def _collect(self, engine):
         events = engine.model.advance(self._now_ms)
         for stored, removed in engine.model.take_cache_changes():
-            engine.cache.change(stored, removed)
+            engine.cache.apply(stored, removed)
         for event in events:
             answer = self._answers[event.request_id]
             if event.kind is EngineEventKind.FIRST_TOKEN:
-                answer.begin(event.cached_tokens, event.at_ms)
+                answer.record_first_token(event.cached_tokens, event.at_ms)
                 self._tell_first_token(event.request_id, answer)
             elif event.kind is EngineEventKind.FINISHED:
-                answer.finish(event.at_ms)
+                answer.record_completion(event.at_ms)
                 self._release(event.request_id, OutcomeKind.SUCCESS, answer)
 
     def _tell_first_token(self, request_id, answer):
         if not self._tells_first_token:
             return
         grant = self._grants[request_id]
-        first_token_ms = answer.from_dispatch_ms(answer.first_token_ms)
+        first_token_ms = answer.since_dispatch_ms(answer.first_token_ms)
         decisions = self._policy.observe_first_token(
             grant.grant_id, first_token_ms, self._now_ms
         )
@@ -217,8 +217,8 @@
         grant = self._grants.pop(request_id)
         outcome = Outcome(
             kind=kind,
-            first_token_ms=answer.from_dispatch_ms(answer.first_token_ms),
-            total_ms=answer.from_dispatch_ms(self._now_ms),
+            first_token_ms=answer.since_dispatch_ms(answer.first_token_ms),
+            total_ms=answer.since_dispatch_ms(self._now_ms),
             output_tokens=answer.arrival.output_tokens,
             cached_tokens=answer.cached_tokens,
         )
@@ -236,14 +236,14 @@
             self._wake(engine)
             return
         answer = self._answers[request_id]
-        answer.fail(self._now_ms)
+        answer.record_failure(self._now_ms)
         self._release(request_id, OutcomeKind.TIMEOUT, answer)
         self._wake(engine)
 
     def _slow_down(self, change):
         engine = self._engines[f"u{change.upstream:04}"]
         engine.model.set_slowdown(change.permille)
-        if change.lies and engine.frozen is None:
+        if change.freezes_reports and engine.frozen is None:
             engine.frozen = engine.model.load()
         self._wake(engine)
 
@@ -259,7 +259,7 @@
         held = [key for key, grant in self._grants.items() if grant.upstream_id in ids]
         for request_id in held:
             answer = self._answers[request_id]
-            answer.fail(self._now_ms)
+            answer.record_failure(self._now_ms)
             self._release(request_id, OutcomeKind.BROKE_OFF, answer)
         self._at(self._now_ms + loss.list_lag_ms, self._publish)
 
@@ -281,7 +281,7 @@
                 )
                 self._at(self._now_ms + lag_ms, self._observe, report)
         if self._now_ms < end_ms:
-            self._at(self._now_ms + REPORT_EVERY_MS, self._report, end_ms)
+            self._at(self._now_ms + REPORT_INTERVAL_MS, self._report, end_ms)
 
     def _observe(self, report):
         self._decide(self._policy.observe_load(report, self._now_ms))
--- a/libs/standins/src/hemlockhoist/standins/measure/table.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/table.py
@@ -2,7 +2,7 @@
 
 import statistics
 
-from hemlockhoist.standins.measure.runs import PRODUCT
+from hemlockhoist.standins.measure.runs import PRODUCT_POLICY
 
 _HEADER = (
     "load",
@@ -34,7 +34,7 @@
     lines = [_row(_HEADER), _row("---" for _ in _HEADER)]
     for (load, deployment), by_policy in groups.items():
         for policy, results in by_policy.items():
-            verdict = _verdict(by_policy) if policy == PRODUCT else ""
+            verdict = _verdict(by_policy) if policy == PRODUCT_POLICY else ""
             name = f"{load}, {deployment}"
             lines.append(_row((name, policy, *_cells(results), verdict)))
     return lines
@@ -59,7 +59,7 @@
     refused = zip(*(item.refused_permille for item in results), strict=True)
     top_ms = statistics.mean(item.top_first_token_p95_ms for item in results)
     all_ms = statistics.mean(item.first_token_p95_ms for item in results)
-    between_ms = statistics.mean(item.between_p95_ms for item in results)
+    between_ms = statistics.mean(item.inter_token_p95_ms for item in results)
     wasted = statistics.mean(item.wasted_permille for item in results)
     fairness = statistics.mean(item.fairness for item in results)
     return (
@@ -71,7 +71,7 @@
         f"{wasted:.0f}",
         f"{fairness:.2f}",
         " ".join(f"{statistics.mean(values):.0f}" for values in refused),
-        f"{statistics.mean(item.out_of_order for item in results):.0f}",
+        f"{statistics.mean(item.priority_inversions for item in results):.0f}",
     )
 
 
@@ -83,10 +83,10 @@
 
 def _verdict(by_policy):
     """Compare seed by seed: every policy has met the same arrivals."""
-    own = by_policy[PRODUCT]
+    own = by_policy[PRODUCT_POLICY]
     top, total = [], []
     for policy, results in by_policy.items():
-        if policy.startswith(PRODUCT):
+        if policy.startswith(PRODUCT_POLICY):
             continue
         pairs = list(zip(own, results, strict=True))
         top.append([a.goodput_per_s[0] - b.goodput_per_s[0] for a, b in pairs])
--- a/libs/standins/src/hemlockhoist/standins/measure/tests/test_measure.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/tests/test_measure.py
@@ -3,16 +3,16 @@
 import msgspec
 
 from hemlockhoist.standins.measure.loads import (
-    AULAS,
+    ASSISTANT_DEPLOYMENT,
+    DRAFTER_DEPLOYMENT,
     LOAD_NAMES,
     THREE_TIERS,
-    TIDEWATER,
+    DomainLoss,
     Load,
-    Loss,
-    build,
+    build_load,
 )
 from hemlockhoist.standins.measure.results import max_min_shares, summarise
-from hemlockhoist.standins.measure.runs import POLICIES, PRODUCT, Run, execute
+from hemlockhoist.standins.measure.runs import POLICIES, PRODUCT_POLICY, Run, execute
 from hemlockhoist.standins.measure.simulation import Simulation
 from hemlockhoist.standins.measure.slopes import Slope, _bytes_of, _with_grants
 from hemlockhoist.standins.measure.table import render, shortfalls
@@ -20,7 +20,7 @@
 
 def _short(name, span_ms):
     """Return the beginning of a load."""
-    load = build(name, AULAS, 1)
+    load = build_load(name, ASSISTANT_DEPLOYMENT, 1)
     arrivals = tuple(item for item in load.arrivals if item.at_ms < span_ms)
     return msgspec.structs.replace(load, arrivals=arrivals, span_ms=span_ms)
 
@@ -30,21 +30,25 @@
         """Two builds of one seed are equal, two seeds differ, for every load."""
         for name in LOAD_NAMES:
             with self.subTest(name=name):
-                self.assertEqual(build(name, AULAS, 1), build(name, AULAS, 1))
+                self.assertEqual(
+                    build_load(name, ASSISTANT_DEPLOYMENT, 1),
+                    build_load(name, ASSISTANT_DEPLOYMENT, 1),
+                )
                 self.assertNotEqual(
-                    build(name, AULAS, 1).arrivals, build(name, AULAS, 2).arrivals
+                    build_load(name, ASSISTANT_DEPLOYMENT, 1).arrivals,
+                    build_load(name, ASSISTANT_DEPLOYMENT, 2).arrivals,
                 )
 
     def test_a_burst_is_a_burst(self):
         """Three times the capacity arrives in its ten seconds, 70 % else."""
-        arrivals = build("burst 3x", TIDEWATER, 1).arrivals
+        arrivals = build_load("burst 3x", DRAFTER_DEPLOYMENT, 1).arrivals
         burst = sum(1 for item in arrivals if 20_000 <= item.at_ms < 30_000)
         before = sum(1 for item in arrivals if 10_000 <= item.at_ms < 20_000)
         self.assertAlmostEqual(burst / before, 3 / 0.7, delta=1.0)
 
     def test_short_and_long_differ_a_hundredfold(self):
         """The long shape costs a hundred times the work of the short one."""
-        load = build("short and long", AULAS, 1)
+        load = build_load("short and long", ASSISTANT_DEPLOYMENT, 1)
         work = sorted(
             item.output_tokens + item.prompt_tokens / 32 for item in load.arrivals
         )
@@ -56,8 +60,8 @@
     def test_every_request_has_one_end_under_every_policy(self):
         """Each arrival is answered, refused or fails, also when a domain is lost."""
         load = _short("domain lost", 10_000)
-        loss = (Loss(at_ms=5_000, failure_domain="d1"),)
-        load = msgspec.structs.replace(load, losses=loss)
+        loss = (DomainLoss(at_ms=5_000, failure_domain="d1"),)
+        load = msgspec.structs.replace(load, domain_losses=loss)
         for name, make in POLICIES.items():
             with self.subTest(policy=name):
                 answers = Simulation(load, make(load.tiers)).run()
@@ -66,14 +70,14 @@
 
     def test_an_idle_deployment_answers_everything_in_time(self):
         """Twenty requests a second apart are all goodput, and none is refused."""
-        arrivals = build("steady 70 %", AULAS, 1).arrivals[:20]
+        arrivals = build_load("steady 70 %", ASSISTANT_DEPLOYMENT, 1).arrivals[:20]
         apart = tuple(
             msgspec.structs.replace(item, at_ms=1_000 * n, output_tokens=20)
             for n, item in enumerate(arrivals)
         )
         load = Load(
             name="idle",
-            deployment=AULAS,
+            deployment=ASSISTANT_DEPLOYMENT,
             tiers=THREE_TIERS,
             arrivals=apart,
             span_ms=20_000,
@@ -85,15 +89,22 @@
 
     def test_a_run_repeats_exactly(self):
         """The same load, policy and seed give the same figures."""
-        run = Run(load="one slow 10x", deployment=TIDEWATER, policy=PRODUCT, seed=1)
+        run = Run(
+            load="one slow 10x",
+            deployment=DRAFTER_DEPLOYMENT,
+            policy=PRODUCT_POLICY,
+            seed=1,
+        )
         self.assertEqual(execute(run), execute(run))
 
 
 class OutcomeTests(unittest.TestCase):
     """What callers get from the whole scheduler, in each kind of load."""
 
-    def _run(self, name, policy=PRODUCT):
-        return execute(Run(load=name, deployment=TIDEWATER, policy=policy, seed=4))
+    def _run(self, name, policy=PRODUCT_POLICY):
+        return execute(
+            Run(load=name, deployment=DRAFTER_DEPLOYMENT, policy=policy, seed=4)
+        )
 
     def test_saturation_keeps_the_top_tier_whole(self):
         """At one and a half times the capacity, 95 % of the top tier is goodput."""
@@ -147,11 +158,16 @@
     def test_the_table_names_where_the_scheduler_is_behind(self):
         """A load in which a baseline does better is listed with its margin."""
         result = execute(
-            Run(load="steady 70 %", deployment=TIDEWATER, policy=PRODUCT, seed=1)
+            Run(
+                load="steady 70 %",
+                deployment=DRAFTER_DEPLOYMENT,
+                policy=PRODUCT_POLICY,
+                seed=1,
+            )
         )
         better = msgspec.structs.replace(
             result, goodput_per_s=tuple(x + 1 for x in result.goodput_per_s)
         )
-        groups = {("steady", "x"): {"baseline": [better], PRODUCT: [result]}}
+        groups = {("steady", "x"): {"baseline": [better], PRODUCT_POLICY: [result]}}
         self.assertEqual(len(render(groups)), 4)
         self.assertIn("top behind", shortfalls(groups)[0])
--- a/libs/standins/src/hemlockhoist/standins/platform/app.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/app.py
@@ -135,7 +135,7 @@
             found = {
                 "table": error.table,
                 "key": error.key,
-                "version": error.present,
+                "version": error.actual_version,
             }
             return web.json_response(found, status=412)
         return web.json_response(answer(versions))
@@ -173,7 +173,7 @@
         return web.json_response({})
 
     async def _get_weights(self, request):
-        wait_ms = self._weights_limit.take(self._clock.now_ms())
+        wait_ms = self._weights_limit.acquire(self._clock.now_ms())
         if wait_ms:
             retry_after_s = -(-wait_ms // _MS_PER_S)
             headers = {"Retry-After": str(retry_after_s)}
--- a/libs/standins/src/hemlockhoist/standins/platform/stores.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/stores.py
@@ -19,7 +19,7 @@
         self._tokens = max(1.0, per_second)
         self._at_ms = now_ms
 
-    def take(self, now_ms):
+    def acquire(self, now_ms):
         """Take one permit; return 0, or the milliseconds until there is one."""
         gained = (now_ms - self._at_ms) * self.per_second / MS_PER_S
         self._tokens = min(max(1.0, self.per_second), self._tokens + gained)
--- a/libs/standins/src/hemlockhoist/standins/platform/tables.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/tables.py
@@ -7,15 +7,15 @@
     Parameters
     ==========
     table, key : str
-    present : int
+    actual_version : int
         The row's version; 0 when there is no row.
     """
 
-    def __init__(self, table, key, present):
-        super().__init__(f"{table}/{key} is at version {present}")
+    def __init__(self, table, key, actual_version):
+        super().__init__(f"{table}/{key} is at version {actual_version}")
         self.table = table
         self.key = key
-        self.present = present
+        self.actual_version = actual_version
 
 
 class TableStore:
@@ -61,9 +61,9 @@
         VersionMismatch
         """
         for table, key, _value, expected in puts:
-            present = self._version(table, key)
-            if expected is not None and expected != present:
-                raise VersionMismatch(table, key, present)
+            actual_version = self._version(table, key)
+            if expected is not None and expected != actual_version:
+                raise VersionMismatch(table, key, actual_version)
         self.writes += len(puts)
         return [self._write(table, key, value) for table, key, value, _ in puts]
 
--- a/libs/standins/src/hemlockhoist/standins/service/app.py
+++ b/libs/standins/src/hemlockhoist/standins/service/app.py
@@ -97,10 +97,10 @@
         faults = self.faults
         if faults.delay_ms:
             await asyncio.sleep(faults.delay_ms / _MS_PER_S)
-        if faults.use("drop_before"):
+        if faults.consume("drop_before"):
             self.runs.rejected[key] += 1
             return _drop(request)
-        if faults.use("fail_before"):
+        if faults.consume("fail_before"):
             self.runs.rejected[key] += 1
             return self._answer(500, {"error": "failed, not run", "key": key})
         await self._run(key)
@@ -113,7 +113,7 @@
             self.begun_after_leaving_ms.append(late_ms)
         self._change_in_flight(1)
         try:
-            slow = self.faults.hold_for(self._version)
+            slow = self.faults.applies_to(self._version)
             run_ms = self._work_ms + (self.faults.slow_ms if slow else 0)
             await asyncio.sleep(run_ms / _MS_PER_S)
             self.runs.finished[key] += 1
@@ -122,10 +122,10 @@
 
     def _reply(self, request, key, body):
         faults = self.faults
-        if faults.use("drop_after"):
+        if faults.consume("drop_after"):
             return _drop(request)
-        share = faults.fail_share if faults.hold_for(self._version) else 0.0
-        if faults.use("fail_after") or self._failures.hits(share):
+        share = faults.fail_share if faults.applies_to(self._version) else 0.0
+        if faults.consume("fail_after") or self._failures.hits(share):
             self.runs.failed[key] += 1
             return self._answer(500, {"error": "failed, has run", "key": key})
         reply = expected_reply(request.method, request.path_qs, body)
--- a/libs/standins/src/hemlockhoist/standins/service/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/service/faults.py
@@ -40,11 +40,11 @@
     state: str = "live"
     load_lag_ms: int = 0
 
-    def hold_for(self, version):
+    def applies_to(self, version):
         """Return whether share and slowness hold for ``version``."""
         return self.only_version in ("", version)
 
-    def use(self, field):
+    def consume(self, field):
         """Return whether the counted fault is due, and count it down."""
         left = getattr(self, field)
         if left <= 0:
--- a/libs/standins/src/hemlockhoist/standins/tests/test_planned_stops.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_planned_stops.py
@@ -4,7 +4,7 @@
 import unittest
 
 from hemlockhoist.declarations import parse_declarations
-from hemlockhoist.standins.callers import Caller, CallerConfig, Seen
+from hemlockhoist.standins.callers import Caller, CallerConfig, CallOutcome
 from hemlockhoist.standins.fleet import Fleet, FleetConfig
 from hemlockhoist.standins.operator_client import OperatorClient
 from hemlockhoist.standins.traffic import Traffic
@@ -72,8 +72,8 @@
             self.assertEqual(await stop, 0)
         await traffic.finish()
         self.assertEqual(await self._findings(traffic.records), [])
-        ends = {record.seen for record in traffic.records}
-        self.assertEqual(ends, {Seen.WHOLE})
+        ends = {record.outcome for record in traffic.records}
+        self.assertEqual(ends, {CallOutcome.WHOLE})
 
 
 class DrainLimitTests(_FleetCase):
@@ -100,5 +100,5 @@
         self.assertEqual(await self.fleet.stop_host("host-1", _STOP_LIMIT_S), 0)
         records = await asyncio.gather(*chats)
         self.assertEqual(await self._findings(records), [])
-        self.assertEqual({record.seen for record in records}, {Seen.WHOLE})
+        self.assertEqual({record.outcome for record in records}, {CallOutcome.WHOLE})
         self.assertGreater(sum(record.moves for record in records), 0)
--- a/libs/standins/src/hemlockhoist/standins/tests/test_whole_path.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_whole_path.py
@@ -3,7 +3,7 @@
 import unittest
 
 from hemlockhoist.declarations import parse_declarations
-from hemlockhoist.standins.callers import Caller, CallerConfig, Seen
+from hemlockhoist.standins.callers import Caller, CallerConfig, CallOutcome
 from hemlockhoist.standins.fleet import Fleet, FleetConfig
 from hemlockhoist.standins.operator_client import OperatorClient
 from hemlockhoist.standins.verdict import RunCounts, judge
@@ -36,7 +36,7 @@
         declarations = parse_declarations(_DECLARATIONS.read_bytes())
         await operator.apply(declarations, 0, "test")
         seeds = fleet.host_addresses()
-        config = CallerConfig(seeds=seeds, key="demo-key-large", patience_ms=10_000)
+        config = CallerConfig(seeds=seeds, key="demo-key-large", max_wait_ms=10_000)
         self.caller = Caller.from_config(config)
         await self.caller.start()
         await self.caller.chat(_MODEL, "first", 8)
@@ -63,7 +63,7 @@
 
     async def _assert_whole(self, stream=True):
         record = await self.caller.chat(_MODEL, "second", 8, stream)
-        self.assertIs(record.seen, Seen.WHOLE, record)
+        self.assertIs(record.outcome, CallOutcome.WHOLE, record)
         self.assertEqual((record.attempts, record.resends), (1, 0))
         reports = [await self.fleet.runs(item) for item in self.fleet.upstreams()]
         found = judge([record], RunCounts(reports), 3_000, False)
@@ -114,7 +114,7 @@
     async def _booking_whose_answer_is_lost(self):
         await self.fleet.set_faults(self.service, {"drop_after": 1})
         record = await self.caller.book(_SERVICE, "/bookings", b"hall 3")
-        self.assertIs(record.seen, Seen.UNKNOWN)
+        self.assertIs(record.outcome, CallOutcome.UNKNOWN)
         host = await self.caller.directory.pick()
         headers = {**self.caller.headers, "Idempotency-Key": record.key}
         url = f"http://{host}/services/{_SERVICE}/bookings"
@@ -135,7 +135,7 @@
     async def _refusal_of_connections(self):
         await self.fleet.set_faults(self.service, {"refuse_ms": 500})
         record = await self.caller.book(_SERVICE, "/bookings", b"hall 3")
-        self.assertIs(record.seen, Seen.WHOLE)
+        self.assertIs(record.outcome, CallOutcome.WHOLE)
         self.assertTrue(all(refusal.not_run for refusal in record.refusals))
         runs = await self.fleet.runs(self.service)
         self.assertEqual(runs["runs"][record.key], 1)
--- a/libs/standins/src/hemlockhoist/standins/verdict.py
+++ b/libs/standins/src/hemlockhoist/standins/verdict.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from hemlockhoist.standins.callers import Kind, Seen
+from hemlockhoist.standins.callers import CallOutcome, RequestKind
 
-_NEVER = (Seen.WRONG, Seen.CUT, Seen.FAILED)
+_NEVER = (CallOutcome.WRONG, CallOutcome.CUT, CallOutcome.FAILED)
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
     for record in records:
         findings += _judge_end(record, unknown_allowed)
         findings += _judge_refusals(record, counts)
-        if record.kind is Kind.BOOKING:
+        if record.kind is RequestKind.BOOKING:
             findings += _judge_booking(record, counts)
     late = [late_ms for late_ms in counts.late_ms if late_ms > max_late_ms]
     findings += [Finding("work after leaving", f"{late_ms} ms") for late_ms in late]
@@ -72,12 +72,14 @@
 
 
 def _judge_end(record, unknown_allowed):
-    if record.seen in _NEVER:
-        return [Finding(f"{record.kind.value} {record.seen.value}", _describe(record))]
-    if record.seen is not Seen.UNKNOWN:
+    if record.outcome in _NEVER:
+        return [
+            Finding(f"{record.kind.value} {record.outcome.value}", _describe(record))
+        ]
+    if record.outcome is not CallOutcome.UNKNOWN:
         return []
     # A chat can be sent anew, so that its caller always learns how it ends.
-    if record.kind is Kind.BOOKING and unknown_allowed:
+    if record.kind is RequestKind.BOOKING and unknown_allowed:
         return []
     return [Finding(f"{record.kind.value} lost", _describe(record))]
 
@@ -96,9 +98,9 @@
     if not record.key:
         return []
     runs = counts.begun[record.key]
-    if record.seen is Seen.WHOLE and runs != 1:
+    if record.outcome is CallOutcome.WHOLE and runs != 1:
         return [Finding(f"confirmed, and run {runs} times", _describe(record))]
-    if record.seen is Seen.REFUSED and runs:
+    if record.outcome is CallOutcome.REFUSED and runs:
         return [Finding("refused as not run, and ran", _describe(record))]
     return []
 
