--- a/libs/standins/src/hemlockhoist/standins/engine/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: HTTP, streams, orders, faults."""
+"""Simulated model engine with an HTTP API, resumable streams and fault injection."""
 
 from hemlockhoist.standins.answers import (
     answer_pieces,
--- a/libs/standins/src/hemlockhoist/standins/engine/__main__.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m hemlockhoist.standins.engine``."""
+"""Command line: ``python -m hemlockhoist.standins.engine``."""
 
 import click
 
@@ -9,14 +9,21 @@
 
 @click.command()
 @click.option("--listen", default="127.0.0.1:0", help="IP:port.")
-@click.option("--version", default="v1", help="Version that it runs.")
+@click.option("--version", default="v1", help="Version that the engine runs.")
 @click.option(
-    "--generation", default="g3", type=click.Choice(sorted(GENERATIONS)), help="Speed."
+    "--generation",
+    default="g3",
+    type=click.Choice(sorted(GENERATIONS)),
+    help="Hardware generation, which sets the speed.",
 )
-@click.option("--checks-fencing/--ignores-fencing", default=True, help="Of orders.")
-@click.option("--load-ms", default=0, help="Time to load a version.")
+@click.option(
+    "--checks-fencing/--ignores-fencing",
+    default=True,
+    help="Whether orders with an outdated fencing token are refused.",
+)
+@click.option("--load-ms", default=0, help="How long loading a version takes.")
 def main(listen, version, generation, checks_fencing, load_ms):
-    """Serve a model engine's stand-in until SIGTERM."""
+    """Serve a simulated model engine until SIGTERM."""
 
     def build(address):
         standin = EngineStandin.from_config(
--- a/libs/standins/src/hemlockhoist/standins/engine/app.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/app.py
@@ -1,4 +1,4 @@
-"""HTTP surface of the model engine's stand-in."""
+"""HTTP API of the simulated model engine."""
 
 import uuid
 
@@ -18,13 +18,15 @@
 
 
 class _Crossing:
-    """Which stream's pieces are sent in the place of a stream's own.
+    """Selects the stream whose pieces are sent when responses are mixed up.
 
     Parameters
     ==========
     other : Stream or None
+        Stream of another request; None for a correct response.
     at_piece : int
-        The first piece that is the other's; 0 for the head as well.
+        Offset of the first piece that is sent from ``other``; with 0, the response
+        headers are those of ``other`` too.
     """
 
     __slots__ = ("_at_piece", "_other")
@@ -34,7 +36,7 @@
         self._at_piece = at_piece
 
     def source(self, stream, offset):
-        """Return the stream that the piece at ``offset`` is taken from."""
+        """Return the stream whose piece is sent at ``offset``."""
         other = self._other
         if other is None or offset < self._at_piece or offset >= other.produced:
             return stream
@@ -45,7 +47,7 @@
 
 
 class EngineStandin:
-    """A model engine process.
+    """HTTP server of a simulated model engine.
 
     Parameters
     ==========
@@ -56,12 +58,12 @@
 
     def __init__(self, core):
         self.core = core
-        # Set by whoever serves the application; needed to refuse connections.
+        # Set by the code that serves the application; needed to refuse connections.
         self.server = None
 
     @classmethod
     def from_config(cls, config, version="v1", clock=None, **options):
-        """Return an engine; needs a running loop.
+        """Return an engine; requires a running event loop.
 
         Parameters
         ==========
@@ -69,13 +71,13 @@
         version : str
         clock : hemlockhoist.base.Clock, optional
         options
-            As for ``EngineCore.from_config``.
+            Passed on to ``EngineCore.from_config``.
         """
         clock = clock or Clock.from_running_loop()
         return cls(EngineCore.from_config(config, clock, version, **options))
 
     def application(self):
-        """Return the aiohttp application; it starts and closes the engine."""
+        """Return the aiohttp application, which starts and closes the engine."""
         app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             [
@@ -84,7 +86,7 @@
                 web.delete("/v1/streams/{request_id}", self._cancel),
                 web.get("/load", self._load),
                 web.get("/cache-events", self._cache_events),
-                web.post("/orders", self._take_order),
+                web.post("/orders", self._accept_order),
                 web.get("/orders", self._show_orders),
                 web.get("/-/runs", self._runs),
                 web.post("/-/faults", self._set_faults),
@@ -110,12 +112,12 @@
         try:
             stream = self.core.begin(request_id, model_name, prompt, max_tokens)
         except EngineRequestFailed:
-            return self._error(request_id, 500, "the engine failed")
+            return self._error(request_id, 500, "injected engine failure")
         if body.get("stream"):
             return await self._send(request, stream, 0, self._next_crossing(stream))
         await stream.wait_for_more(len(stream.pieces))
         if stream.cancelled:
-            return self._error(request_id, 410, "cancelled")
+            return self._error(request_id, 410, "request was cancelled")
         headers = self._headers(stream.request_id, stream.version)
         return web.json_response(wire.completion(stream), headers=headers)
 
@@ -123,7 +125,7 @@
         request_id = request.match_info["request_id"]
         stream = self.core.streams.get(request_id)
         if stream is None or stream.cancelled:
-            return self._error(request_id, 404, "no such stream")
+            return self._error(request_id, 404, "stream not found")
         offset = int(request.query.get("offset", "0")) + self._next_shift()
         offset = min(max(0, offset), len(stream.pieces))
         return await self._send(request, stream, offset)
@@ -132,12 +134,12 @@
         request_id = request.match_info["request_id"]
         stream = self.core.streams.get(request_id)
         if stream is None:
-            return self._error(request_id, 404, "no such stream")
+            return self._error(request_id, 404, "stream not found")
         self.core.cancel(stream)
         return web.json_response({"produced": stream.produced})
 
     async def _send(self, request, stream, offset, crossing=_NO_CROSSING):
-        """Send the pieces from ``offset`` on as they come, then the end."""
+        """Send the pieces from ``offset`` on as they are generated, then the end."""
         head = crossing.source(stream, offset)
         response = web.StreamResponse(
             headers={**self._headers(head.request_id, head.version), **_SSE_HEADERS}
@@ -162,12 +164,12 @@
                     return _abort(request, response)
             await response.write(wire.end_events(stream))
         except ConnectionError:
-            # The reader has gone; generation goes on and can be resumed.
+            # The client disconnected; generation continues and can be resumed.
             return response
         return response
 
     def _next_shift(self):
-        """Return by how many pieces a fault shifts a resume that begins."""
+        """Return by how many pieces a fault shifts the resumed stream."""
         faults = self.core.faults
         if faults.shift_resumes <= 0:
             return 0
@@ -175,7 +177,7 @@
         return faults.resume_shift
 
     def _break_offset(self, offset):
-        """Return the offset at which a fault breaks this connection, or NEVER."""
+        """Return the offset at which a fault drops the connection, or NO_BREAK."""
         faults = self.core.faults
         if faults.break_streams <= 0:
             return NO_BREAK
@@ -183,7 +185,7 @@
         return offset + faults.break_after_pieces
 
     def _next_crossing(self, stream):
-        """Return the crossing of a stream that begins, if a fault says so."""
+        """Return the source of a new stream's pieces as set by the fault."""
         faults = self.core.faults
         other = self.core.streams.newest_except(stream.request_id)
         if faults.cross_streams <= 0 or other is None:
@@ -198,7 +200,7 @@
         since = int(request.query.get("since", "0"))
         return web.json_response(self.core.cache_events(since))
 
-    async def _take_order(self, request):
+    async def _accept_order(self, request):
         orders = self.core.orders
         try:
             order = msgspec.json.decode(await request.read(), type=Order)
@@ -242,7 +244,7 @@
 
 
 def _abort(request, response):
-    """End the connection in the middle of the answer."""
+    """Drop the connection in the middle of the response."""
     if request.transport is not None:
         request.transport.abort()
     return response
--- a/libs/standins/src/hemlockhoist/standins/engine/core.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/core.py
@@ -1,4 +1,4 @@
-"""A model engine in real time: drives the cost model by the event loop's clock."""
+"""Runs the engine cost model in real time on the event loop's clock."""
 
 import asyncio
 import collections
@@ -14,26 +14,26 @@
 from hemlockhoist.standins.lagging import Lagging
 
 _MS_PER_S = 1000
-_KEEP_STREAMS_MS = 60_000
+_STREAM_RETENTION_MS = 60_000
 _MAX_CACHE_EVENTS = 4_096
 _IDLE_WAIT_MS = 1_000
 
 
 class EngineRequestFailed(Exception):
-    """A fault makes this request fail after it was begun."""
+    """Raised when an injected fault fails a request that has begun."""
 
 
 class EngineCore:
-    """Streams, runs, load reports and cache events of one engine.
+    """State of one engine: streams, run counts, load reports and cache events.
 
     Parameters
     ==========
     clock : hemlockhoist.base.Clock
     model : hemlockhoist.standins.engine_model.EngineModel
     block_tokens : int
-    orders : OrderBook
-    keep_streams_ms : int
-        How long an ended stream can be resumed.
+    orders : OrderHandler
+    stream_retention_ms : int
+        How long a stream can be resumed after its end.
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
         "_leaving_since_ms",
         "_load",
         "_model",
-        "_serial",
+        "_run_numbers",
         "_sequences",
         "_task",
         "_wake",
@@ -56,7 +56,7 @@
         "streams",
     )
 
-    def __init__(self, clock, model, block_tokens, orders, keep_streams_ms):
+    def __init__(self, clock, model, block_tokens, orders, stream_retention_ms):
         self._clock = clock
         self._model = model
         self._block_tokens = block_tokens
@@ -65,21 +65,21 @@
         self._failures = Share()
         self._leaving_since_ms = None
         self._sequences = {}
-        self._serial = itertools.count(1)
+        self._run_numbers = itertools.count(1)
         self._task = None
         self._wake = asyncio.Event()
         self.begun_after_leaving_ms = []
         self.faults = EngineFaults()
         self.orders = orders
         self.runs = RunCounter()
-        self.streams = StreamStore(keep_streams_ms)
+        self.streams = StreamStore(stream_retention_ms)
         self._load = Lagging(self._report(), clock.now_ms())
 
     @classmethod
     def from_config(
         cls, config, clock, version, checks_fencing=True, load_ms=0, role="any"
     ):
-        """Return an engine that is not started.
+        """Return an engine that has not been started.
 
         Parameters
         ==========
@@ -88,25 +88,25 @@
         version, role : str
         checks_fencing : bool
         load_ms : int
-            Time to load a version.
+            How long loading a version takes.
         """
         model = EngineModel.from_config(config)
         orders = OrderHandler(version, role, checks_fencing, load_ms)
-        return cls(clock, model, config.block_tokens, orders, _KEEP_STREAMS_MS)
+        return cls(clock, model, config.block_tokens, orders, _STREAM_RETENTION_MS)
 
     @property
     def version(self):
-        """The version that new requests run on."""
+        """Version on which new requests run."""
         self.orders.apply_due(self._clock.now_ms())
         return self.orders.version
 
     def now_ms(self):
-        """Return the engine's clock."""
+        """Return the current time of the engine's clock."""
         return self._clock.now_ms()
 
     async def start(self):
-        """Begin to generate."""
-        self._task = asyncio.create_task(self._drive())
+        """Start generating."""
+        self._task = asyncio.create_task(self._generate())
 
     async def close(self):
         """Stop generating."""
@@ -115,34 +115,34 @@
             await self._task
 
     def begin(self, request_id, model_name, prompt, max_tokens):
-        """Begin a request, also one that was begun before; return its stream.
+        """Begin a request and return its stream; a repeated request id runs again.
 
         Raises
         ======
-        EngineFailed
-            When a fault hits the request.
+        EngineRequestFailed
+            When an injected fault fails the request.
         """
         now_ms = self._clock.now_ms()
         self.runs.begun[request_id] += 1
         if self._leaving_since_ms is not None:
             self.begun_after_leaving_ms.append(now_ms - self._leaving_since_ms)
-        if self._hits_failure():
+        if self._injects_failure():
             self.runs.failed[request_id] += 1
             raise EngineRequestFailed(request_id)
         pieces = answers.answer_pieces(prompt, max_tokens)
         tokens = answers.count_tokens(prompt)
         stream = Stream(request_id, model_name, self.version, pieces, tokens)
-        stream.sequence_id = f"{request_id}#{next(self._serial)}"
+        stream.sequence_id = f"{request_id}#{next(self._run_numbers)}"
         self.streams.add(stream)
         self._sequences[stream.sequence_id] = stream
         hashes = answers.block_hashes(prompt, self._block_tokens)
         self._model.submit(stream.sequence_id, tokens, max_tokens, hashes, now_ms)
-        self._note_load(now_ms)
+        self._record_load(now_ms)
         self._wake.set()
         return stream
 
     def cancel(self, stream):
-        """Stop generating a stream; an ended one stays as it is."""
+        """Cancel a stream; has no effect on one that has ended."""
         if self._sequences.pop(stream.sequence_id, None) is None:
             return
         now_ms = self._clock.now_ms()
@@ -150,11 +150,11 @@
         self.runs.cancelled[stream.request_id] += 1
         stream.ended_ms = now_ms
         stream.cancel()
-        self._note_load(now_ms)
+        self._record_load(now_ms)
         self._wake.set()
 
     def set_faults(self, faults):
-        """Replace the faults."""
+        """Replace the active faults."""
         now_ms = self._clock.now_ms()
         was_leaving = self.faults.state == "leaving"
         self.faults = faults
@@ -163,17 +163,17 @@
             self._leaving_since_ms = None
         elif not was_leaving:
             self._leaving_since_ms = now_ms
-        self._note_load(now_ms)
+        self._record_load(now_ms)
         self._wake.set()
 
     def load_report(self):
-        """Return the load report that is readable now, late by the set lag."""
+        """Return the load report as of ``load_lag_ms`` ago."""
         now_ms = self._clock.now_ms()
-        self._note_load(now_ms)
+        self._record_load(now_ms)
         return {**self._load.get(now_ms), "age_ms": self._load.lag_ms}
 
     def cache_events(self, since):
-        """Return the readable cache events after ``since``, with gaps if so set."""
+        """Return the visible cache events after ``since``, without the dropped ones."""
         until_ms = self._clock.now_ms() - self.faults.cache_lag_ms
         gap = self.faults.cache_gap_every
         found = [
@@ -183,7 +183,7 @@
         ]
         return {"events": found, "block_tokens": self._block_tokens}
 
-    def _hits_failure(self):
+    def _injects_failure(self):
         if not self.faults.applies_to(self.version):
             return False
         return self._failures.hits(self.faults.fail_share)
@@ -197,25 +197,25 @@
             "version": self.version,
         }
 
-    def _note_load(self, now_ms):
+    def _record_load(self, now_ms):
         report = self._report()
         if report != self._load.latest():
             self._load.set(report, now_ms)
 
-    async def _drive(self):
+    async def _generate(self):
         while True:
             self._wake.clear()
             now_ms = self._clock.now_ms()
             self._apply_slowdown()
             for event in self._model.advance(now_ms):
                 self._deliver(event, now_ms)
-            self._note_cache(now_ms)
-            self._note_load(now_ms)
+            self._record_cache_changes(now_ms)
+            self._record_load(now_ms)
             self.streams.evict_expired(now_ms)
             await self._wait(now_ms)
 
     async def _wait(self, now_ms):
-        """Wait for the next step's end, or for a change."""
+        """Wait until the next step ends or the state changes."""
         next_ms = self._model.next_event_ms()
         wait_ms = _IDLE_WAIT_MS if next_ms is None else max(1, next_ms - now_ms)
         with contextlib.suppress(TimeoutError):
@@ -236,7 +236,7 @@
             self.runs.finished[stream.request_id] += 1
             del self._sequences[event.request_id]
 
-    def _note_cache(self, now_ms):
+    def _record_cache_changes(self, now_ms):
         for stored, removed in self._model.take_cache_changes():
             self._cache_sequence += 1
             entry = (self._cache_sequence, now_ms, stored, removed)
--- a/libs/standins/src/hemlockhoist/standins/engine/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the model engine that a test may switch on."""
+"""Faults that a test can inject into the simulated model engine."""
 
 import msgspec
 
@@ -6,37 +6,38 @@
 
 
 class EngineFaults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What goes wrong at present; a posted fault replaces all of them.
+    """Active faults; each ``POST /-/faults`` replaces all of them.
 
     Parameters
     ==========
     only_version : str
-        The slowdown and the failures hold for this version only; all if empty.
+        Limits the slowdown and the failures to one version; empty for all versions.
     slowdown_permille : int
-        2000 makes each step take twice its time.
+        Step time in permille of the normal one: 2000 doubles it.
     fail_share : float
-        Share of requests that begin and end in status 500.
+        Fraction of requests that begin and then fail with status 500.
     break_streams : int
-        The next so many streamed answers lose their connection ...
+        Number of streamed responses whose connection is dropped next ...
     break_after_pieces : int
-        ... after so many pieces; generation goes on.
+        ... after this many pieces; generation continues.
     shift_resumes : int
-        The next so many resumed streams begin at another piece than asked for ...
+        Number of resumed streams that start at a wrong offset next ...
     resume_shift : int
-        ... so many pieces late (skips), or early if negative (repeats).
+        ... by this many pieces: a positive shift skips, a negative one repeats pieces.
     cross_streams : int
-        The next so many streamed answers carry the pieces and ids of another request
-        that the engine had before ...
+        Number of streamed responses that carry the pieces and ids of an earlier
+        request next ...
     cross_at_piece : int
-        ... from this piece on; the head is the other's as well if it is 0.
+        ... from this piece on; with 0, the response headers are those of the other
+        request too.
     refuse_ms : int
-        New connections are refused for so long.
+        How long new connections are refused.
     state : str
         ``live`` or ``leaving``.
     load_lag_ms, cache_lag_ms : int
-        How late load reports and cache events are.
+        Delay of load reports and cache events.
     cache_gap_every : int
-        Each so manieth cache event is missing; 0 is none.
+        Drops every n-th cache event; 0 drops none.
     """
 
     only_version: str = ""
@@ -55,5 +56,5 @@
     cache_gap_every: int = 0
 
     def applies_to(self, version):
-        """Return whether the slowdown and the failures hold for ``version``."""
+        """Return whether the slowdown and the failures apply to ``version``."""
         return self.only_version in ("", version)
--- a/libs/standins/src/hemlockhoist/standins/engine/orders.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/orders.py
@@ -1,10 +1,10 @@
-"""Orders to an engine, with or without a check of the fencing number."""
+"""Orders to an engine, with or without a check of the fencing token."""
 
 import msgspec
 
 
 class OrderRefused(Exception):
-    """The order carries an older fencing number than one taken before.
+    """Raised when an order has a lower fencing token than one accepted before.
 
     Parameters
     ==========
@@ -12,12 +12,12 @@
     """
 
     def __init__(self, highest_fencing):
-        super().__init__(f"fencing number is below {highest_fencing}")
+        super().__init__(f"fencing token is below {highest_fencing}")
         self.highest_fencing = highest_fencing
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """An order as it comes over HTTP.
+    """Order in the body of ``POST /orders``.
 
     Parameters
     ==========
@@ -25,7 +25,7 @@
     order : str
         ``load_version``, ``load_adapter`` or ``change_role``.
     version, adapter, role : str
-        The one that the order is about.
+        Subject of the order; the two others stay empty.
     """
 
     fencing: int
@@ -43,14 +43,14 @@
 
 
 class OrderHandler:
-    """What an engine was told to run, and what it runs.
+    """Accepts orders and keeps the configuration that the engine runs.
 
     Parameters
     ==========
     version, role : str
     checks_fencing : bool
     load_ms : int
-        Time from taking an order to its effect.
+        Time from accepting an order until it takes effect.
     """
 
     __slots__ = (
@@ -75,18 +75,18 @@
         self._loading = {}
 
     def accept(self, order, now_ms):
-        """Take an order; repeating one changes nothing.
+        """Accept an order; repeating one has no effect.
 
         Raises
         ======
         OrderRefused
-            When its fencing number is old, and this engine checks.
+            When the fencing token is outdated and this engine checks it.
         ValueError
-            When the order is unknown or names nothing.
+            When the order is unknown or its subject is empty.
         """
         subject = _SUBJECTS.get(order.order)
         if subject is None or not getattr(order, subject):
-            raise ValueError(f"order {order.order!r} is unknown or names nothing")
+            raise ValueError(f"order {order.order!r} is unknown or has no subject")
         if self._checks_fencing and order.fencing < self.highest_fencing:
             raise OrderRefused(self.highest_fencing)
         self.highest_fencing = max(self.highest_fencing, order.fencing)
@@ -96,14 +96,14 @@
             self._loading[subject] = (now_ms + self._load_ms, wanted)
 
     def apply_due(self, now_ms):
-        """Put into effect what has been loaded by now."""
+        """Apply the orders whose loading time has passed."""
         for subject, (ready_ms, wanted) in list(self._loading.items()):
             if ready_ms <= now_ms:
                 setattr(self, subject, wanted)
                 del self._loading[subject]
 
     def as_json(self):
-        """Return the state that an order can be read back from."""
+        """Return the current and loading configuration and the accepted orders."""
         loading = {subject: wanted for subject, (_, wanted) in self._loading.items()}
         return {
             "fencing": self.highest_fencing,
--- a/libs/standins/src/hemlockhoist/standins/engine/streams.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/streams.py
@@ -1,16 +1,16 @@
-"""The answers that an engine generates, kept for a while so they can be resumed."""
+"""Generated responses, retained for some time so that clients can resume them."""
 
 import asyncio
 
 
 class Stream:
-    """One answer, growing as the engine generates it.
+    """One response that its readers follow while the engine generates it.
 
     Parameters
     ==========
     request_id, model, version : str
     pieces : tuple of str
-        The whole answer; the first ``produced`` of them may be read.
+        The complete response; readers may read the first ``produced`` pieces.
     prompt_tokens : int
     """
 
@@ -30,7 +30,8 @@
 
     def __init__(self, request_id, model, version, pieces, prompt_tokens):
         self.request_id = request_id
-        # In the cost model, where a request id that is sent twice runs twice.
+        # Id in the cost model. It differs from the request id, as a request that is
+        # sent twice runs twice.
         self.sequence_id = request_id
         self.model = model
         self.version = version
@@ -44,66 +45,67 @@
 
     @property
     def finished(self):
-        """Whether the whole answer is there."""
+        """Whether all pieces have been produced."""
         return self.produced == len(self.pieces)
 
     def publish(self, produced, cached_tokens):
-        """Release the pieces up to ``produced`` to the readers."""
+        """Make the first ``produced`` pieces available to the readers."""
         self.produced = max(self.produced, produced)
         self.cached_tokens = cached_tokens
         self._notify()
 
     def cancel(self):
-        """End the stream for all readers."""
+        """Mark the stream as cancelled and wake all readers."""
         self.cancelled = True
         self._notify()
 
     async def wait_for_more(self, count):
-        """Wait till there are more than ``count`` pieces, or no more will come."""
+        """Wait until more than ``count`` pieces are available or the stream ends."""
         while self.produced <= count and not self.finished and not self.cancelled:
             await self._changed.wait()
 
     def _notify(self):
-        # Each change has an event of its own: every reader wakes exactly once.
+        # A new event for each change wakes every reader exactly once.
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 class StreamStore:
-    """Streams by request id, each kept for a time after its end.
+    """Streams by request id, retained for a limited time after their end.
 
     Parameters
     ==========
-    keep_ms : int
+    retention_ms : int
     """
 
-    __slots__ = ("_keep_ms", "_streams")
+    __slots__ = ("_retention_ms", "_streams")
 
-    def __init__(self, keep_ms):
-        self._keep_ms = keep_ms
+    def __init__(self, retention_ms):
+        self._retention_ms = retention_ms
         self._streams = {}
 
     def add(self, stream):
-        """Keep a stream; one of the same request id is replaced."""
+        """Add a stream, replacing an earlier one with the same request id."""
         self._streams[stream.request_id] = stream
 
     def get(self, request_id):
-        """Return the stream, or None."""
+        """Return the stream of a request, or None."""
         return self._streams.get(request_id)
 
     def newest_except(self, request_id):
-        """Return some stream of another request, the newest, or None."""
+        """Return the newest stream of any other request, or None."""
         for stream in reversed(self._streams.values()):
             if stream.request_id != request_id:
                 return stream
         return None
 
     def evict_expired(self, now_ms):
-        """Drop the streams that ended long ago."""
-        old = [
+        """Remove the streams that ended longer ago than the retention time."""
+        expired = [
             request_id
             for request_id, stream in self._streams.items()
-            if stream.ended_ms is not None and now_ms - stream.ended_ms > self._keep_ms
+            if stream.ended_ms is not None
+            and now_ms - stream.ended_ms > self._retention_ms
         ]
-        for request_id in old:
+        for request_id in expired:
             del self._streams[request_id]
--- a/libs/standins/src/hemlockhoist/standins/engine/tests/test_app.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/tests/test_app.py
@@ -14,7 +14,7 @@
 
 
 class _Engine:
-    """A served engine and a session to call it."""
+    """A simulated engine that is being served, and a client session."""
 
     def __init__(self, standin, session):
         self.standin = standin
@@ -50,7 +50,7 @@
 
 
 async def _read_events(response):
-    """Return ``(offset, request id, text)`` of the pieces, and whether it was whole."""
+    """Return ``(offset, request id, text)`` per piece, and whether ``[DONE]`` came."""
     pieces, done = [], False
     with contextlib.suppress(aiohttp.ClientError):
         async for line in response.content:
@@ -71,7 +71,7 @@
 
 class EngineTests(unittest.IsolatedAsyncioTestCase):
     async def test_streamed_and_unstreamed_answers_agree(self):
-        """Both ways give the whole, expected answer, and name the request."""
+        """Both forms return the complete expected text and the request id."""
         async with _engine(version="v7") as engine:
             async with engine.chat("a") as response:
                 pieces, done = await _read_events(response)
@@ -86,7 +86,7 @@
             self.assertEqual(body["usage"]["completion_tokens"], 8)
 
     async def test_broken_stream_is_resumed(self):
-        """A stream that broke goes on generating, and is whole when resumed."""
+        """Generation continues after a dropped connection; a resume gets the rest."""
         async with _engine() as engine:
             await engine.faults(break_streams=1, break_after_pieces=3)
             async with engine.chat("a") as response:
@@ -100,7 +100,7 @@
             self.assertEqual((await engine.get("/-/runs"))["runs"], {"a": 1})
 
     async def test_resume_repeats_or_skips(self):
-        """A shifted resume shows in the offsets."""
+        """A shifted resume starts at the shifted offset."""
         async with _engine() as engine:
             async with engine.chat("a") as response:
                 await response.read()
@@ -112,7 +112,7 @@
                 self.assertEqual(pieces[0][0], first)
 
     async def test_crossed_answer_carries_the_other_id(self):
-        """An answer that belongs to another request shows that request's id."""
+        """A response mixed up with another request carries that request's id."""
         async with _engine() as engine:
             async with engine.chat("a") as response:
                 await response.read()
@@ -125,7 +125,7 @@
                 self.assertEqual(names, ["b"] * at_piece + ["a"] * (8 - at_piece))
 
     async def test_cancel_frees_the_engine(self):
-        """A cancelled stream ends, and no longer counts as load."""
+        """A cancelled stream ends and no longer counts as in flight."""
         async with _engine() as engine:
             async with engine.chat("a", max_tokens=5_000) as response:
                 await response.content.readuntil(b"\n\n")
@@ -137,15 +137,15 @@
             self.assertEqual((await engine.get("/-/runs"))["cancelled"], {"a": 1})
 
     async def test_double_dispatch_is_counted(self):
-        """A request that comes twice runs twice, and is listed as doubled."""
+        """A request that is sent twice runs twice and is listed under ``doubled``."""
         async with _engine() as engine:
             for _ in range(2):
                 async with engine.chat("a") as response:
                     await response.read()
             self.assertEqual((await engine.get("/-/runs"))["doubled"], ["a"])
 
-    async def test_load_report_lags_and_tells_of_leaving(self):
-        """Load shows late; work begun after the engine said it leaves is listed."""
+    async def test_load_report_lags_and_shows_leaving(self):
+        """Load reports are delayed; requests begun while leaving are counted."""
         async with _engine() as engine:
             await engine.faults(load_lag_ms=200, state="leaving")
             async with engine.chat("a", max_tokens=2_000) as response:
@@ -159,7 +159,7 @@
             self.assertEqual(len(runs["begun_after_leaving_ms"]), 1)
 
     async def test_failures_of_one_version(self):
-        """A bad version fails its share of requests; another version none."""
+        """Failures limited to one version do not affect another version."""
         async with _engine(version="v2") as engine:
             for version, failed in (("v2", 2), ("v1", 0)):
                 await engine.faults(only_version=version, fail_share=0.5)
@@ -170,7 +170,7 @@
                 self.assertEqual(statuses.count(500), failed)
 
     async def test_orders_and_fencing(self):
-        """An old fencing number is refused, or taken by an engine that ignores it."""
+        """An outdated fencing token is refused unless the engine ignores fencing."""
         for checks, status in ((True, 409), (False, 202)):
             async with _engine(checks_fencing=checks) as engine:
                 order = {"fencing": 5, "order": "load_version", "version": "v2"}
@@ -182,7 +182,7 @@
                 self.assertEqual((await engine.post("/orders", bad))[0], 400)
 
     async def test_cache_events_come_late_and_with_gaps(self):
-        """Events are numbered, so that a reader sees a gap; young ones are hidden."""
+        """Sequence numbers show dropped events; events within the lag are hidden."""
         async with _engine() as engine:
             for i in range(4):
                 messages = [{"role": "user", "content": f"{i}" * 600}]
@@ -195,7 +195,7 @@
             self.assertEqual((await engine.get("/cache-events"))["events"], [])
 
     async def test_refuses_connections_for_a_while(self):
-        """New connections fail, and work again afterwards on the same port."""
+        """Connections are refused for the set time, then accepted on the same port."""
         async with _engine() as engine:
             await engine.faults(refuse_ms=150)
             with self.assertRaises(aiohttp.ClientConnectorError):
@@ -204,7 +204,7 @@
             self.assertEqual((await engine.get("/load"))["state"], "live")
 
     async def test_malformed_request(self):
-        """A body that is no chat request gets status 400, and runs nothing."""
+        """A body that is not a chat request gets status 400 and runs nothing."""
         async with _engine() as engine:
             for body in ({}, {"messages": [1]}, [], {"messages": [{"role": "user"}]}):
                 status, _ = await engine.post("/v1/chat/completions", body)
--- a/libs/standins/src/hemlockhoist/standins/engine/wire.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/wire.py
@@ -1,4 +1,4 @@
-"""The chat completion protocol's bodies, streamed and unstreamed."""
+"""Bodies of the chat completion protocol, streaming and non-streaming."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 def usage(stream):
-    """Return the token counts of an answer."""
+    """Return the token usage of a response."""
     return {
         "prompt_tokens": stream.prompt_tokens,
         "completion_tokens": stream.produced,
@@ -17,18 +17,18 @@
 
 
 def piece_event(stream, offset):
-    """Return the server-sent event of one piece; its ``id`` is the offset."""
+    """Return the server-sent event of one piece, with its offset as the event id."""
     return _event(stream, offset, {"content": stream.pieces[offset]}, None)
 
 
 def end_events(stream):
-    """Return the events that end a whole answer: finish reason, usage, done."""
+    """Return the final events of a response: finish reason, usage and ``[DONE]``."""
     last = _event(stream, len(stream.pieces), {}, "stop", usage=usage(stream))
     return last + DONE
 
 
 def completion(stream):
-    """Return the unstreamed answer's body."""
+    """Return the body of a non-streaming response."""
     message = {"role": "assistant", "content": "".join(stream.pieces)}
     choice = {"index": 0, "message": message, "finish_reason": "stop"}
     return {
--- a/libs/standins/src/hemlockhoist/standins/platform/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: tables, host list, object and weight stores."""
+"""Simulated platform: tables, host list, object store and weight store."""
 
 from hemlockhoist.standins.platform.app import PlatformStandin
 from hemlockhoist.standins.platform.faults import PlatformFaults
--- a/libs/standins/src/hemlockhoist/standins/platform/__main__.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m hemlockhoist.standins.platform``."""
+"""Command line: ``python -m hemlockhoist.standins.platform``."""
 
 import click
 
@@ -8,10 +8,12 @@
 
 @click.command()
 @click.option("--listen", default="127.0.0.1:0", help="IP:port.")
-@click.option("--hosts-lag-ms", default=0, help="Lag of the host list.")
-@click.option("--weights-per-second", default=5.0, help="Limit of the weight store.")
+@click.option("--hosts-lag-ms", default=0, help="Delay of changes to the host list.")
+@click.option(
+    "--weights-per-second", default=5.0, help="Rate limit of the weight store."
+)
 def main(listen, hosts_lag_ms, weights_per_second):
-    """Serve the platform's stand-in until SIGTERM."""
+    """Serve a simulated platform until SIGTERM."""
 
     def build(address):
         standin = PlatformStandin.from_config(
--- a/libs/standins/src/hemlockhoist/standins/platform/app.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/app.py
@@ -1,4 +1,4 @@
-"""HTTP surface of the platform's stand-in."""
+"""HTTP API of the simulated platform."""
 
 import asyncio
 
@@ -19,15 +19,15 @@
 
 
 class PlatformStandin:
-    """Tables, host list, objects and weights, with faults.
+    """HTTP server for tables, host list, objects and weights, with fault injection.
 
     Parameters
     ==========
     clock : hemlockhoist.base.Clock
     hosts_lag_ms : int
-        How late the host list follows its changes.
+        Delay until a change of the host list becomes visible.
     weights_per_second : float
-        Reads that the weight store admits.
+        Rate limit on reads of the weight store.
     """
 
     __slots__ = (
@@ -36,7 +36,7 @@
         "_hosts",
         "_objects",
         "_weights",
-        "_weights_limit",
+        "_weights_rate",
         "faults",
         "host_lists_sent",
         "server",
@@ -50,16 +50,16 @@
         self._frozen_hosts = None
         self._objects = ObjectStore()
         self._weights = ObjectStore()
-        self._weights_limit = RateLimit(weights_per_second, now_ms)
+        self._weights_rate = RateLimit(weights_per_second, now_ms)
         self.faults = PlatformFaults()
         self.host_lists_sent = 0
-        # Set by whoever serves the application.
+        # Set by the code that serves the application.
         self.server = None
         self.tables = TableStore()
 
     @classmethod
     def from_config(cls, clock=None, hosts_lag_ms=0, weights_per_second=5.0):
-        """Return a platform with empty tables; needs a running loop."""
+        """Return a platform with empty tables; requires a running event loop."""
         clock = clock or Clock.from_running_loop()
         return cls(clock, hosts_lag_ms, weights_per_second)
 
@@ -95,7 +95,7 @@
         if self.faults.unreachable:
             return _drop(request)
         if self.faults.outage:
-            return web.json_response({"error": "outage"}, status=503)
+            return web.json_response({"error": "injected outage"}, status=503)
         response = await handler(request)
         is_write = request.method != "GET" and response.status < 300
         if is_write and self.faults.lose_answers > 0:
@@ -106,7 +106,7 @@
     async def _read_row(self, request):
         row = self.tables.read(request.match_info["table"], request.match_info["key"])
         if row is None:
-            return web.json_response({"error": "no such row"}, status=404)
+            return web.json_response({"error": "row not found"}, status=404)
         return web.json_response({"value": row[0], "version": row[1]})
 
     async def _list_rows(self, request):
@@ -128,7 +128,7 @@
         ]
         return self._write(puts, lambda versions: {"versions": versions})
 
-    def _write(self, puts, answer):
+    def _write(self, puts, response_body):
         try:
             versions = self.tables.put_all(puts)
         except VersionMismatch as error:
@@ -138,7 +138,7 @@
                 "version": error.actual_version,
             }
             return web.json_response(found, status=412)
-        return web.json_response(answer(versions))
+        return web.json_response(response_body(versions))
 
     async def _read_hosts(self, request):
         body = msgspec.json.encode({"members": self._visible_hosts()})
@@ -166,19 +166,21 @@
         return web.json_response({"lag_ms": self._hosts.lag_ms})
 
     async def _get_object(self, request):
-        return _bytes_answer(self._objects.get(request.match_info["name"]))
+        return _bytes_response(self._objects.get(request.match_info["name"]))
 
     async def _put_object(self, request):
         self._objects.put(request.match_info["name"], await request.read())
         return web.json_response({})
 
     async def _get_weights(self, request):
-        wait_ms = self._weights_limit.acquire(self._clock.now_ms())
+        wait_ms = self._weights_rate.acquire(self._clock.now_ms())
         if wait_ms:
             retry_after_s = -(-wait_ms // _MS_PER_S)
             headers = {"Retry-After": str(retry_after_s)}
-            return web.json_response({"error": "limit"}, status=429, headers=headers)
-        return _bytes_answer(self._weights.get(request.match_info["name"]))
+            return web.json_response(
+                {"error": "rate limit exceeded"}, status=429, headers=headers
+            )
+        return _bytes_response(self._weights.get(request.match_info["name"]))
 
     async def _put_weights(self, request):
         self._weights.put(request.match_info["name"], await request.read())
@@ -197,7 +199,7 @@
 
 
 def _condition(headers):
-    """Return the version that a put demands, or None for any."""
+    """Return the row version that a write requires, or None for any version."""
     if headers.get("If-None-Match") == "*":
         return _ABSENT
     if "If-Match" in headers:
@@ -205,14 +207,14 @@
     return _ANY_VERSION
 
 
-def _bytes_answer(body):
+def _bytes_response(body):
     if body is None:
         return web.json_response({"error": "not found"}, status=404)
     return web.Response(body=body)
 
 
 def _drop(request):
-    """End the connection without an answer."""
+    """Drop the connection without a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=503)
--- a/libs/standins/src/hemlockhoist/standins/platform/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/faults.py
@@ -1,23 +1,23 @@
-"""Faults of the platform that a test may switch on."""
+"""Faults that a test can inject into the simulated platform."""
 
 import msgspec
 
 
 class PlatformFaults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What goes wrong at present; a posted fault replaces all of them.
+    """Active faults; each ``POST /-/faults`` replaces all of them.
 
     Parameters
     ==========
     outage : bool
-        Every call is answered with 503 and has no effect.
+        Every request gets status 503 and has no effect.
     unreachable : bool
-        Every connection is dropped without an answer and without effect.
+        Every connection is dropped without a response, and its request has no effect.
     delay_ms : int
-        Before a call takes effect.
+        Delay before a request is handled.
     lose_answers : int
-        The next so many writes take effect, and the connection is then dropped.
+        Number of writes that take effect next and whose connection is then dropped.
     hosts_empty, hosts_stale : bool
-        The host list is empty, or no longer follows its changes.
+        The host list is empty, or no longer shows changes.
     """
 
     outage: bool = False
--- a/libs/standins/src/hemlockhoist/standins/platform/stores.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/stores.py
@@ -1,10 +1,10 @@
-"""The object store and the rate-limited weight store."""
+"""Object store, and the rate limit of the weight store."""
 
 MS_PER_S = 1000
 
 
 class RateLimit:
-    """Admits a set number of reads a second, with a burst of one second's worth.
+    """Token bucket for reads, with a burst of one second's worth of tokens.
 
     Parameters
     ==========
@@ -20,9 +20,9 @@
         self._at_ms = now_ms
 
     def acquire(self, now_ms):
-        """Take one permit; return 0, or the milliseconds until there is one."""
-        gained = (now_ms - self._at_ms) * self.per_second / MS_PER_S
-        self._tokens = min(max(1.0, self.per_second), self._tokens + gained)
+        """Take a token and return 0, or return the milliseconds to wait for one."""
+        added = (now_ms - self._at_ms) * self.per_second / MS_PER_S
+        self._tokens = min(max(1.0, self.per_second), self._tokens + added)
         self._at_ms = now_ms
         if self._tokens >= 1.0:
             self._tokens -= 1.0
@@ -31,7 +31,7 @@
 
 
 class ObjectStore:
-    """Named byte strings."""
+    """Byte strings by name."""
 
     __slots__ = ("_objects",)
 
@@ -39,9 +39,9 @@
         self._objects = {}
 
     def get(self, name):
-        """Return the bytes, or None."""
+        """Return the bytes of a name, or None."""
         return self._objects.get(name)
 
     def put(self, name, body):
-        """Keep the bytes under the name."""
+        """Store the bytes under the name."""
         self._objects[name] = body
--- a/libs/standins/src/hemlockhoist/standins/platform/tables.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/tables.py
@@ -1,14 +1,14 @@
-"""The table service's rows: compare-and-set, and transactions of several."""
+"""Rows of the table service, with compare-and-set writes and transactions."""
 
 
 class VersionMismatch(Exception):
-    """A condition did not hold.
+    """Raised when a row is not at the version that a write requires.
 
     Parameters
     ==========
     table, key : str
     actual_version : int
-        The row's version; 0 when there is no row.
+        Version of the row; 0 when there is no row.
     """
 
     def __init__(self, table, key, actual_version):
@@ -19,9 +19,10 @@
 
 
 class TableStore:
-    """All tables, in memory.
+    """In-memory store of all tables.
 
-    Versions count up by one from 1; an absent row has version 0.
+    The version of a row starts at 1 and is incremented by each write; an absent row has
+    version 0.
     """
 
     __slots__ = ("_tables", "reads", "writes")
@@ -32,33 +33,34 @@
         self.writes = 0
 
     def read(self, table, key):
-        """Return ``(value, version)``, or None."""
+        """Return ``(value, version)`` of a row, or None."""
         self.reads += 1
         return self._tables.get(table, {}).get(key)
 
     def rows(self, table):
-        """Return a list of ``(key, value, version)``, sorted by key."""
+        """Return ``(key, value, version)`` of all rows of a table, sorted by key."""
         self.reads += 1
         found = self._tables.get(table, {})
         return [(key, *found[key]) for key in sorted(found)]
 
     def put_all(self, puts):
-        """Write all rows, or none.
+        """Write several rows atomically.
 
         Parameters
         ==========
         puts : sequence of (str, str, object, int or None)
-            Table, key, value, and the version that the row must have; None writes
-            whatever the version.
+            Table, key, value and required version of each row; None accepts any
+            version.
 
         Returns
         =======
         list of int
-            The new versions.
+            New versions of the rows.
 
         Raises
         ======
         VersionMismatch
+            When a row is not at its required version; nothing is written then.
         """
         for table, key, _value, expected in puts:
             actual_version = self._version(table, key)
--- a/libs/standins/src/hemlockhoist/standins/platform/tests/test_app.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/tests/test_app.py
@@ -23,7 +23,7 @@
             return response.status, await response.json()
 
     async def test_conditional_put(self):
-        """A put with a condition that fails gets 412 and the present version."""
+        """A write whose condition fails gets status 412 and the current version."""
         value = {"value": "x"}
         absent = {"If-None-Match": "*"}
         first = await self._call("PUT", "/tables/t/k", json=value, headers=absent)
@@ -37,7 +37,7 @@
         self.assertEqual(counts[1], {"reads": 1, "writes": 1})
 
     async def test_host_list_lags(self):
-        """A change of the list shows after its lag, and not at all while stale."""
+        """A change of the list shows after the lag, and not while the list is stale."""
         await self._call("PUT", "/-/hosts", json={"lag_ms": 100})
         await self._call("PUT", "/-/hosts", json={"members": [{"id": "h"}]})
         self.assertEqual((await self._call("GET", "/hosts"))[1]["members"], [])
@@ -49,7 +49,7 @@
         self.assertEqual((await self._call("GET", "/hosts"))[1]["members"], [])
 
     async def test_stores(self):
-        """Objects are kept as they are; weights beyond the limit get 429."""
+        """Objects are returned unchanged; weight reads over the rate limit get 429."""
         await self.session.put("/objects/a/b", data=b"body")
         async with self.session.get("/objects/a/b") as response:
             self.assertEqual(await response.read(), b"body")
@@ -62,7 +62,7 @@
         self.assertEqual(response.headers["Retry-After"], "1")
 
     async def test_outage_has_no_effect(self):
-        """During an outage nothing is written; counts and faults stay reachable."""
+        """During an outage nothing is written; counts and faults stay accessible."""
         await self._call("POST", "/-/faults", json={"outage": True})
         status, _ = await self._call("PUT", "/tables/t/k", json={"value": 1})
         self.assertEqual(status, 503)
--- a/libs/standins/src/hemlockhoist/standins/service/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/service/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service that counts what it ran."""
+"""Simulated plain service that counts the calls it has run."""
 
 from hemlockhoist.standins.service.app import ServiceStandin, expected_reply
 from hemlockhoist.standins.service.faults import ServiceFaults
--- a/libs/standins/src/hemlockhoist/standins/service/__main__.py
+++ b/libs/standins/src/hemlockhoist/standins/service/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m hemlockhoist.standins.service``."""
+"""Command line: ``python -m hemlockhoist.standins.service``."""
 
 import click
 
@@ -8,10 +8,10 @@
 
 @click.command()
 @click.option("--listen", default="127.0.0.1:0", help="IP:port.")
-@click.option("--version", default="v1", help="Version that it runs.")
-@click.option("--work-ms", default=5, help="How long a call runs.")
+@click.option("--version", default="v1", help="Version that the service runs.")
+@click.option("--work-ms", default=5, help="How long a call takes.")
 def main(listen, version, work_ms):
-    """Serve a plain service's stand-in until SIGTERM."""
+    """Serve a simulated plain service until SIGTERM."""
 
     def build(address):
         standin = ServiceStandin.from_config(version=version, work_ms=work_ms)
--- a/libs/standins/src/hemlockhoist/standins/service/app.py
+++ b/libs/standins/src/hemlockhoist/standins/service/app.py
@@ -1,4 +1,4 @@
-"""HTTP surface of the plain service's stand-in."""
+"""HTTP API of the simulated plain service."""
 
 import asyncio
 import uuid
@@ -17,30 +17,30 @@
 
 
 def expected_reply(method, path, body):
-    """Return the reply that the stand-in gives to a call.
+    """Return the reply of the simulated service to a call.
 
     Parameters
     ==========
     method : str
     path : str
-        With the query, as the service gets it.
+        Including the query string, as the service receives it.
     body : bytes
     """
     return xxhash.xxh64_hexdigest(f"{method} {path}\n".encode() + body)
 
 
 class ServiceStandin:
-    """A plain service that counts what it ran.
+    """Plain service that counts its calls by idempotency key or request id.
 
-    It does not look whether it ran a key before: a doubled call runs twice, and shows
-    in the counts.
+    It does not deduplicate by key: a call that is sent twice runs twice, and the counts
+    show it.
 
     Parameters
     ==========
     clock : hemlockhoist.base.Clock
     version : str
     work_ms : int
-        How long a call runs.
+        How long a call takes.
     """
 
     __slots__ = (
@@ -67,13 +67,13 @@
         self.begun_after_leaving_ms = []
         self.faults = ServiceFaults()
         self.runs = RunCounter()
-        # Set by whoever serves the application; needed to refuse connections.
+        # Set by the code that serves the application; needed to refuse connections.
         self.server = None
         self._load = Lagging(self._report(), clock.now_ms())
 
     @classmethod
     def from_config(cls, version="v1", work_ms=5, clock=None):
-        """Return a service; needs a running loop."""
+        """Return a service; requires a running event loop."""
         return cls(clock or Clock.from_running_loop(), version, work_ms)
 
     def application(self):
@@ -102,23 +102,23 @@
             return _drop(request)
         if faults.consume("fail_before"):
             self.runs.rejected[key] += 1
-            return self._answer(500, {"error": "failed, not run", "key": key})
+            return self._answer(500, {"error": "injected failure, not run", "key": key})
         await self._run(key)
         return self._reply(request, key, body)
 
     async def _run(self, key):
         self.runs.begun[key] += 1
         if self._leaving_since_ms is not None:
-            late_ms = self._clock.now_ms() - self._leaving_since_ms
-            self.begun_after_leaving_ms.append(late_ms)
-        self._change_in_flight(1)
+            since_leaving_ms = self._clock.now_ms() - self._leaving_since_ms
+            self.begun_after_leaving_ms.append(since_leaving_ms)
+        self._add_in_flight(1)
         try:
             slow = self.faults.applies_to(self._version)
             run_ms = self._work_ms + (self.faults.slow_ms if slow else 0)
             await asyncio.sleep(run_ms / _MS_PER_S)
             self.runs.finished[key] += 1
         finally:
-            self._change_in_flight(-1)
+            self._add_in_flight(-1)
 
     def _reply(self, request, key, body):
         faults = self.faults
@@ -127,7 +127,7 @@
         share = faults.fail_share if faults.applies_to(self._version) else 0.0
         if faults.consume("fail_after") or self._failures.hits(share):
             self.runs.failed[key] += 1
-            return self._answer(500, {"error": "failed, has run", "key": key})
+            return self._answer(500, {"error": "injected failure, has run", "key": key})
         reply = expected_reply(request.method, request.path_qs, body)
         return self._answer(200, {"reply": reply, "key": key})
 
@@ -138,7 +138,7 @@
         }
         return web.json_response(body, status=status, headers=headers)
 
-    def _change_in_flight(self, step):
+    def _add_in_flight(self, step):
         self._in_flight += step
         self._load.set(self._report(), self._clock.now_ms())
 
@@ -179,7 +179,7 @@
 
 
 def _drop(request):
-    """End the connection without an answer."""
+    """Drop the connection without a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=503)
--- a/libs/standins/src/hemlockhoist/standins/service/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/service/faults.py
@@ -1,31 +1,31 @@
-"""Faults of the plain service that a test may switch on."""
+"""Faults that a test can inject into the simulated plain service."""
 
 import msgspec
 
 
 class ServiceFaults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What goes wrong at present; a posted fault replaces all of them.
+    """Active faults; each ``POST /-/faults`` replaces all of them.
 
     Parameters
     ==========
     only_version : str
-        The share of failures and the slowness hold for this version; all if empty.
+        Limits ``fail_share`` and ``slow_ms`` to one version; empty for all versions.
     delay_ms : int
-        Before a call runs.
+        Delay before a call runs.
     slow_ms : int
-        Added to the time that a call runs.
+        Added to the running time of a call.
     fail_share : float
-        Share of calls that run and end in status 500.
+        Fraction of calls that run and then fail with status 500.
     fail_before, fail_after : int
-        The next so many calls end in status 500: without, or after, having run.
+        Number of calls that fail with status 500 next: before or after they run.
     drop_before, drop_after : int
-        The next so many calls lose their connection: without, or after, having run.
+        Number of calls whose connection is dropped next: before or after they run.
     refuse_ms : int
-        New connections are refused for so long.
+        How long new connections are refused.
     state : str
         ``live`` or ``leaving``.
     load_lag_ms : int
-        How late load reports are.
+        Delay of load reports.
     """
 
     only_version: str = ""
@@ -41,13 +41,13 @@
     load_lag_ms: int = 0
 
     def applies_to(self, version):
-        """Return whether share and slowness hold for ``version``."""
+        """Return whether ``fail_share`` and ``slow_ms`` apply to ``version``."""
         return self.only_version in ("", version)
 
     def consume(self, field):
-        """Return whether the counted fault is due, and count it down."""
-        left = getattr(self, field)
-        if left <= 0:
+        """Return whether a counted fault is active, and decrement its count."""
+        remaining = getattr(self, field)
+        if remaining <= 0:
             return False
-        setattr(self, field, left - 1)
+        setattr(self, field, remaining - 1)
         return True
--- a/libs/standins/src/hemlockhoist/standins/service/tests/test_app.py
+++ b/libs/standins/src/hemlockhoist/standins/service/tests/test_app.py
@@ -28,7 +28,7 @@
             self.assertEqual(response.status, 200)
 
     async def test_runs_and_replies(self):
-        """A call runs once under its key, and its reply is the expected one."""
+        """A call runs once under its key and returns the expected reply."""
         status, body = await self._book("k")
         self.assertEqual(status, 200)
         self.assertEqual(body["reply"], expected_reply("POST", "/book?hall=3", b"9:00"))
@@ -37,7 +37,7 @@
         self.assertEqual((counts["runs"], counts["doubled"]), ({"k": 1}, []))
 
     async def test_failure_without_and_after_the_run(self):
-        """Both end in status 500; only one has run."""
+        """Both calls fail with status 500; only the second has run."""
         await self._faults(fail_before=1)
         self.assertEqual((await self._book("a"))[0], 500)
         await self._faults(fail_after=1)
@@ -45,7 +45,7 @@
         self.assertEqual(dict(self.standin.runs.begun), {"b": 1})
 
     async def test_dropped_connection_without_and_after_the_run(self):
-        """The caller sees the same broken connection; only one call has run."""
+        """Both connections are dropped; only the second call has run."""
         for fault, key in (("drop_before", "a"), ("drop_after", "b")):
             await self._faults(**{fault: 1})
             with self.assertRaises(aiohttp.ClientError):
@@ -53,12 +53,12 @@
         self.assertEqual(dict(self.standin.runs.begun), {"b": 1})
 
     async def test_share_of_failures(self):
-        """The set share of calls fails, evenly spread."""
+        """The set fraction of calls fails, at even intervals."""
         await self._faults(fail_share=0.25)
         statuses = [(await self._book(str(i)))[0] for i in range(8)]
         self.assertEqual(statuses, [200, 200, 200, 500] * 2)
 
     async def test_unknown_fault(self):
-        """A misspelt fault is refused, so that no test runs without its fault."""
+        """A misspelt fault is refused; else a test would run without its fault."""
         async with self.session.post("/-/faults", json={"slw_ms": 1}) as response:
             self.assertEqual(response.status, 400)
