--- a/libs/standins/src/hemlockhoist/standins/callers/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/__init__.py
@@ -1,4 +1,4 @@
-"""An honest caller for demo and tests."""
+"""Simulated callers that follow the protocol, for the demo and the tests."""
 
 from hemlockhoist.standins.callers.caller import Caller
 from hemlockhoist.standins.callers.config import CallerConfig
--- a/libs/standins/src/hemlockhoist/standins/callers/caller.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/caller.py
@@ -1,4 +1,4 @@
-"""An honest caller: does what the answers tell it, and records what it saw."""
+"""Simulated caller that follows the protocol and records its requests."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class Caller:
-    """One caller of one customer, at one tier.
+    """Client of one customer at one tier.
 
     Parameters
     ==========
@@ -38,11 +38,11 @@
 
     @classmethod
     def from_config(cls, config, clock=None):
-        """Return a caller that is not started; needs a running loop."""
+        """Return a caller that has not been started; requires a running event loop."""
         return cls(config, clock or Clock.from_running_loop())
 
     async def start(self):
-        """Open the session."""
+        """Open the HTTP session."""
         timeout = aiohttp.ClientTimeout(
             total=None,
             sock_connect=_CONNECT_TIMEOUT_S,
@@ -58,18 +58,18 @@
         )
 
     async def close(self):
-        """Close the session."""
+        """Close the HTTP session."""
         if self.session is not None:
             await self.session.close()
 
     async def chat(self, model, content, max_tokens, stream=True):
-        """Ask for a chat completion; return its record.
+        """Request a chat completion and return its record.
 
         Parameters
         ==========
         model : str
         content : str
-            Of the one message.
+            Content of the only message.
         max_tokens : int
         stream : bool
         """
@@ -83,13 +83,13 @@
         return await self._run(ChatCall(self, record, body), record)
 
     async def lookup(self, service, path):
-        """Make an idempotent call of a plain service; return its record."""
+        """Make an idempotent call to a plain service and return its record."""
         record = self._new_record(RequestKind.LOOKUP)
         call = ServiceCall(self, record, service, "GET", path, b"")
         return await self._run(call, record)
 
     async def book(self, service, path, body):
-        """Make a non-idempotent call of a plain service; return its record.
+        """Make a non-idempotent call to a plain service and return its record.
 
         Parameters
         ==========
--- a/libs/standins/src/hemlockhoist/standins/callers/config.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/config.py
@@ -1,28 +1,28 @@
-"""What one caller is set up with."""
+"""Configuration of a simulated caller."""
 
 import msgspec
 
 
 class CallerConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's key, tier and patience.
+    """Key, tier and time limits of a caller.
 
     Parameters
     ==========
     seeds : tuple of str
-        ``IP:port`` of some hosts, to ask which ones to use.
+        ``IP:port`` of the hosts to query first for the host list.
     key : str
     customer : str
-        Name for the records.
+        Customer name in the records.
     tier : str
-        Asked for in the header; empty for the highest that the key may have.
+        Tier to request in the header; empty for the highest tier of the key.
     max_wait_ms : int
-        A request that has no end after this is given up.
+        How long the caller waits for a request, all attempts included.
     read_timeout_ms : int
-        Without any byte for this long, a connection is taken for broken.
+        How long a connection may be silent before it is treated as broken.
     first_token_target_ms : int
-        A whole answer whose first piece came later is not in time.
+        Limit on the time to the first output for an answer to count as in time.
     seed : int
-        Of the choices among hosts.
+        Seed of the random choice among hosts.
     """
 
     seeds: tuple[str, ...]
--- a/libs/standins/src/hemlockhoist/standins/callers/directory.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/directory.py
@@ -1,4 +1,4 @@
-"""Which hosts to use: asked of any host, kept for as long as it says."""
+"""Client-side host discovery: the host list, cached as long as a host allows."""
 
 import random
 
@@ -8,15 +8,15 @@
 from hemlockhoist.standins.callers.responses import read_refusal
 
 _HOSTS_PATH = "/v1/hosts"
-_FAILED_MS = 2_000
+_AVOID_FAILED_MS = 2_000
 
 
 class NoHostAnswered(Exception):
-    """No host answered the question which hosts to use."""
+    """Raised when no host answered the query for the host list."""
 
 
 class HostQueryRefused(Exception):
-    """A host refused the question, and would again.
+    """Raised when a host refused the query and a retry would be refused too.
 
     Parameters
     ==========
@@ -29,17 +29,18 @@
 
 
 class HostsResponse(msgspec.Struct, frozen=True):
-    """The answer of one host.
+    """Response of a host to ``GET /v1/hosts``.
 
     Parameters
     ==========
     hosts : list of str
-        ``IP:port`` to connect to.
+        ``IP:port`` of the hosts to use.
     keep_ms : int
+        How long the response may be cached.
     host : str
-        The one that answered.
+        Address of the host that answered.
     key_prefix : str
-        Beginning of the idempotency keys that this host takes as its own.
+        Prefix of the idempotency keys that belong to this host.
     """
 
     hosts: list[str]
@@ -49,25 +50,25 @@
 
 
 class HostDirectory:
-    """Asks, keeps the answer, and spreads over the hosts that it names.
+    """Queries and caches the host list, and picks hosts from it at random.
 
     Parameters
     ==========
     session : aiohttp.ClientSession
     seeds : sequence of str
     headers : dict
-        With the caller's key.
+        Request headers with the caller's key.
     clock : hemlockhoist.base.Clock
     rng : random.Random
     """
 
     __slots__ = (
-        "_answer",
+        "_avoid_until_ms",
         "_clock",
-        "_failed",
+        "_expires_ms",
         "_headers",
-        "_keep_until_ms",
         "_prefixes",
+        "_response",
         "_rng",
         "_seeds",
         "_session",
@@ -80,15 +81,15 @@
         self._headers = headers
         self._clock = clock
         self._rng = rng
-        self._answer = None
-        self._keep_until_ms = 0
+        self._response = None
+        self._expires_ms = 0
         self._prefixes = {}
-        self._failed = {}
+        self._avoid_until_ms = {}
         self.query_count = 0
 
     @classmethod
     def from_config(cls, config, session, headers, clock):
-        """Return a directory that has asked nobody yet."""
+        """Return a directory that has not queried any host."""
         return cls(session, config.seeds, headers, clock, random.Random(config.seed))
 
     async def pick(self):
@@ -96,54 +97,54 @@
 
         Raises
         ======
-        NoHost, HostsRefused
+        NoHostAnswered, HostQueryRefused
         """
         now_ms = self._clock.now_ms()
-        if self._answer is None or now_ms >= self._keep_until_ms:
+        if self._response is None or now_ms >= self._expires_ms:
             await self._refresh()
-        hosts = self._answer.hosts
-        usable = [host for host in hosts if not self._has_failed(host)]
+        hosts = self._response.hosts
+        usable = [host for host in hosts if not self._is_avoided(host)]
         return self._rng.choice(usable or hosts)
 
     async def key_prefix(self, host):
-        """Return a host's prefix for keys, not older than it may be kept.
+        """Return the key prefix of a host, queried again when the cached one expired.
 
         Raises
         ======
-        NoHost
+        NoHostAnswered
             When the host does not answer.
         """
-        prefix, until_ms = self._prefixes.get(host, ("", 0))
-        if self._clock.now_ms() < until_ms:
+        prefix, expires_ms = self._prefixes.get(host, ("", 0))
+        if self._clock.now_ms() < expires_ms:
             return prefix
-        answer = await self._ask(host)
-        if answer is None:
+        hosts_response = await self._query(host)
+        if hosts_response is None:
             self.record_failure(host)
             raise NoHostAnswered(host)
-        return answer.key_prefix
+        return hosts_response.key_prefix
 
     def record_failure(self, host):
-        """Use other hosts for a while, and ask anew which ones there are."""
+        """Avoid a host for some time, and refresh the host list."""
         now_ms = self._clock.now_ms()
-        self._failed[host] = now_ms + _FAILED_MS
-        self._keep_until_ms = min(self._keep_until_ms, now_ms)
+        self._avoid_until_ms[host] = now_ms + _AVOID_FAILED_MS
+        self._expires_ms = min(self._expires_ms, now_ms)
 
-    def _has_failed(self, host):
-        return self._clock.now_ms() < self._failed.get(host, 0)
+    def _is_avoided(self, host):
+        return self._clock.now_ms() < self._avoid_until_ms.get(host, 0)
 
     async def _refresh(self):
-        known = self._answer.hosts if self._answer is not None else []
-        asked = list(dict.fromkeys([*known, *self._seeds]))
-        self._rng.shuffle(asked)
-        for host in sorted(asked, key=self._has_failed):
-            answer = await self._ask(host)
-            if answer is not None:
-                self._answer = answer
-                self._keep_until_ms = self._clock.now_ms() + answer.keep_ms
+        known_hosts = self._response.hosts if self._response is not None else []
+        candidates = list(dict.fromkeys([*known_hosts, *self._seeds]))
+        self._rng.shuffle(candidates)
+        for host in sorted(candidates, key=self._is_avoided):
+            hosts_response = await self._query(host)
+            if hosts_response is not None:
+                self._response = hosts_response
+                self._expires_ms = self._clock.now_ms() + hosts_response.keep_ms
                 return
-        raise NoHostAnswered(f"none of {len(asked)} hosts answered")
+        raise NoHostAnswered(f"none of {len(candidates)} hosts answered")
 
-    async def _ask(self, host):
+    async def _query(self, host):
         self.query_count += 1
         try:
             async with self._session.get(
@@ -153,12 +154,12 @@
                     _check_retryable(await read_refusal(response))
                     return None
                 body = await response.read()
-                answer = msgspec.json.decode(body, type=HostsResponse)
+                hosts_response = msgspec.json.decode(body, type=HostsResponse)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError):
             return None
-        until_ms = self._clock.now_ms() + answer.keep_ms
-        self._prefixes[host] = (answer.key_prefix, until_ms)
-        return answer
+        expires_ms = self._clock.now_ms() + hosts_response.keep_ms
+        self._prefixes[host] = (hosts_response.key_prefix, expires_ms)
+        return hosts_response
 
 
 def _check_retryable(refusal):
--- a/libs/standins/src/hemlockhoist/standins/callers/records.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/records.py
@@ -1,15 +1,15 @@
-"""What callers saw of their requests, one record each."""
+"""Records of requests as their callers observed them."""
 
 import enum
 
 import msgspec
 
-# An idempotent request that fails this often again is given up.
+# Limit on how often an idempotent request is sent again after a failure.
 MAX_RESENDS = 2
 
 
 class RequestKind(enum.Enum):
-    """What a request was."""
+    """Kind of a request."""
 
     CHAT = "chat"
     LOOKUP = "lookup"
@@ -17,10 +17,10 @@
 
 
 class CallOutcome(enum.Enum):
-    """How a request ended for its caller.
+    """Outcome of a request for its caller.
 
-    ``WRONG`` is a whole answer that is not the one to this request; ``CUT`` an answer
-    of which the caller has a part, and can not get the rest.
+    ``WRONG`` is a complete answer that differs from the expected one; ``CUT`` is an
+    answer whose remainder the caller can not get.
     """
 
     WHOLE = "whole"
@@ -32,17 +32,17 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """An answer that was not a success.
+    """Error response to a request.
 
     Parameters
     ==========
     status, code : int
-        Of HTTP, and the result code; -1 where there was none.
+        HTTP status and result code; the code is -1 when the response has none.
     ran : str
         "not run", "run" or "outcome unknown".
     request_id : str
     retry_after_ms : int
-        -1 when the request may not be sent again.
+        -1 when the response doesn't allow a retry.
     message : str
     """
 
@@ -55,33 +55,34 @@
 
     @property
     def not_run(self):
-        """Whether the answer says that nothing ran."""
+        """Whether the response says that the request did not run."""
         return self.ran == "not run"
 
 
 class CallRecord(msgspec.Struct, kw_only=True):
-    """One request from its start to its end, over all attempts.
+    """Course of one request over all its attempts.
 
     Parameters
     ==========
-    kind : Kind
+    kind : RequestKind
     customer, tier : str
-    outcome : Seen
+    outcome : CallOutcome
     started_ms, ended_ms : int
-        On the loop's clock.
+        Times of the event loop's clock.
     first_output_ms : int
-        From start to the first piece, or to a service's answer; -1 where none came,
-        and for an unstreamed chat, whose caller does not see it.
+        Time from start to the first piece or to a service's reply; -1 when none came,
+        and for a non-streaming chat, whose caller can not observe it.
     in_time : bool
-        Whole, and the first piece, if one was seen, within the tier's target.
+        Whether the answer is whole and its first piece, if observed, came within the
+        first token target.
     key : str
-        Idempotency key of a booking.
+        Idempotency key of a non-idempotent call.
     request_ids : list of str
-        As the hosts named the attempts that were answered.
+        Request ids that the hosts assigned to the answered attempts.
     refusals : list of Refusal
     attempts, resumes, moves, resends : int
-        ``resends`` counts how often an idempotent request was sent anew after an
-        answer that said it had failed or may have run.
+        ``resends`` counts how often an idempotent request was sent again after a
+        response that said it had failed or may have run.
     upstream_version : str
     """
 
@@ -104,5 +105,5 @@
 
     @property
     def total_ms(self):
-        """Milliseconds from start to end."""
+        """Time from start to end in milliseconds."""
         return self.ended_ms - self.started_ms
--- a/libs/standins/src/hemlockhoist/standins/callers/responses.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/responses.py
@@ -1,4 +1,4 @@
-"""Reading answers as a caller does: refusals, and streams of events."""
+"""Client-side parsing of error responses and server-sent events."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 async def read_refusal(response):
-    """Return what an answer that is no success says.
+    """Return the refusal that an error response describes.
 
     Parameters
     ==========
@@ -21,19 +21,19 @@
         message = json.loads(body)["error"]["message"]
     except (ValueError, KeyError, TypeError):
         message = body[:200].decode(errors="replace")
-    after = response.headers.get("Retry-After")
+    retry_after = response.headers.get("Retry-After")
     return Refusal(
         status=response.status,
         code=int(response.headers.get("X-Result-Code", "-1")),
         ran=response.headers.get("X-Request-Ran", ""),
         request_id=response.headers.get("X-Request-Id", ""),
-        retry_after_ms=int(float(after) * _MS_PER_S) if after else -1,
+        retry_after_ms=int(float(retry_after) * _MS_PER_S) if retry_after else -1,
         message=message,
     )
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One server-sent event; ``offset`` is -1 where it has none."""
+    """Server-sent event; ``offset`` is -1 without an event id."""
 
     name: str
     offset: int
@@ -41,17 +41,17 @@
 
     @property
     def done(self):
-        """Whether it ends the stream."""
+        """Whether the event ends the stream."""
         return self.data == "[DONE]"
 
     def text(self):
-        """Return the text that a piece adds to the answer."""
+        """Return the text that the event adds to the answer."""
         choices = json.loads(self.data).get("choices") or [{}]
         return choices[0].get("delta", {}).get("content") or ""
 
 
 async def read_events(response):
-    """Yield the events of a stream as they come.
+    """Yield the events of a stream as they arrive.
 
     Parameters
     ==========
--- a/libs/standins/src/hemlockhoist/standins/callers/services.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/services.py
@@ -1,4 +1,4 @@
-"""One call of a plain service by an honest caller."""
+"""Plain-service call of a simulated caller, with retries."""
 
 import asyncio
 import uuid
@@ -12,7 +12,7 @@
 from hemlockhoist.standins.service import expected_reply
 
 _SERVICES_PATH = "/services/"
-_PAUSE_MS = 100
+_RETRY_DELAY_MS = 100
 _MS_PER_S = 1000
 
 
@@ -21,10 +21,10 @@
 
 
 class ServiceCall:
-    """One lookup or booking.
+    """One lookup or booking over all its attempts.
 
-    A booking carries an idempotency key that begins with the prefix of the host it
-    is first sent to, and keeps that key over all attempts, at whichever host.
+    A booking has an idempotency key that begins with the prefix of the host it is first
+    sent to. All attempts use the same key, whichever host they go to.
 
     Parameters
     ==========
@@ -34,7 +34,15 @@
     body : bytes
     """
 
-    __slots__ = ("_body", "_caller", "_lost", "_method", "_path", "_record", "_service")
+    __slots__ = (
+        "_body",
+        "_caller",
+        "_method",
+        "_path",
+        "_record",
+        "_response_lost",
+        "_service",
+    )
 
     def __init__(self, caller, record, service, method, path, body):
         self._caller = caller
@@ -43,43 +51,45 @@
         self._method = method
         self._path = path
         self._body = body
-        # Whether an attempt was sent and its answer never came.
-        self._lost = False
+        # Whether an attempt was sent whose response never came.
+        self._response_lost = False
 
     async def run(self):
-        """Make attempts until there is an end; leave it in the record."""
+        """Make attempts until the call ends, and record its outcome."""
         while True:
-            pause_ms = await self._attempt()
-            if pause_ms is None:
+            delay_ms = await self._attempt()
+            if delay_ms is None:
                 return
-            await asyncio.sleep(pause_ms / _MS_PER_S)
+            await asyncio.sleep(delay_ms / _MS_PER_S)
 
     def record_timeout(self):
-        """Note the end of the caller's patience."""
+        """Record the outcome when the caller's wait limit is reached."""
         refused = self._record.refusals and self._record.refusals[-1].not_run
-        known = refused and not self._lost
-        self._record.outcome = CallOutcome.REFUSED if known else CallOutcome.UNKNOWN
+        did_not_run = refused and not self._response_lost
+        self._record.outcome = (
+            CallOutcome.REFUSED if did_not_run else CallOutcome.UNKNOWN
+        )
 
     async def _attempt(self):
         directory = self._caller.directory
         try:
             host = await directory.pick()
-            await self._choose_key(host)
+            await self._assign_key(host)
         except NoHostAnswered:
-            return _PAUSE_MS
+            return _RETRY_DELAY_MS
         except HostQueryRefused as error:
             return self._end_with_refusal(error.refusal)
         try:
             return await self._exchange(host)
         except aiohttp.ClientConnectorError:
             directory.record_failure(host)
-            return _PAUSE_MS
+            return _RETRY_DELAY_MS
         except (aiohttp.ClientError, TimeoutError, OSError):
-            self._lost = True
+            self._response_lost = True
             directory.record_failure(host)
-            return _PAUSE_MS
+            return _RETRY_DELAY_MS
 
-    async def _choose_key(self, host):
+    async def _assign_key(self, host):
         if self._record.kind is RequestKind.BOOKING and not self._record.key:
             prefix = await self._caller.directory.key_prefix(host)
             self._record.key = f"{prefix}.{uuid.uuid4().hex}"
@@ -94,7 +104,7 @@
             self._method, url, data=self._body, headers=headers
         ) as response:
             if response.status != 200:
-                return await self._refused(response)
+                return await self._handle_refusal(response)
             body = await response.read()
             self._record.request_ids.append(response.headers.get("X-Request-Id", ""))
             version = response.headers.get("X-Upstream-Version", "")
@@ -106,10 +116,10 @@
         record = self._record
         record.first_output_ms = self._caller.clock.now_ms() - record.started_ms
         reply = msgspec.json.decode(body, type=_Reply).reply
-        right = reply == expected_reply(self._method, self._path, self._body)
-        record.outcome = CallOutcome.WHOLE if right else CallOutcome.WRONG
+        is_expected = reply == expected_reply(self._method, self._path, self._body)
+        record.outcome = CallOutcome.WHOLE if is_expected else CallOutcome.WRONG
 
-    async def _refused(self, response):
+    async def _handle_refusal(self, response):
         refusal = await read_refusal(response)
         if refusal.retry_after_ms < 0:
             return self._end_with_refusal(refusal)
@@ -119,11 +129,11 @@
     def _end_with_refusal(self, refusal):
         record = self._record
         record.refusals.append(refusal)
-        if refusal.not_run and not self._lost:
+        if refusal.not_run and not self._response_lost:
             record.outcome = CallOutcome.REFUSED
         elif record.kind is RequestKind.LOOKUP and record.resends < MAX_RESENDS:
             record.resends += 1
-            return _PAUSE_MS
+            return _RETRY_DELAY_MS
         elif refusal.ran == "run":
             record.outcome = CallOutcome.FAILED
         else:
--- a/libs/standins/src/hemlockhoist/standins/callers/table.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/table.py
@@ -1,4 +1,4 @@
-"""A table of what callers saw, for each tier."""
+"""Table of request outcomes by tier."""
 
 from hemlockhoist.standins.callers.records import CallOutcome
 
@@ -22,7 +22,7 @@
 
 
 def percentile(values, share):
-    """Return the value below which ``share`` of the values lie; -1 without values.
+    """Return the quantile of the values at ``share``; -1 without values.
 
     Parameters
     ==========
@@ -37,13 +37,17 @@
 
 
 def tier_row(tier, records):
-    """Return one tier's values in the order of the columns."""
+    """Return the cells of a tier's row in the order of the columns."""
     counts = {
         outcome: sum(item.outcome is outcome for item in records)
         for outcome in CallOutcome
     }
-    firsts = [item.first_output_ms for item in records if item.first_output_ms >= 0]
-    totals = [item.total_ms for item in records if item.outcome is CallOutcome.WHOLE]
+    first_output_times = [
+        item.first_output_ms for item in records if item.first_output_ms >= 0
+    ]
+    total_times = [
+        item.total_ms for item in records if item.outcome is CallOutcome.WHOLE
+    ]
     return (
         tier,
         len(records),
@@ -57,14 +61,14 @@
         sum(item.resumes > 0 for item in records),
         sum(item.moves > 0 for item in records),
         sum(item.resends > 0 for item in records),
-        percentile(firsts, 0.5),
-        percentile(firsts, 0.95),
-        percentile(totals, 0.95),
+        percentile(first_output_times, 0.5),
+        percentile(first_output_times, 0.95),
+        percentile(total_times, 0.95),
     )
 
 
 def tier_table(records):
-    """Return the table as text, one line for each tier.
+    """Return the table as text, with one line for each tier.
 
     Parameters
     ==========
--- a/libs/standins/src/hemlockhoist/standins/callers/tests/test_caller.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/tests/test_caller.py
@@ -11,7 +11,7 @@
 
 
 class _Host:
-    """A host that answers by a script: one function for each call it will get."""
+    """Simulated host that answers each request with the next handler of a script."""
 
     def __init__(self, name, fleet):
         self.name = name
@@ -42,7 +42,7 @@
 
 
 def _stream(first, until, end=""):
-    """Return a handler that streams pieces, and breaks unless there is an end."""
+    """Return a handler that streams pieces and then sends ``end`` or disconnects."""
 
     async def handle(request):
         content = "Which halls are free?"
@@ -64,7 +64,7 @@
 
 
 def _answer(status, code, ran, retry_after=None):
-    """Return a handler that refuses."""
+    """Return a handler that sends an error response."""
 
     async def handle(_request):
         headers = {"X-Result-Code": str(code), "X-Request-Ran": ran}
@@ -114,30 +114,30 @@
         for item in self.serving:
             await item.__aexit__(None, None, None)
 
-    def _script(self, *handlers):
-        """Let whichever host is called next follow the script."""
+    def _set_script(self, *handlers):
+        """Set one script that all hosts share, in the order of their requests."""
         script = list(handlers)
         for host in self.hosts:
             host.script = script
 
     async def _chat(self, *handlers, stream=True):
-        self._script(*handlers)
+        self._set_script(*handlers)
         return await self.caller.chat(
             "m", "Which halls are free?", _TOKENS, stream=stream
         )
 
     async def _book(self, *handlers):
-        self._script(*handlers)
+        self._set_script(*handlers)
         return await self.caller.book("halls", "/book", b"hall 3")
 
     async def test_whole_stream(self):
-        """An unbroken stream is whole, in one attempt."""
+        """An uninterrupted stream is whole after one attempt."""
         record = await self._chat(_stream(0, 6, _DONE))
         self.assertEqual((record.outcome, record.attempts), (CallOutcome.WHOLE, 1))
         self.assertTrue(record.in_time)
 
     async def test_whole_unstreamed_answer(self):
-        """An unstreamed answer has no first piece that could be late."""
+        """A non-streaming answer has no first piece that could be late."""
         record = await self._chat(_completion, stream=False)
         self.assertEqual(
             (record.outcome, record.first_output_ms), (CallOutcome.WHOLE, -1)
@@ -145,22 +145,22 @@
         self.assertTrue(record.in_time)
 
     async def test_broken_and_moved_streams_are_resumed(self):
-        """After a break or a move the caller goes on where it was."""
+        """After a disconnect or a move the caller resumes at its offset."""
         record = await self._chat(
             _stream(0, 2, _MOVED), _stream(2, 4), _stream(3, 6, _DONE)
         )
         self.assertIs(record.outcome, CallOutcome.WHOLE)
         self.assertEqual((record.resumes, record.moves), (2, 1))
 
-    async def test_cut_and_wrong_answers_are_told(self):
-        """An answer without its rest is cut; one with another text is wrong."""
+    async def test_cut_and_wrong_answers_are_recorded(self):
+        """An incomplete answer is recorded as cut, one with another text as wrong."""
         record = await self._chat(_stream(0, 2, _ERROR))
         self.assertIs(record.outcome, CallOutcome.CUT)
         record = await self._chat(_stream(0, 5, _DONE))
         self.assertIs(record.outcome, CallOutcome.WRONG)
 
     async def test_retry_after(self):
-        """A refusal with a time is followed; one without ends the request."""
+        """A refusal with Retry-After is retried; one without it ends the request."""
         busy = _answer(503, 200, "not run", "1")
         record = await self._chat(busy, _stream(0, 6, _DONE))
         self.assertIs(record.outcome, CallOutcome.WHOLE)
@@ -169,16 +169,16 @@
         self.assertIs(record.outcome, CallOutcome.REFUSED)
 
     async def test_idempotent_requests_are_sent_again(self):
-        """A chat or lookup of unknown outcome is sent anew, a few times at most."""
+        """A chat or lookup of unknown outcome is sent again up to MAX_RESENDS times."""
         unknown = _answer(502, 302, "outcome unknown")
         record = await self._chat(unknown, _stream(0, 6, _DONE))
         self.assertEqual((record.outcome, record.resends), (CallOutcome.WHOLE, 1))
-        self._script(*[unknown] * 3)
+        self._set_script(*[unknown] * 3)
         record = await self.caller.lookup("halls", "/availability")
         self.assertEqual((record.outcome, record.attempts), (CallOutcome.UNKNOWN, 3))
 
-    async def test_key_that_may_not(self):
-        """A caller whose key is refused everywhere learns it at once."""
+    async def test_refused_host_query(self):
+        """A caller whose host query is refused ends without an attempt."""
         for host in self.hosts:
             host.refuses = True
         record = await self._chat()
@@ -186,8 +186,8 @@
 
     async def test_booking_keeps_its_key(self):
         """
-        A host dies with a booking in hand. The caller repeats it at another host,
-        under the same key, so that the fleet can tell that it is the same booking.
+        A host dies during a booking. The caller sends it to another host under the
+        same key, so that the fleet recognises it as the same booking.
         """
         record = await self._book(_drop, _reply)
         self.assertIs(record.outcome, CallOutcome.WHOLE)
@@ -196,7 +196,7 @@
         self.assertRegex(record.key, r"^(one|two)\.1\.\w+$")
 
     async def test_booking_of_unknown_outcome(self):
-        """After a lost answer, a refusal does not make the booking "not run"."""
+        """After a lost response, a refusal does not prove that nothing ran."""
         record = await self._book(_drop, _answer(400, 108, "not run"))
         self.assertIs(record.outcome, CallOutcome.UNKNOWN)
         record = await self._book(_answer(502, 302, "outcome unknown"))
@@ -205,7 +205,7 @@
         self.assertIs(record.outcome, CallOutcome.FAILED)
 
     async def test_table(self):
-        """The table has a line for each tier, with its counts."""
+        """The table has one line for each tier, with its counts."""
         await self._chat(_stream(0, 6, _DONE))
         await self._chat(_answer(404, 103, "not run"))
         head, line = tier_table(self.caller.records).splitlines()
--- a/libs/standins/src/hemlockhoist/standins/engine/orders.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/orders.py
@@ -57,10 +57,10 @@
         "_checks_fencing",
         "_load_ms",
         "_loading",
+        "accepted",
         "adapter",
         "highest_fencing",
         "role",
-        "accepted",
         "version",
     )
 
--- a/libs/standins/src/hemlockhoist/standins/measure/fifo_policy.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/fifo_policy.py
@@ -18,8 +18,8 @@
 
     __slots__ = (
         "_grants",
-        "_incarnation",
         "_in_flight",
+        "_incarnation",
         "_leaving",
         "_policy",
         "_pool",
--- a/libs/standins/src/hemlockhoist/standins/measure/runs.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/runs.py
@@ -45,7 +45,13 @@
     Shows what the earlier message is worth.
     """
 
-    __slots__ = ("release", "set_upstreams", "observe_load", "submit", "tick")
+    __slots__ = (
+        "observe_load",
+        "release",
+        "set_upstreams",
+        "submit",
+        "tick",
+    )
 
     def __init__(self, scheduler):
         self.release = scheduler.release
