--- a/libs/standins/src/hemlockhoist/standins/measure/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the decisions under load against simpler policies, on a virtual clock."""
+"""Benchmarks of the scheduling policy against simpler policies, on a virtual clock."""
--- a/libs/standins/src/hemlockhoist/standins/measure/__main__.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/__main__.py
@@ -50,22 +50,22 @@
 @click.group(invoke_without_command=True)
 @click.pass_context
 def main(context):
-    """Measure the decisions under load against simpler policies."""
+    """Measure the scheduling policy under load against simpler policies."""
     if context.invoked_subcommand is not None:
         return
     runs = _plan()
     groups = _group(runs, execute_all(runs))
     for line in render(groups):
         click.echo(line)
-    behind = shortfalls(groups)
-    click.echo(f"\n{len(groups)} loads, behind a baseline in {len(behind)}")
-    for line in behind:
+    behind_baseline = shortfalls(groups)
+    click.echo(f"\n{len(groups)} loads, behind a baseline in {len(behind_baseline)}")
+    for line in behind_baseline:
         click.echo(f"- {line}")
 
 
 @main.command()
 def slopes():
-    """Measure memory and processor time of the scheduler by size."""
+    """Measure how the scheduler's memory and processor time grow with size."""
     for line in render_slopes(measure_slopes()):
         click.echo(line)
 
--- a/libs/standins/src/hemlockhoist/standins/measure/arrivals.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/arrivals.py
@@ -1,4 +1,4 @@
-"""The recorded side of a load: which requests arrive when."""
+"""Synthetic arrivals of a load, drawn from request profiles."""
 
 import itertools
 import math
@@ -9,7 +9,7 @@
 
 
 class Arrival(msgspec.Struct, frozen=True, kw_only=True):
-    """One request as its caller sends it.
+    """Arrival of one request.
 
     Parameters
     ==========
@@ -18,12 +18,12 @@
     tier_rank : int
     prompt_tokens : int
     output_tokens : int
-        That the engine will generate.
+        Tokens that the engine generates.
     expected_tokens : int
-        That the decision is told.
+        Estimate of ``output_tokens`` that the policy gets.
     prefix_hashes : tuple of int
     failure_domain : str
-        Of the entry host it comes to.
+        Failure domain of the entry host that receives the request.
     """
 
     at_ms: int
@@ -37,22 +37,22 @@
 
 
 class RequestProfile(msgspec.Struct, frozen=True, kw_only=True):
-    """How long requests of one sort are, and what they share.
+    """Distribution of prompt lengths, output lengths and shared prefixes.
 
     Parameters
     ==========
     share : float
-        Of all requests.
+        Weight of the profile among all requests.
     prompt_tokens, output_tokens : int
-        Medians; lengths are log-normal.
+        Medians of the log-normal lengths.
     log_sigma : float
-        Sigma of the logarithm.
+        Standard deviation of the logarithm of the lengths.
     tier_shares : tuple of float
         Shares of the tiers, highest first.
     shared_tokens : int
-        Leading prompt tokens that requests of one document have in common.
+        Length of the shared prefix, which is part of the prompt.
     prefix_count : int
-        How many shared beginnings there are; the n-th is used in proportion 1/n.
+        Number of distinct shared prefixes; the n-th has a weight of 1/n.
     """
 
     share: float = 1.0
@@ -65,41 +65,47 @@
 
 
 class ArrivalGenerator:
-    """Draws arrivals from shapes with a seeded generator.
+    """Draws arrivals from request profiles with a seeded random generator.
 
     Parameters
     ==========
-    random : random.Random
-    profiles : sequence of Shape
+    rng : random.Random
+    profiles : sequence of RequestProfile
     customers : dict of str to float
-        Shares of the customers.
+        Weight of each customer.
     failure_domains : sequence of str
     """
 
-    __slots__ = ("_customers", "_domains", "_random", "_shapes", "_unique")
-
-    def __init__(self, random, profiles, customers, failure_domains):
-        self._random = random
-        self._shapes = profiles
+    __slots__ = (
+        "_customers",
+        "_domains",
+        "_own_prefix_numbers",
+        "_profiles",
+        "_rng",
+    )
+
+    def __init__(self, rng, profiles, customers, failure_domains):
+        self._rng = rng
+        self._profiles = profiles
         self._customers = customers
         self._domains = failure_domains
-        self._unique = itertools.count(1 << 40)
+        self._own_prefix_numbers = itertools.count(1 << 40)
 
     def poisson_arrivals(self, start_ms, end_ms, rate_per_s):
-        """Return the Poisson arrivals of a span of time."""
+        """Return the arrivals of a Poisson process between two times."""
         arrivals = []
-        at_ms = start_ms + self._gap_ms(rate_per_s)
+        at_ms = start_ms + self._interarrival_ms(rate_per_s)
         while at_ms < end_ms:
             arrivals.append(self._draw(int(at_ms)))
-            at_ms += self._gap_ms(rate_per_s)
+            at_ms += self._interarrival_ms(rate_per_s)
         return arrivals
 
-    def _gap_ms(self, rate_per_s):
-        return self._random.expovariate(rate_per_s) * 1_000
+    def _interarrival_ms(self, rate_per_s):
+        return self._rng.expovariate(rate_per_s) * 1_000
 
     def _draw(self, at_ms):
-        draw = self._random
-        profile = draw.choices(self._shapes, [item.share for item in self._shapes])[0]
+        source = self._rng
+        profile = source.choices(self._profiles, [p.share for p in self._profiles])[0]
         names, shares = zip(*self._customers.items(), strict=True)
         output = self._length(profile.output_tokens, profile.log_sigma)
         prompt = profile.shared_tokens + self._length(
@@ -107,40 +113,40 @@
         )
         return Arrival(
             at_ms=at_ms,
-            customer=draw.choices(names, shares)[0],
-            tier_rank=draw.choices(
+            customer=source.choices(names, shares)[0],
+            tier_rank=source.choices(
                 range(len(profile.tier_shares)), profile.tier_shares
             )[0],
             prompt_tokens=prompt,
             output_tokens=output,
-            expected_tokens=max(1, int(output * draw.uniform(0.7, 1.6))),
+            expected_tokens=max(1, int(output * source.uniform(0.7, 1.6))),
             prefix_hashes=self._hashes(profile, prompt),
-            failure_domain=draw.choice(self._domains),
+            failure_domain=source.choice(self._domains),
         )
 
     def _length(self, median, log_sigma):
-        drawn = self._random.lognormvariate(math.log(median), log_sigma)
+        drawn = self._rng.lognormvariate(math.log(median), log_sigma)
         return max(1, min(int(drawn), 6 * median))
 
     def _hashes(self, profile, prompt_tokens):
         weights = [1 / (n + 1) for n in range(profile.prefix_count)]
-        document = self._random.choices(range(profile.prefix_count), weights)[0]
+        prefix = self._rng.choices(range(profile.prefix_count), weights)[0]
         shared = profile.shared_tokens // BLOCK_TOKENS
-        base = (profile.shared_tokens << 24) + (document << 12)
-        own = next(self._unique) << 12
+        base = (profile.shared_tokens << 24) + (prefix << 12)
+        own = next(self._own_prefix_numbers) << 12
         count = prompt_tokens // BLOCK_TOKENS
         return tuple((base if n < shared else own) + n for n in range(count))
 
 
 def mean_token_counts(profiles):
-    """Return the mean prompt, shared and output tokens of a mix of shapes."""
+    """Return the mean prompt, shared and output tokens of a mix of profiles."""
     total = sum(item.share for item in profiles)
     prompt = shared = output = 0.0
     for item in profiles:
-        part = item.share / total
-        stretch = math.exp(item.log_sigma**2 / 2)
+        weight = item.share / total
+        mean_over_median = math.exp(item.log_sigma**2 / 2)
         own = max(1, item.prompt_tokens - item.shared_tokens)
-        prompt += part * (item.shared_tokens + own * stretch)
-        shared += part * item.shared_tokens
-        output += part * item.output_tokens * stretch
+        prompt += weight * (item.shared_tokens + own * mean_over_median)
+        shared += weight * item.shared_tokens
+        output += weight * item.output_tokens * mean_over_median
     return prompt, shared, output
--- a/libs/standins/src/hemlockhoist/standins/measure/baselines.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/baselines.py
@@ -1,4 +1,4 @@
-"""Simpler policies to compare with, in the interface of the scheduler."""
+"""Baseline policies with the interface of the scheduler."""
 
 import itertools
 import random
@@ -10,8 +10,8 @@
 _MAX_QUEUED = 1_000
 
 
-class _Direct:
-    """Dispatches each request at once; the engines queue."""
+class _ImmediatePolicy:
+    """Base of policies that dispatch every request at once, so that engines queue."""
 
     def __init__(self, pool, tiers):
         self._ids = itertools.count()
@@ -22,16 +22,16 @@
 
     @classmethod
     def from_config(cls, pool, tiers):
-        """Return a policy without upstreams."""
+        """Return a policy that has no upstreams yet."""
         return cls(pool, tiers)
 
     def set_upstreams(self, upstreams, now_ms):
-        """Replace the list."""
+        """Replace the list of upstreams."""
         self._upstreams = list(upstreams)
         return []
 
     def observe_load(self, report, now_ms):
-        """Ignore load reports."""
+        """Ignore the load report."""
         return []
 
     def tick(self, now_ms):
@@ -39,13 +39,13 @@
         return []
 
     def submit(self, request, now_ms):
-        """Grant at once."""
+        """Grant the request at once."""
         if not self._upstreams:
             return [_reject(request, ResultCode.NO_UPSTREAM)]
         return [self._grant(request, self._choose(), now_ms)]
 
     def release(self, grant_id, outcome, now_ms):
-        """Stop counting a grant."""
+        """Remove a grant from the in-flight count of its upstream."""
         upstream_id = self._grants.pop(grant_id, None)
         if upstream_id is not None:
             self._in_flight[upstream_id] -= 1
@@ -71,15 +71,15 @@
         return Granted(request=request, grant=grant)
 
 
-class LeastConnections(_Direct):
-    """The upstream with the fewest requests of this host's own."""
+class LeastConnections(_ImmediatePolicy):
+    """Picks the upstream with the fewest requests in flight from this host."""
 
     def _choose(self):
         return min(self._upstreams, key=self._load)
 
 
-class PowerOfTwoChoices(_Direct):
-    """The better of two random upstreams by their load reports."""
+class PowerOfTwoChoices(_ImmediatePolicy):
+    """Picks the less loaded of two random upstreams, by their load reports."""
 
     def __init__(self, pool, tiers):
         super().__init__(pool, tiers)
@@ -87,7 +87,7 @@
         self._reports = {}
 
     def observe_load(self, report, now_ms):
-        """Remember a load report."""
+        """Record a load report."""
         self._reports[report.upstream_id] = report.in_flight + report.queued
         return []
 
@@ -97,34 +97,34 @@
         return min(pair, key=lambda item: self._reports.get(item.upstream_id, 0))
 
 
-class FifoRoundRobin(_Direct):
-    """One queue in the order of arrival, upstreams in turn up to a fixed limit."""
+class FifoRoundRobin(_ImmediatePolicy):
+    """FIFO queue, and upstreams in rotation up to a fixed concurrency limit."""
 
     def __init__(self, pool, tiers):
         super().__init__(pool, tiers)
         self._queue = []
-        self._turn = 0
+        self._last_index = 0
 
     def submit(self, request, now_ms):
-        """Queue the request, and refuse it when the queue is full."""
+        """Queue the request, or refuse it when the queue is full."""
         if len(self._queue) >= _MAX_QUEUED:
             return [_reject(request, ResultCode.OVERLOADED)]
         self._queue.append(request)
-        return self._drain(now_ms)
+        return self._grant_queued(now_ms)
 
     def release(self, grant_id, outcome, now_ms):
-        """Stop counting a grant; grant to the first in the queue."""
+        """Remove a grant from the count, and grant to the head of the queue."""
         super().release(grant_id, outcome, now_ms)
-        return self._drain(now_ms)
+        return self._grant_queued(now_ms)
 
     def tick(self, now_ms):
-        """Refuse what is past its deadline."""
-        late = [item for item in self._queue if item.deadline_ms <= now_ms]
+        """Refuse queued requests that are past their deadline."""
+        expired = [item for item in self._queue if item.deadline_ms <= now_ms]
         self._queue = [item for item in self._queue if item.deadline_ms > now_ms]
-        refused = [_reject(item, ResultCode.DEADLINE_PASSED) for item in late]
-        return refused + self._drain(now_ms)
+        refused = [_reject(item, ResultCode.DEADLINE_PASSED) for item in expired]
+        return refused + self._grant_queued(now_ms)
 
-    def _drain(self, now_ms):
+    def _grant_queued(self, now_ms):
         decisions = []
         while self._queue:
             upstream = self._next_free()
@@ -135,8 +135,8 @@
 
     def _next_free(self):
         for _ in self._upstreams:
-            self._turn = (self._turn + 1) % len(self._upstreams)
-            upstream = self._upstreams[self._turn]
+            self._last_index = (self._last_index + 1) % len(self._upstreams)
+            upstream = self._upstreams[self._last_index]
             if self._load(upstream) < self._pool.max_in_flight_per_upstream:
                 return upstream
         return None
--- a/libs/standins/src/hemlockhoist/standins/measure/fifo_policy.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/fifo_policy.py
@@ -1,4 +1,4 @@
-"""The project's first policy, kept to compare with: first come, least in flight."""
+"""Baseline policy: FIFO queue, upstream with the fewest requests in flight."""
 
 from hemlockhoist.base import ResultCode
 from hemlockhoist.decisions.policy import VersionPolicy
@@ -10,10 +10,10 @@
 
 
 class FifoPolicy:
-    """Serves in the order of arrival, and refuses at the deadline.
+    """Grants requests in the order of arrival, and refuses them at their deadline.
 
-    All methods take the home's clock and return the decisions that follow. The
-    caller sends them; nothing here waits.
+    All methods take the time of the home's clock and return the resulting decisions,
+    which the caller sends. No method blocks.
     """
 
     __slots__ = (
@@ -21,17 +21,17 @@
         "_in_flight",
         "_incarnation",
         "_leaving",
-        "_policy",
         "_pool",
         "_queue",
         "_sequence",
         "_upstreams",
+        "_version_policy",
     )
 
     def __init__(self, pool, incarnation, policy):
         self._pool = pool
         self._incarnation = incarnation
-        self._policy = policy
+        self._version_policy = policy
         self._queue = []
         self._grants = {}
         self._in_flight = {}
@@ -41,40 +41,40 @@
 
     @classmethod
     def from_config(cls, pool, tiers, incarnation="first", policy=None):
-        """Return a scheduler without upstreams.
+        """Return a policy that has no upstreams yet.
 
         Parameters
         ==========
         pool : hemlockhoist.declarations.Pool
         tiers : sequence of hemlockhoist.declarations.Tier
         incarnation : str
-            Of this home; makes grant ids unique over restarts.
+            Incarnation of this home; makes grant ids unique across restarts.
         policy : VersionPolicy, optional
         """
         return cls(pool, incarnation, policy or VersionPolicy())
 
     def submit(self, request, now_ms):
-        """Take a request; return decisions on it and on others."""
+        """Queue a request; return the decisions on it and on others."""
         self._queue.append(request)
-        return self._drain(now_ms)
+        return self._process_queue(now_ms)
 
     def cancel(self, request_id, now_ms):
-        """Forget a queued request, whose caller has gone."""
+        """Remove the queued request of a caller that disconnected."""
         self._queue = [r for r in self._queue if r.request_id != request_id]
         return []
 
     def release(self, grant_id, outcome, now_ms):
-        """Take a grant back with its outcome; return what can be granted now."""
+        """Release a grant with its outcome; return the decisions on queued requests."""
         entry = self._grants.pop(grant_id, None)
         if entry is None:
             return []
         request, grant = entry
         self._in_flight[grant.upstream_id] -= 1
-        self._policy.on_outcome(request, grant.version, outcome, now_ms)
-        return self._drain(now_ms)
+        self._version_policy.on_outcome(request, grant.version, outcome, now_ms)
+        return self._process_queue(now_ms)
 
     def adopt(self, request, grant, now_ms):
-        """Count a grant of a former home that an entry host still holds."""
+        """Count a grant of an earlier home that an entry host still holds."""
         self._grants[grant.grant_id] = (request, grant)
         count = self._in_flight.get(grant.upstream_id, 0)
         self._in_flight[grant.upstream_id] = count + 1
@@ -83,27 +83,27 @@
     def set_upstreams(self, upstreams, now_ms):
         """Replace the list of upstreams."""
         self._upstreams = {item.upstream_id: item for item in upstreams}
-        return self._drain(now_ms)
+        return self._process_queue(now_ms)
 
     def observe_load(self, report, now_ms):
-        """Take an upstream's load report."""
+        """Process the load report of an upstream."""
         if report.state is UpstreamState.LEAVING:
             self._leaving.add(report.upstream_id)
-        return self._drain(now_ms)
+        return self._process_queue(now_ms)
 
     def tick(self, now_ms):
-        """Refuse what waited too long; return the decisions due."""
-        return self._drain(now_ms)
+        """Refuse requests past their deadline; return all decisions due."""
+        return self._process_queue(now_ms)
 
-    def _drain(self, now_ms):
+    def _process_queue(self, now_ms):
         decisions = []
         waiting = []
-        free = [item for item in self._upstreams.values() if self._has_place(item)]
+        free = [item for item in self._upstreams.values() if self._has_free_slot(item)]
         for request in self._queue:
             if free:
-                upstream = self._place(request, free, now_ms)
+                upstream = self._choose_upstream(request, free, now_ms)
                 decisions.append(self._grant(request, upstream, now_ms))
-                if not self._has_place(upstream):
+                if not self._has_free_slot(upstream):
                     free.remove(upstream)
             elif now_ms >= request.deadline_ms:
                 code = ResultCode.DEADLINE_PASSED
@@ -115,15 +115,15 @@
         self._queue = waiting
         return decisions
 
-    def _place(self, request, free, now_ms):
+    def _choose_upstream(self, request, free, now_ms):
         versions = sorted({item.version for item in free})
-        for version in self._policy.candidates(request, versions, now_ms):
-            choices = [item for item in free if item.version == version]
-            if choices:
-                return min(choices, key=self._load)
-        raise AssertionError("the measured policy holds no version back")
+        for version in self._version_policy.candidates(request, versions, now_ms):
+            matching = [item for item in free if item.version == version]
+            if matching:
+                return min(matching, key=self._load)
+        raise AssertionError("the version policy gave no version of a free upstream")
 
-    def _has_place(self, upstream):
+    def _has_free_slot(self, upstream):
         if upstream.state is UpstreamState.LEAVING:
             return False
         if upstream.upstream_id in self._leaving:
@@ -145,7 +145,7 @@
         )
         self._grants[grant.grant_id] = (request, grant)
         self._in_flight[upstream.upstream_id] = self._load(upstream) + 1
-        self._policy.on_grant(request, upstream.version, now_ms)
+        self._version_policy.on_grant(request, upstream.version, now_ms)
         return Granted(request=request, grant=grant)
 
 
--- a/libs/standins/src/hemlockhoist/standins/measure/loads.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/loads.py
@@ -1,4 +1,4 @@
-"""The loads that decisions are measured on, each from a seed."""
+"""Seeded workloads for the benchmark of the scheduling policies."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 SPAN_MS = 60_000
 LONG_SPAN_MS = 120_000
-# Larger deployments have as many more arrivals a second.
+# Shorter than SPAN_MS: the arrival rate is proportional to the deployment's size.
 SCALING_SPAN_MS = 30_000
 REPORT_LAG_MS = 1_000
 
@@ -38,14 +38,14 @@
 
 
 class Deployment(msgspec.Struct, frozen=True, kw_only=True):
-    """A pool's upstreams: the generation of each, and the failure domains."""
+    """Upstreams of a pool: the hardware generation of each, and the failure domains."""
 
     name: str
     generations: tuple[str, ...]
     failure_domains: tuple[str, ...]
 
     def domain(self, index):
-        """Return the failure domain of the upstream of that index."""
+        """Return the failure domain of the upstream at ``index``."""
         return self.failure_domains[index % len(self.failure_domains)]
 
 
@@ -72,9 +72,9 @@
 
 
 class Slowdown(msgspec.Struct, frozen=True, kw_only=True):
-    """From ``at_ms`` an upstream runs at ``permille`` of its normal step time.
+    """Change of an upstream's step time to ``permille`` of the normal one at ``at_ms``.
 
-    ``freezes_reports`` keeps its load reports as they were at that time.
+    With ``freezes_reports``, its load reports stay as they were at that time.
     """
 
     at_ms: int
@@ -84,7 +84,10 @@
 
 
 class DomainLoss(msgspec.Struct, frozen=True, kw_only=True):
-    """At ``at_ms`` all upstreams of a failure domain die; the list follows later."""
+    """Loss of all upstreams of a failure domain at ``at_ms``.
+
+    They stay in the upstream list for another ``list_lag_ms``.
+    """
 
     at_ms: int
     failure_domain: str
@@ -92,7 +95,7 @@
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """One load: arrivals, upstreams, and what happens to them."""
+    """Workload: arrivals, deployment, and faults of the upstreams."""
 
     name: str
     deployment: Deployment
@@ -105,9 +108,9 @@
 
 
 def capacity_per_s(deployment, profiles):
-    """Return about how many requests a second a deployment can answer.
+    """Return an estimate of the requests a second that a deployment can serve.
 
-    Full batches, half of the shared prompt tokens cached.
+    Assumes full batches, and half of the shared prompt tokens cached.
     """
     prompt, shared, output = mean_token_counts(profiles)
     total = 0.0
@@ -124,7 +127,7 @@
     return total
 
 
-_SHORT_AND_LONG = (
+_SHORT_AND_LONG_PROFILES = (
     RequestProfile(
         share=0.9, prompt_tokens=64, output_tokens=16, log_sigma=0.3, shared_tokens=0
     ),
@@ -137,30 +140,30 @@
         shared_tokens=0,
     ),
 )
-_PREFIX_HEAVY = (
+_PREFIX_HEAVY_PROFILES = (
     RequestProfile(
         prompt_tokens=4_400, output_tokens=60, shared_tokens=4_096, prefix_count=40
     ),
 )
-_FIVE = (RequestProfile(tier_shares=(0.1, 0.15, 0.2, 0.25, 0.3)),)
-_LONG_TIERS = tuple(
+_FIVE_TIER_PROFILES = (RequestProfile(tier_shares=(0.1, 0.15, 0.2, 0.25, 0.3)),)
+_LONG_DEADLINE_TIERS = tuple(
     msgspec.structs.replace(tier, deadline_ms=30_000 + 60_000 * tier.rank)
     for tier in THREE_TIERS
 )
-_PLAIN = (RequestProfile(),)
+_DEFAULT_PROFILES = (RequestProfile(),)
 
 
-def _load(name, deployment, seed, parts, **options):
-    """Return a load whose rate is a multiple of the capacity in each part of it."""
-    profiles = options.pop("profiles", _PLAIN)
+def _load_with_phases(name, deployment, seed, phases, **options):
+    """Return a load whose arrival rate is a multiple of the capacity in each phase."""
+    profiles = options.pop("profiles", _DEFAULT_PROFILES)
     customers = options.pop("customers", EVEN_CUSTOMERS)
     tiers = options.pop("tiers", THREE_TIERS)
-    draw = random.Random(f"{name}/{deployment.name}/{seed}")
-    stream = ArrivalGenerator(draw, profiles, customers, deployment.failure_domains)
+    rng = random.Random(f"{name}/{deployment.name}/{seed}")
+    generator = ArrivalGenerator(rng, profiles, customers, deployment.failure_domains)
     rate = capacity_per_s(deployment, profiles)
     arrivals, at_ms = [], 0
-    for span_ms, factor in parts:
-        arrivals += stream.poisson_arrivals(at_ms, at_ms + span_ms, rate * factor)
+    for span_ms, factor in phases:
+        arrivals += generator.poisson_arrivals(at_ms, at_ms + span_ms, rate * factor)
         at_ms += span_ms
     return Load(
         name=name,
@@ -173,7 +176,7 @@
 
 
 def _degrading():
-    """Return a slowdown that grows to tenfold while the reports look fine."""
+    """Return a slowdown that grows to 10x while the load reports stay unchanged."""
     steps = (1_000, 1_500, 2_200, 3_300, 5_000, 7_000, 10_000)
     return tuple(
         Slowdown(
@@ -187,9 +190,9 @@
 
 
 def build_load(name, deployment, seed):
-    """Return the load of that name for a deployment and a seed."""
+    """Return the named load for a deployment and a seed."""
     steady = ((SPAN_MS, 0.7),)
-    builders = {
+    settings = {
         "steady 70 %": (steady, {}),
         "burst 3x": (((20_000, 0.7), (10_000, 3.0), (30_000, 0.7)), {}),
         "saturation 1.5x": (((LONG_SPAN_MS, 1.5),), {}),
@@ -202,9 +205,9 @@
         "one degrading": (((SPAN_MS, 0.7),), {"slowdowns": _degrading()}),
         "short and long": (
             ((SPAN_MS, 0.9),),
-            {"profiles": _SHORT_AND_LONG, "tiers": _LONG_TIERS},
+            {"profiles": _SHORT_AND_LONG_PROFILES, "tiers": _LONG_DEADLINE_TIERS},
         ),
-        "prefix heavy": (((SPAN_MS, 0.9),), {"profiles": _PREFIX_HEAVY}),
+        "prefix heavy": (((SPAN_MS, 0.9),), {"profiles": _PREFIX_HEAVY_PROFILES}),
         "domain lost": (
             steady,
             {"domain_losses": (DomainLoss(at_ms=20_000, failure_domain="d1"),)},
@@ -213,13 +216,13 @@
         "reports 10 s old": (((SPAN_MS, 0.9),), {"report_lag_ms": 10_000}),
         "five tiers 2x": (
             ((SPAN_MS, 2.0),),
-            {"profiles": _FIVE, "tiers": FIVE_TIERS},
+            {"profiles": _FIVE_TIER_PROFILES, "tiers": FIVE_TIERS},
         ),
         "growing 70 %": (((SCALING_SPAN_MS, 0.7),), {}),
         "growing 1.5x": (((SCALING_SPAN_MS, 1.5),), {}),
     }
-    parts, options = builders[name]
-    return _load(name, deployment, seed, parts, **options)
+    phases, options = settings[name]
+    return _load_with_phases(name, deployment, seed, phases, **options)
 
 
 LOAD_NAMES = (
--- a/libs/standins/src/hemlockhoist/standins/measure/request_records.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/request_records.py
@@ -1,10 +1,10 @@
-"""What a caller got, and what it cost."""
+"""Records of simulated requests, and a view of the prefix caches."""
 
 from hemlockhoist.standins.measure.arrivals import BLOCK_TOKENS
 
 
 class RequestRecord:
-    """The course of one request.
+    """Course and outcome of one simulated request.
 
     Parameters
     ==========
@@ -13,7 +13,7 @@
     """
 
     __slots__ = (
-        "_best_blocks",
+        "_best_match_blocks",
         "arrival",
         "attempts",
         "cached_tokens",
@@ -35,11 +35,11 @@
         self.is_whole = False
         self.cached_tokens = 0
         self.attempts = 0
-        self._best_blocks = 0
+        self._best_match_blocks = 0
 
     @property
     def counts_as_goodput(self):
-        """Whether it counts as goodput: whole, in time, first token in time."""
+        """Whether the answer is whole and met its deadline and first token target."""
         if not self.is_whole:
             return False
         in_time = self.ended_ms <= self.request.deadline_ms
@@ -47,46 +47,48 @@
 
     @property
     def wasted_tokens(self):
-        """Prompt tokens computed for nobody, or again though a cache held them."""
+        """Prompt tokens computed for an unused answer or although a cache held them."""
         if self.first_token_ms is None:
             return 0
         computed = self.request.prompt_tokens - self.cached_tokens
         if not self.is_whole:
             return computed
-        held = min(self._best_blocks * BLOCK_TOKENS, self.request.prompt_tokens - 1)
-        return max(0, held - self.cached_tokens)
+        best_cached_tokens = min(
+            self._best_match_blocks * BLOCK_TOKENS, self.request.prompt_tokens - 1
+        )
+        return max(0, best_cached_tokens - self.cached_tokens)
 
     def record_refusal(self, code, now_ms):
-        """Record a refusal."""
+        """Record the refusal of the request."""
         self.code = code
         self.ended_ms = now_ms
 
-    def record_dispatch(self, best_blocks, now_ms):
-        """Record the dispatch, and the most blocks that any cache then held."""
+    def record_dispatch(self, best_match_blocks, now_ms):
+        """Record the dispatch and the longest prefix match of any cache by then."""
         self.dispatched_ms = now_ms
-        self._best_blocks = best_blocks
+        self._best_match_blocks = best_match_blocks
 
     def record_first_token(self, cached_tokens, at_ms):
-        """Record the first token."""
+        """Record the first token of the answer."""
         self.cached_tokens = cached_tokens
         self.first_token_ms = at_ms
 
     def record_completion(self, at_ms):
-        """Record the whole answer."""
+        """Record the completion of the answer."""
         self.ended_ms = at_ms
         self.is_whole = True
 
     def record_failure(self, now_ms):
-        """Record an answer that broke off or came too late."""
+        """Record an answer that broke off or missed the deadline."""
         self.ended_ms = now_ms
 
     def since_dispatch_ms(self, at_ms):
-        """Return the time since dispatch, or -1 where ``at_ms`` is None."""
+        """Return the time from dispatch to ``at_ms``, or -1 when it is None."""
         return -1 if at_ms is None else at_ms - self.dispatched_ms
 
 
 class PrefixCacheView:
-    """The blocks in one engine's prefix cache, from its cache events."""
+    """Blocks in the prefix cache of an engine, as its cache events report them."""
 
     __slots__ = ("_blocks",)
 
@@ -94,12 +96,12 @@
         self._blocks = set()
 
     def apply(self, stored, removed):
-        """Take one event."""
+        """Apply a cache event."""
         self._blocks.update(stored)
         self._blocks.difference_update(removed)
 
     def match(self, prefix_hashes):
-        """Return how many leading blocks are held."""
+        """Return the number of leading blocks that are cached."""
         count = 0
         for item in prefix_hashes:
             if item not in self._blocks:
--- a/libs/standins/src/hemlockhoist/standins/measure/runs.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/runs.py
@@ -1,4 +1,4 @@
-"""Runs of load × policy × seed, several processes side by side."""
+"""Runs of load × policy × seed on a pool of worker processes."""
 
 import concurrent.futures
 import multiprocessing
@@ -18,9 +18,10 @@
 from hemlockhoist.standins.measure.results import summarise
 from hemlockhoist.standins.measure.simulation import Simulation
 
-# The declared bound; the scheduler has to find each engine's own knee below it.
+# Declared limit; the scheduler has to find the saturation point of each engine below
+# it.
 MAX_IN_FLIGHT = 64
-# Baselines with a fixed limit get the default of the declarations.
+# Default of the declarations, for baselines with a fixed concurrency limit.
 FIXED_CONCURRENCY_LIMIT = 32
 WORKERS = 4
 
@@ -40,9 +41,9 @@
 
 
 class NoFirstTokenReports:
-    """The scheduler, told of first tokens only with the outcome.
+    """Scheduler that learns the time of the first token only with the outcome.
 
-    Shows what the earlier message is worth.
+    Comparing it with the full scheduler shows the benefit of first token reports.
     """
 
     __slots__ = (
@@ -79,7 +80,7 @@
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """What to run: load, deployment, policy and seed."""
+    """Load, deployment, policy and seed of one run."""
 
     load: str
     deployment: object
@@ -88,14 +89,14 @@
 
 
 def execute(run):
-    """Run one combination and return its ``RunResult``."""
+    """Execute a run and return its ``RunResult``."""
     load = build_load(run.load, run.deployment, run.seed)
     policy = POLICIES[run.policy](load.tiers)
     return summarise(load, Simulation(load, policy).run())
 
 
 def execute_all(runs, workers=WORKERS):
-    """Run all combinations; return the results in the same order."""
+    """Execute all runs; return the results in the same order."""
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(workers, mp_context=context) as pool:
         return list(pool.map(execute, runs, chunksize=1))
--- a/libs/standins/src/hemlockhoist/standins/measure/simulation.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/simulation.py
@@ -1,4 +1,4 @@
-"""Drives one policy through one load on a virtual clock: a heap of events."""
+"""Discrete-event simulation of a policy under a load, on a virtual clock."""
 
 import heapq
 import itertools
@@ -25,76 +25,76 @@
 
 
 class _Engine:
-    """An engine model with its place in the list and its reports."""
+    """Engine model with its upstream entry, cache view and load reports."""
 
-    __slots__ = ("alive", "cache", "frozen", "model", "upstream", "wake")
+    __slots__ = ("alive", "cache", "frozen_load", "model", "upstream", "wakeup_number")
 
     def __init__(self, model, upstream):
         self.model = model
         self.upstream = upstream
         self.alive = True
-        self.frozen = None
+        self.frozen_load = None
         self.cache = PrefixCacheView()
-        self.wake = 0
+        self.wakeup_number = 0
 
 
 class Simulation:
-    """One run.
+    """Simulation of one run.
 
     Parameters
     ==========
     load : hemlockhoist.standins.measure.loads.Load
     policy : object
-        With the methods of ``PoolScheduler``.
+        Has the methods of ``PoolScheduler``; ``observe_first_token`` is optional.
     """
 
     __slots__ = (
-        "_answers",
         "_budget",
         "_engines",
+        "_event_numbers",
         "_grants",
         "_heap",
         "_load",
         "_now_ms",
-        "_order",
         "_policy",
-        "_tells_first_token",
+        "_records",
+        "_reports_first_token",
         "failed_connects",
     )
 
     def __init__(self, load, policy):
         self._load = load
         self._policy = policy
-        self._tells_first_token = hasattr(policy, "observe_first_token")
+        self._reports_first_token = hasattr(policy, "observe_first_token")
         self._heap = []
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         self._now_ms = 0
         self._engines = {}
-        self._answers = {}
+        self._records = {}
         self._grants = {}
-        # The product's own, for every policy: the entry host makes retries.
+        # Shared by all policies, as the entry host does the retries, not the policy.
         self._budget = RetryBudget()
         self.failed_connects = 0
 
     def run(self):
-        """Run to the last deadline; return the answers in the order of arrival."""
+        """Run to the last deadline; return the request records in order of arrival."""
         self._start_engines()
         for index, arrival in enumerate(self._load.arrivals):
-            self._at(arrival.at_ms, self._arrive, index, arrival)
+            self._schedule(arrival.at_ms, self._arrive, index, arrival)
         for change in self._load.slowdowns:
-            self._at(change.at_ms, self._slow_down, change)
+            self._schedule(change.at_ms, self._slow_down, change)
         for loss in self._load.domain_losses:
-            self._at(loss.at_ms, self._lose, loss)
+            self._schedule(loss.at_ms, self._lose_domain, loss)
         end_ms = self._load.span_ms + max(t.deadline_ms for t in self._load.tiers)
-        self._at(0, self._tick, end_ms)
-        self._at(0, self._report, end_ms)
+        self._schedule(0, self._tick, end_ms)
+        self._schedule(0, self._report, end_ms)
         while self._heap:
             self._now_ms, _, action, arguments = heapq.heappop(self._heap)
             action(*arguments)
-        return [self._answers[key] for key in sorted(self._answers)]
+        return [self._records[key] for key in sorted(self._records)]
 
-    def _at(self, at_ms, action, *arguments):
-        entry = (max(at_ms, self._now_ms), next(self._order), action, arguments)
+    def _schedule(self, at_ms, action, *arguments):
+        entry = (max(at_ms, self._now_ms), next(self._event_numbers), action, arguments)
         heapq.heappush(self._heap, entry)
 
     def _start_engines(self):
@@ -111,11 +111,11 @@
             config = GENERATIONS[generation]
             model = EngineModel.from_config(_without_tokens(config))
             self._engines[upstream.upstream_id] = _Engine(model, upstream)
-        self._publish()
+        self._update_upstreams()
 
-    def _publish(self):
+    def _update_upstreams(self):
         listed = [item.upstream for item in self._engines.values() if item.alive]
-        self._decide(self._policy.set_upstreams(listed, self._now_ms))
+        self._apply_decisions(self._policy.set_upstreams(listed, self._now_ms))
 
     def _arrive(self, index, arrival):
         tier = self._load.tiers[arrival.tier_rank]
@@ -132,122 +132,126 @@
             entry_host="host-1",
             failure_domain=arrival.failure_domain,
         )
-        self._answers[request.request_id] = RequestRecord(arrival, request)
+        self._records[request.request_id] = RequestRecord(arrival, request)
         self._budget.on_request()
-        self._decide(self._policy.submit(request, self._now_ms))
+        self._apply_decisions(self._policy.submit(request, self._now_ms))
 
-    def _decide(self, decisions):
+    def _apply_decisions(self, decisions):
         for decision in decisions:
-            answer = self._answers[decision.request.request_id]
+            record = self._records[decision.request.request_id]
             if isinstance(decision, Rejected):
-                answer.record_refusal(decision.code, self._now_ms)
+                record.record_refusal(decision.code, self._now_ms)
             elif isinstance(decision, Granted):
-                self._dispatch(decision, answer)
+                self._dispatch(decision, record)
 
-    def _dispatch(self, decision, answer):
+    def _dispatch(self, decision, record):
         grant, request = decision.grant, decision.request
         engine = self._engines[grant.upstream_id]
         if not engine.alive:
-            self._at(self._now_ms + 1, self._connect_failed, grant, answer)
+            self._schedule(self._now_ms + 1, self._connect_failed, grant, record)
             return
         self._grants[request.request_id] = grant
-        best = max(
+        best_match_blocks = max(
             item.cache.match(request.prefix_hashes)
             for item in self._engines.values()
             if item.alive
         )
-        answer.record_dispatch(best, self._now_ms)
+        record.record_dispatch(best_match_blocks, self._now_ms)
         engine.model.submit(
             request.request_id,
             request.prompt_tokens,
-            answer.arrival.output_tokens,
+            record.arrival.output_tokens,
             request.prefix_hashes,
             self._now_ms,
         )
-        self._at(request.deadline_ms, self._hang_up, request.request_id)
-        self._wake(engine)
+        self._schedule(request.deadline_ms, self._disconnect_caller, request.request_id)
+        self._schedule_wakeup(engine)
 
-    def _connect_failed(self, grant, answer):
+    def _connect_failed(self, grant, record):
         outcome = Outcome(kind=OutcomeKind.CONNECT_FAILED)
-        self._decide(self._policy.release(grant.grant_id, outcome, self._now_ms))
-        answer.attempts += 1
+        self._apply_decisions(
+            self._policy.release(grant.grant_id, outcome, self._now_ms)
+        )
+        record.attempts += 1
         self.failed_connects += 1
         kind = OutcomeKind.CONNECT_FAILED
-        if self._budget.take(kind, answer.attempts, self._now_ms):
-            self._decide(self._policy.submit(answer.request, self._now_ms))
+        if self._budget.take(kind, record.attempts, self._now_ms):
+            self._apply_decisions(self._policy.submit(record.request, self._now_ms))
         else:
-            answer.record_failure(self._now_ms)
+            record.record_failure(self._now_ms)
 
-    def _wake(self, engine):
+    def _schedule_wakeup(self, engine):
         at_ms = engine.model.next_event_ms()
         if at_ms is None:
             return
-        engine.wake += 1
-        self._at(at_ms, self._advance, engine, engine.wake)
+        engine.wakeup_number += 1
+        self._schedule(at_ms, self._advance, engine, engine.wakeup_number)
 
-    def _advance(self, engine, wake):
-        if wake == engine.wake and engine.alive:
+    def _advance(self, engine, wakeup_number):
+        if wakeup_number == engine.wakeup_number and engine.alive:
             self._collect(engine)
-            self._wake(engine)
+            self._schedule_wakeup(engine)
 
     def _collect(self, engine):
         events = engine.model.advance(self._now_ms)
         for stored, removed in engine.model.take_cache_changes():
             engine.cache.apply(stored, removed)
         for event in events:
-            answer = self._answers[event.request_id]
+            record = self._records[event.request_id]
             if event.kind is EngineEventKind.FIRST_TOKEN:
-                answer.record_first_token(event.cached_tokens, event.at_ms)
-                self._tell_first_token(event.request_id, answer)
+                record.record_first_token(event.cached_tokens, event.at_ms)
+                self._report_first_token(event.request_id, record)
             elif event.kind is EngineEventKind.FINISHED:
-                answer.record_completion(event.at_ms)
-                self._release(event.request_id, OutcomeKind.SUCCESS, answer)
+                record.record_completion(event.at_ms)
+                self._release(event.request_id, OutcomeKind.SUCCESS, record)
 
-    def _tell_first_token(self, request_id, answer):
-        if not self._tells_first_token:
+    def _report_first_token(self, request_id, record):
+        if not self._reports_first_token:
             return
         grant = self._grants[request_id]
-        first_token_ms = answer.since_dispatch_ms(answer.first_token_ms)
+        first_token_ms = record.since_dispatch_ms(record.first_token_ms)
         decisions = self._policy.observe_first_token(
             grant.grant_id, first_token_ms, self._now_ms
         )
-        self._decide(decisions)
+        self._apply_decisions(decisions)
 
-    def _release(self, request_id, kind, answer):
+    def _release(self, request_id, kind, record):
         grant = self._grants.pop(request_id)
         outcome = Outcome(
             kind=kind,
-            first_token_ms=answer.since_dispatch_ms(answer.first_token_ms),
-            total_ms=answer.since_dispatch_ms(self._now_ms),
-            output_tokens=answer.arrival.output_tokens,
-            cached_tokens=answer.cached_tokens,
+            first_token_ms=record.since_dispatch_ms(record.first_token_ms),
+            total_ms=record.since_dispatch_ms(self._now_ms),
+            output_tokens=record.arrival.output_tokens,
+            cached_tokens=record.cached_tokens,
+        )
+        self._apply_decisions(
+            self._policy.release(grant.grant_id, outcome, self._now_ms)
         )
-        self._decide(self._policy.release(grant.grant_id, outcome, self._now_ms))
 
-    def _hang_up(self, request_id):
-        """The caller's deadline: it goes away, and the engine's work is cancelled."""
+    def _disconnect_caller(self, request_id):
+        """Cancel the engine's work at the deadline, when the caller disconnects."""
         grant = self._grants.get(request_id)
         if grant is None:
             return
         engine = self._engines[grant.upstream_id]
         self._collect(engine)
         if engine.model.cancel(request_id, self._now_ms) is None:
-            # It finished in this very millisecond.
-            self._wake(engine)
+            # The answer finished within the same millisecond.
+            self._schedule_wakeup(engine)
             return
-        answer = self._answers[request_id]
-        answer.record_failure(self._now_ms)
-        self._release(request_id, OutcomeKind.TIMEOUT, answer)
-        self._wake(engine)
+        record = self._records[request_id]
+        record.record_failure(self._now_ms)
+        self._release(request_id, OutcomeKind.TIMEOUT, record)
+        self._schedule_wakeup(engine)
 
     def _slow_down(self, change):
         engine = self._engines[f"u{change.upstream:04}"]
         engine.model.set_slowdown(change.permille)
-        if change.freezes_reports and engine.frozen is None:
-            engine.frozen = engine.model.load()
-        self._wake(engine)
+        if change.freezes_reports and engine.frozen_load is None:
+            engine.frozen_load = engine.model.load()
+        self._schedule_wakeup(engine)
 
-    def _lose(self, loss):
+    def _lose_domain(self, loss):
         lost = [
             item
             for item in self._engines.values()
@@ -256,38 +260,40 @@
         for engine in lost:
             engine.alive = False
         ids = {item.upstream.upstream_id for item in lost}
-        held = [key for key, grant in self._grants.items() if grant.upstream_id in ids]
-        for request_id in held:
-            answer = self._answers[request_id]
-            answer.record_failure(self._now_ms)
-            self._release(request_id, OutcomeKind.BROKE_OFF, answer)
-        self._at(self._now_ms + loss.list_lag_ms, self._publish)
+        affected = [
+            key for key, grant in self._grants.items() if grant.upstream_id in ids
+        ]
+        for request_id in affected:
+            record = self._records[request_id]
+            record.record_failure(self._now_ms)
+            self._release(request_id, OutcomeKind.BROKE_OFF, record)
+        self._schedule(self._now_ms + loss.list_lag_ms, self._update_upstreams)
 
     def _tick(self, end_ms):
-        self._decide(self._policy.tick(self._now_ms))
+        self._apply_decisions(self._policy.tick(self._now_ms))
         if self._now_ms < end_ms:
-            self._at(self._now_ms + TICK_MS, self._tick, end_ms)
+            self._schedule(self._now_ms + TICK_MS, self._tick, end_ms)
 
     def _report(self, end_ms):
         lag_ms = self._load.report_lag_ms
         for engine in self._engines.values():
             if engine.alive:
-                load = engine.frozen or engine.model.load()
+                load = engine.frozen_load or engine.model.load()
                 report = LoadReport(
                     upstream_id=engine.upstream.upstream_id,
                     in_flight=load.in_flight,
                     queued=load.queued,
                     age_ms=lag_ms,
                 )
-                self._at(self._now_ms + lag_ms, self._observe, report)
+                self._schedule(self._now_ms + lag_ms, self._observe, report)
         if self._now_ms < end_ms:
-            self._at(self._now_ms + REPORT_INTERVAL_MS, self._report, end_ms)
+            self._schedule(self._now_ms + REPORT_INTERVAL_MS, self._report, end_ms)
 
     def _observe(self, report):
-        self._decide(self._policy.observe_load(report, self._now_ms))
+        self._apply_decisions(self._policy.observe_load(report, self._now_ms))
 
 
 def _without_tokens(config):
-    """Return the configuration without an event for each token."""
+    """Return the configuration with per-token events switched off."""
     fields = {name: getattr(config, name) for name in config.__struct_fields__}
     return type(config)(**(fields | {"report_tokens": False}))
--- a/libs/standins/src/hemlockhoist/standins/measure/slopes.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the scheduler's memory and processor time, for the capacity page."""
+"""Growth of the scheduler's memory and processor time, for the capacity page."""
 
 import gc
 import statistics
@@ -27,7 +27,7 @@
 UPSTREAM_POINTS = (8, 16, 24, 32, 48)
 REQUEST_POINTS = (200, 400, 800, 1_600)
 CUSTOMER_POINTS = (200, 400, 800, 1_700)
-# Requests granted and given back to time one cycle.
+# Requests granted and released to time one cycle.
 CYCLES = 400
 TICKS = 200
 PREFIX_BLOCKS = 128
@@ -39,13 +39,13 @@
 
 
 class Slope:
-    """A straight line through points, and how far repeats lie apart.
+    """Linear fit of points, and the spread of its slope over repeats.
 
     Parameters
     ==========
     name, unit : str
     points : list of (int, list of float)
-        Size, and the value of each repeat.
+        Size and the value of each repeat.
     """
 
     __slots__ = ("base", "name", "points", "r_squared", "slope", "spread", "unit")
@@ -62,7 +62,7 @@
         self.spread = self._spread()
 
     def _spread(self):
-        """Return half the range of the slopes of single repeats."""
+        """Return half the range of the slopes of the single repeats."""
         slopes = []
         for repeat in range(len(self.points[0][1])):
             xs = [x for x, _ in self.points]
@@ -71,7 +71,7 @@
         return (max(slopes) - min(slopes)) / 2
 
     def row(self):
-        """Return the line of the table in Markdown."""
+        """Return the row of the Markdown table."""
         points = ", ".join(
             f"{x}: {statistics.mean(values):,.1f}" for x, values in self.points
         )
@@ -85,12 +85,12 @@
         return "| " + " | ".join(cells) + " |"
 
 
-def _scheduler(upstreams, places=64, max_queued=100_000):
+def _scheduler(upstreams, slots=64, max_queued=100_000):
     pool = Pool(
         name="assistant",
         kind=PoolKind.MODEL,
         stable_version="v1",
-        max_in_flight_per_upstream=places,
+        max_in_flight_per_upstream=slots,
     )
     tiers = [
         Tier(
@@ -102,9 +102,9 @@
         )
         for rank in range(5)
     ]
-    made = PoolScheduler.from_config(pool, tiers, "m")
-    made.set_upstreams([_upstream(n) for n in range(upstreams)], 0)
-    return made
+    scheduler = PoolScheduler.from_config(pool, tiers, "m")
+    scheduler.set_upstreams([_upstream(n) for n in range(upstreams)], 0)
+    return scheduler
 
 
 def _upstream(number):
@@ -137,89 +137,90 @@
 
 
 def _bytes_of(build):
-    """Return the bytes that stay allocated for what ``build`` returns."""
+    """Return the bytes that the object returned by ``build`` keeps allocated."""
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    retained = build()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return float(size)
 
 
 def _with_queue(count):
-    """Return a scheduler with one busy place and ``count`` waiting requests."""
-    sched = _scheduler(1, places=1)
+    """Return a scheduler with one busy slot and ``count`` queued requests."""
+    scheduler = _scheduler(1, slots=1)
     for number in range(count + 1):
-        sched.submit(_request(number), 0)
-    return sched
+        scheduler.submit(_request(number), 0)
+    return scheduler
 
 
 def _with_grants(count):
-    sched = _scheduler(count // 16, places=16)
+    scheduler = _scheduler(count // 16, slots=16)
     for number in range(count):
-        sched.submit(_request(number), 0)
-    return sched
+        scheduler.submit(_request(number), 0)
+    return scheduler
 
 
 def _with_customers(count):
-    """Return a scheduler that has served and remembers ``count`` customers."""
-    sched = _scheduler(8)
+    """Return a scheduler that has served and tracks ``count`` customers."""
+    scheduler = _scheduler(8)
     for number in range(count):
-        decisions = sched.submit(_request(number, count), number)
+        decisions = scheduler.submit(_request(number, count), number)
         for grant_id in _grant_ids(decisions):
-            sched.release(grant_id, _SUCCESS, number)
-    sched.tick(60_000)
-    return sched
+            scheduler.release(grant_id, _SUCCESS, number)
+    scheduler.tick(60_000)
+    return scheduler
 
 
 def _with_prefixes(count):
-    sched = _scheduler(count)
-    held = []
+    scheduler = _scheduler(count)
+    grant_ids = []
     for number in range(count * 2_048 // PREFIX_BLOCKS):
         first = number * PREFIX_BLOCKS + (1 << 60)
         hashes = tuple(range(first, first + PREFIX_BLOCKS))
-        held += _grant_ids(sched.submit(_request(number, hashes=hashes), 0))
-    # Given back only now: grants in flight spread the prompts over all upstreams.
-    for grant_id in held:
-        sched.release(grant_id, _SUCCESS, 1)
-    sched.tick(60_000)
-    return sched
+        grant_ids += _grant_ids(scheduler.submit(_request(number, hashes=hashes), 0))
+    # Released only after all submits: grants in flight spread the prompts over all
+    # upstreams.
+    for grant_id in grant_ids:
+        scheduler.release(grant_id, _SUCCESS, 1)
+    scheduler.tick(60_000)
+    return scheduler
 
 
 def _us_per_cycle(upstreams):
-    """Return microseconds of a submit with a release, all places taken."""
-    sched = _scheduler(upstreams, places=4)
-    held = []
+    """Return the microseconds of a submit and a release with all slots taken."""
+    scheduler = _scheduler(upstreams, slots=4)
+    grant_ids = []
     for number in range(upstreams * 4 + 200):
-        held += _grant_ids(sched.submit(_request(number), 0))
+        grant_ids += _grant_ids(scheduler.submit(_request(number), 0))
     begin = time.process_time()
     for number in range(CYCLES):
-        held += _grant_ids(sched.submit(_request(1_000_000 + number), 10))
-        held += _grant_ids(sched.release(held.pop(0), _SUCCESS, 10))
+        grant_ids += _grant_ids(scheduler.submit(_request(1_000_000 + number), 10))
+        grant_ids += _grant_ids(scheduler.release(grant_ids.pop(0), _SUCCESS, 10))
     return (time.process_time() - begin) * 1e6 / CYCLES
 
 
 def _us_per_tick(grants):
-    sched = _with_grants(grants)
+    scheduler = _with_grants(grants)
     begin = time.process_time()
     for number in range(TICKS):
-        sched.tick(100 * number)
+        scheduler.tick(100 * number)
     return (time.process_time() - begin) * 1e6 / TICKS
 
 
 def _us_per_report(upstreams):
-    sched = _scheduler(upstreams)
+    scheduler = _scheduler(upstreams)
     report = LoadReport(upstream_id="u00000", in_flight=3, queued=0)
     begin = time.process_time()
     for number in range(CYCLES):
-        sched.observe_load(report, number)
+        scheduler.observe_load(report, number)
     return (time.process_time() - begin) * 1e6 / CYCLES
 
 
 def _bytes_per_request(blocks):
-    """Return the bytes of the messages between entry host and home for a request."""
+    """Return the size of the messages between entry host and home for a request."""
     random_hash = (1 << 63) + 12_345
     brief = RequestBrief(
         request_id="host-0001:000000001",
@@ -259,7 +260,7 @@
     return float(sum(len(msgspec.msgpack.encode(item)) for item in messages))
 
 
-_PLAN = (
+_MEASUREMENTS = (
     ("memory of an upstream", "B", UPSTREAM_POINTS, _scheduler, True),
     ("and its full prefix map", "B", UPSTREAM_POINTS, _with_prefixes, True),
     ("memory of a customer", "B", CUSTOMER_POINTS, _with_customers, True),
@@ -273,14 +274,14 @@
 
 
 def measure():
-    """Return the slopes.
+    """Return the fitted slopes of all measurements.
 
     Returns
     =======
     list of Slope
     """
     slopes = []
-    for name, unit, sizes, build, is_memory in _PLAN:
+    for name, unit, sizes, build, is_memory in _MEASUREMENTS:
         points = []
         for size in sizes:
             values = [_value(build, size, is_memory) for _ in range(REPEATS)]
@@ -296,6 +297,6 @@
 
 
 def render(slopes):
-    """Return the lines of a table in Markdown."""
+    """Return the lines of the Markdown table."""
     header = "| what | slope | base | r² | points |"
     return [header, "|---|---|---|---|---|", *(item.row() for item in slopes)]
--- a/libs/standins/src/hemlockhoist/standins/measure/table.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/table.py
@@ -1,4 +1,4 @@
-"""The measures as one table: load × policy × measure, with spread over seeds."""
+"""Table of the figures of each load and policy, with the spread over seeds."""
 
 import statistics
 
@@ -18,18 +18,18 @@
     "out of tier order",
     "against baselines",
 )
-# Differences of goodput below this, in answers a second, are less than one answer in
-# the shortest load.
-_SAME_PER_S = 0.015
+# Goodput differences, in answers a second, that count as level: less than one answer
+# in the shortest load.
+_LEVEL_MARGIN_PER_S = 0.015
 
 
 def render(groups):
-    """Return the lines of the table in Markdown.
+    """Return the lines of the Markdown table.
 
     Parameters
     ==========
     groups : dict of (str, str) to dict of str to list of RunResult
-        By load and deployment, then by policy: one result for each seed.
+        Results by load and deployment, then by policy, with one result for each seed.
     """
     lines = [_row(_HEADER), _row("---" for _ in _HEADER)]
     for (load, deployment), by_policy in groups.items():
@@ -41,7 +41,7 @@
 
 
 def shortfalls(groups):
-    """Return one line for each load in which the product is behind a baseline."""
+    """Return one line for each load in which the scheduler is behind a baseline."""
     lines = []
     for (load, deployment), by_policy in groups.items():
         verdict = _verdict(by_policy)
@@ -59,7 +59,7 @@
     refused = zip(*(item.refused_permille for item in results), strict=True)
     top_ms = statistics.mean(item.top_first_token_p95_ms for item in results)
     all_ms = statistics.mean(item.first_token_p95_ms for item in results)
-    between_ms = statistics.mean(item.inter_token_p95_ms for item in results)
+    inter_token_ms = statistics.mean(item.inter_token_p95_ms for item in results)
     wasted = statistics.mean(item.wasted_permille for item in results)
     fairness = statistics.mean(item.fairness for item in results)
     return (
@@ -67,7 +67,7 @@
         _spread([item.total_per_s for item in results]),
         " ".join(f"{statistics.mean(values):.1f}" for values in goodput),
         f"{top_ms:.0f}, {all_ms:.0f}",
-        f"{between_ms:.0f}",
+        f"{inter_token_ms:.0f}",
         f"{wasted:.0f}",
         f"{fairness:.2f}",
         " ".join(f"{statistics.mean(values):.0f}" for values in refused),
@@ -76,13 +76,13 @@
 
 
 def _spread(values):
-    """Return the mean and half the range."""
+    """Return the mean and half the range of the values as text."""
     half = (max(values) - min(values)) / 2
     return f"{statistics.mean(values):.2f} ± {half:.2f}"
 
 
 def _verdict(by_policy):
-    """Compare seed by seed: every policy has met the same arrivals."""
+    """Compare the scheduler with the baselines seed by seed, on the same arrivals."""
     own = by_policy[PRODUCT_POLICY]
     top, total = [], []
     for policy, results in by_policy.items():
@@ -93,20 +93,24 @@
         total.append([a.total_per_s - b.total_per_s for a, b in pairs])
     offered = statistics.mean(item.offered_per_s[0] for item in own)
     reached = statistics.mean(item.goodput_per_s[0] for item in own)
-    share = 100 * reached / offered
+    percent_of_offered = 100 * reached / offered
     worst_top = min(statistics.mean(values) for values in top)
     worst_total = min(total, key=statistics.mean)
-    parts = [f"top {_word(worst_top)} ({share:.1f} % of offered)"]
+    clauses = [f"top {_comparison(worst_top)} ({percent_of_offered:.1f} % of offered)"]
     half = (max(worst_total) - min(worst_total)) / 2
     margin = statistics.mean(worst_total)
-    word = "within spread" if -half <= margin < -_SAME_PER_S else _word(margin)
-    parts.append(f"total {word} ({margin:+.2f} ± {half:.2f})")
-    return "; ".join(parts)
+    comparison = (
+        "within spread"
+        if -half <= margin < -_LEVEL_MARGIN_PER_S
+        else _comparison(margin)
+    )
+    clauses.append(f"total {comparison} ({margin:+.2f} ± {half:.2f})")
+    return "; ".join(clauses)
 
 
-def _word(difference):
-    if difference > _SAME_PER_S:
+def _comparison(difference):
+    if difference > _LEVEL_MARGIN_PER_S:
         return "ahead"
-    if difference < -_SAME_PER_S:
+    if difference < -_LEVEL_MARGIN_PER_S:
         return "behind"
     return "level"
