--- a/libs/upstreams/src/hemlockhoist/upstreams/client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/client.py
@@ -1,4 +1,4 @@
-"""Dispatch to upstreams over HTTP, with a known point of no return."""
+"""HTTP client of upstreams that knows whether a request may have been sent."""
 
 import asyncio
 import contextlib
@@ -20,27 +20,27 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 VERSION_HEADER = "X-Upstream-Version"
-# Three times the round trip of the farthest region, and under the time in which a
-# grant lapses: a connection that takes longer is to a dead upstream.
+# Three times the round trip to the farthest region, and less than the lifetime of a
+# grant. An upstream that takes longer to connect is treated as dead.
 CONNECT_TIMEOUT_MS = 1_000
-# What may be read ahead of a slow caller for one stream.
+# Bound on the bytes that are read ahead of a slow caller for one stream.
 READ_BUFFER_BYTES = 65_536
 
 
 class UpstreamCall(msgspec.Struct, frozen=True, kw_only=True):
-    """A request as it goes to an upstream.
+    """A request to an upstream.
 
     Parameters
     ==========
     address : str
         ``IP:port``.
     method, path : str
-        ``path`` with its query.
+        ``path`` includes the query.
     headers : tuple of (str, str)
     body : bytes
     request_id : str
     idle_timeout_ms : int
-        Longest silence of the upstream.
+        Longest time without data from the upstream.
     """
 
     address: str
@@ -53,13 +53,13 @@
 
 
 class UpstreamResponse:
-    """The answer of an upstream, body still to be read.
+    """Response of an upstream, whose body is not read yet.
 
     Parameters
     ==========
     response : aiohttp.ClientResponse
     request_id_header : str, optional
-        In which upstreams echo the request's id.
+        Header in which upstreams echo the request's id.
     """
 
     __slots__ = ("_request_id_header", "_response")
@@ -70,51 +70,51 @@
 
     @property
     def status(self):
-        """The HTTP status."""
+        """The HTTP status code."""
         return self._response.status
 
     @property
     def headers(self):
-        """The answer's headers, a multi-valued mapping."""
+        """The response's headers, a multi-valued mapping."""
         return self._response.headers
 
     @property
     def version(self):
-        """The version that the upstream says it runs; empty when it says none."""
+        """The version that the upstream reports to run; empty if it reports none."""
         return self._response.headers.get(VERSION_HEADER, "")
 
     def matches_request(self, request_id):
-        """Return whether the answer says it belongs to another request.
+        """Return whether the response belongs to the request.
 
-        An upstream that echoes no request id is believed: the connection carried
-        one request only.
+        A response without an echoed request id is accepted, as its connection carried
+        only one request.
         """
         echoed = self._response.headers.get(self._request_id_header)
         return echoed is None or echoed == request_id
 
     def close(self):
-        """End the connection; a read that waits ends with an error."""
+        """Close the connection; a pending read raises an error."""
         self._response.close()
 
     async def chunks(self):
-        """Yield the body as it comes.
+        """Yield the body in chunks as they arrive.
 
         Raises
         ======
         DispatchError
-            When the body breaks off or pauses too long.
+            When the body breaks off, or no data arrives within the idle timeout.
         """
         with _dispatch_errors():
             async for chunk in self._response.content.iter_any():
                 yield chunk
 
     async def read(self, max_bytes):
-        """Return the whole body.
+        """Return the complete body.
 
         Raises
         ======
         DispatchError
-            When it breaks off, or is longer than ``max_bytes``.
+            As in ``chunks``, and when the body is longer than ``max_bytes``.
         """
         parts = []
         size = 0
@@ -122,18 +122,18 @@
             parts.append(chunk)
             size += len(chunk)
             if size > max_bytes:
-                text = f"an answer of more than {max_bytes} bytes"
+                text = f"response body longer than {max_bytes} bytes"
                 raise DispatchError(text, ResultCode.UPSTREAM_BROKE_OFF)
         return b"".join(parts)
 
 
 @contextlib.contextmanager
 def _dispatch_errors():
-    """Turn the HTTP library's errors after dispatch into numbered ones."""
+    """Convert errors of the HTTP library after a dispatch to ``DispatchError``."""
     try:
         yield
     except (TimeoutError, aiohttp.ServerTimeoutError) as error:
-        text = "the upstream was silent for too long"
+        text = "no data from the upstream within the idle timeout"
         raise DispatchError(text, ResultCode.UPSTREAM_TIMEOUT) from error
     except aiohttp.ClientPayloadError as error:
         text = "the answer broke off before its end"
@@ -145,14 +145,14 @@
 class UpstreamClient:
     """Sends requests to upstreams, each over a connection of its own.
 
-    A connection is made before the grant is checked, and used for one request. A kept
-    connection that the upstream has just closed would turn a request that never ran
-    into "outcome unknown"; the price is one round trip, some 3 ms.
+    A connection is made before the grant is checked, and is used for one request. On a
+    kept-alive connection that the upstream has just closed, a request that never ran
+    would end as "outcome unknown". The cost is one round trip per request, about 3 ms.
 
     Parameters
     ==========
     request_id_header : str, optional
-        In which a request carries its id, and its answer echoes it.
+        Header in which a request carries its id, and its response echoes it.
     connect_timeout_ms : int, optional
 
     Attributes
@@ -162,7 +162,7 @@
 
     __slots__ = (
         "_connect_timeout_ms",
-        "_own_session",
+        "_fetch_session",
         "_request_id_header",
         "_session",
         "response_ids",
@@ -176,29 +176,29 @@
         self._request_id_header = request_id_header
         self._connect_timeout_ms = connect_timeout_ms
         self._session = None
-        self._own_session = None
+        self._fetch_session = None
         self.response_ids = ResponseIdTracker()
 
     async def start(self):
-        """Open the session."""
+        """Open the sessions."""
         trace = aiohttp.TraceConfig()
         trace.on_connection_create_end.append(_check_guard)
         connector = ResetDetectingConnector(force_close=True, limit=0)
         self._session = _open_session(connector, [trace])
-        # Load reports change nothing and are asked for all the time: they may use a
-        # kept connection, and the library may repeat them.
+        # Requests for load reports change nothing and are frequent: they may use a
+        # kept-alive connection, and the library may resend them.
         connector = DirectConnector(limit=0, limit_per_host=1)
-        self._own_session = _open_session(connector, [])
+        self._fetch_session = _open_session(connector, [])
 
     async def close(self):
         """Close the sessions."""
-        for session in (self._session, self._own_session):
+        for session in (self._session, self._fetch_session):
             if session is not None:
                 await session.close()
 
     @contextlib.asynccontextmanager
     async def dispatch(self, call, guard):
-        """Connect, pass the guard, send, and give the answer's head.
+        """Connect, check the guard, send the request and yield its response.
 
         Parameters
         ==========
@@ -210,7 +210,7 @@
         Refused
             ``CONNECT_FAILED`` or ``GRANT_EXPIRED``: nothing was sent.
         DispatchError
-            After the guard opened.
+            When the request may have been sent.
         """
         response = await self._send(call, guard)
         try:
@@ -235,20 +235,20 @@
                 trace_request_ctx=guard,
             )
         except RepeatedDispatch as error:
-            text = "the connection broke before an answer came"
+            text = "the connection was lost before a response arrived"
             raise DispatchError(text, ResultCode.OUTCOME_UNKNOWN) from error
         except TimeoutError as error:
             raise _classify(guard, error, ResultCode.UPSTREAM_TIMEOUT) from error
         except (aiohttp.ClientError, OSError) as error:
             raise _classify(guard, error, ResultCode.OUTCOME_UNKNOWN) from error
         except ValueError as error:
-            # A header or path that the library will not send.
+            # The library rejects a header or the path.
             if guard.dispatched:
                 raise _classify(guard, error, ResultCode.OUTCOME_UNKNOWN) from error
             raise BadRequest(str(error)) from error
 
     async def fetch(self, call):
-        """Make a request of the host's own that changes nothing, and read it whole.
+        """Send a request of the host itself that changes nothing; read the response.
 
         Returns
         =======
@@ -258,17 +258,19 @@
         Raises
         ======
         DispatchError
-            When no whole answer came.
+            When no complete response arrived.
         """
         with _dispatch_errors():
-            response = await self._send(call, _NoGuard(), self._own_session)
+            response = await self._send(call, _NoGuard(), self._fetch_session)
         async with response:
-            answer = UpstreamResponse(response)
-            return answer.status, await answer.read(MAX_OWN_ANSWER_BYTES)
+            upstream_response = UpstreamResponse(response)
+            return upstream_response.status, await upstream_response.read(
+                MAX_FETCH_BYTES
+            )
 
     @contextlib.asynccontextmanager
     async def attach(self, call):
-        """Make a request that is no dispatch (resume, cancel, load report)."""
+        """Send a request that is not a dispatch (resume, cancel, load report)."""
         with _dispatch_errors():
             response = await self._send(call, _NoGuard())
         try:
@@ -288,11 +290,11 @@
     )
 
 
-MAX_OWN_ANSWER_BYTES = 1_048_576
+MAX_FETCH_BYTES = 1_048_576
 
 
 class _NoGuard:
-    """A guard for requests that are no dispatch: it lets all through."""
+    """Guard for requests that are not dispatches, which permits all of them."""
 
     __slots__ = ()
     dispatched = True
@@ -302,24 +304,23 @@
 
 
 def _classify(guard, error, code):
-    """Return the error to raise: refused while nothing was sent."""
+    """Return the error to raise: ``Refused`` as long as nothing was sent."""
     if guard.dispatched:
         return DispatchError(repr(error), code)
-    return Refused(f"no connection: {error!r}", ResultCode.CONNECT_FAILED)
+    return Refused(f"connection failed: {error!r}", ResultCode.CONNECT_FAILED)
 
 
 async def _check_guard(_session, context, _params):
     """Check the grant on the new connection, before the library writes to it.
 
-    aiohttp writes the head in the step that follows without another wait for input
-    or output, so nothing can come between the check and the first byte but a stop
-    of the whole process.
+    aiohttp writes the request head in the next step without waiting for I/O, so only a
+    suspension of the whole process can come between the check and the first byte.
     """
     context.trace_request_ctx.begin_dispatch()
 
 
 async def cancel_stream(client, address, request_id):
-    """Tell an engine that nobody waits for a stream; failures are left to its timer."""
+    """Ask an engine to stop an abandoned stream; if that fails, it times out there."""
     call = UpstreamCall(
         address=address,
         method="DELETE",
--- a/libs/upstreams/src/hemlockhoist/upstreams/connections.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/connections.py
@@ -1,4 +1,4 @@
-"""Connections that show when their other end is gone, and how an answer ended."""
+"""Connectors that detect dead peers, and responses that end with a reset."""
 
 import asyncio
 import functools
@@ -8,82 +8,84 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-# A machine without power, or behind a cut, answers nothing: a connection to it hangs
-# for as long as the kernel repeats what was sent, which is many minutes. With these it
-# ends within about three seconds, sending or idle. Not for connections to upstreams:
-# an answer that a short cut held back still comes, and may be the only one there is.
+# A machine that lost power or is behind a network partition does not answer, and a
+# connection to it hangs while the kernel retransmits, for many minutes. With these
+# options the connection ends within about three seconds, sending or idle. They are not
+# used for connections to upstreams: a response delayed by a short partition still
+# arrives, and may be the only one there is.
 TCP_USER_TIMEOUT_MS = 3_000
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 
 
-def enable_tcp_keepalive(found):
-    """Set the options that end a connection whose other end is silent."""
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+def enable_tcp_keepalive(sock):
+    """Set the socket options that end a connection whose peer does not answer."""
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
-class _ExactEndHandler(ResponseHandler):
-    """Reports an answer as broken when its connection was reset.
+class _ResetDetectingHandler(ResponseHandler):
+    """Reports a response as broken off when its connection was reset.
 
-    Failure: an answer without a length ends with its connection. The HTTP library
-    takes a reset for such an end too, and a caller gets a part of an answer that looks
-    whole. Here the body's reader is failed before the library marks its end.
+    A response without a length ends with its connection. The HTTP library treats a
+    reset as such an end too, and a caller would receive a part of a response that
+    looks complete. Here the body's reader gets an error before the library marks the
+    end of the body.
 
-    The event loop hides some resets besides: where one arrives together with the last
-    data, libuv reports an orderly end. The socket still holds the error then.
+    The event loop also hides some resets: if one arrives together with the last data,
+    libuv reports an orderly end. The socket still holds the error then.
     """
 
     def connection_lost(self, exc):
-        """Take the end of the connection; ``exc`` is None for an orderly one."""
+        """Handle the end of the connection; ``exc`` is None for an orderly one."""
         payload = self._payload
         if payload is not None and not payload.is_eof():
             exc = exc or _pending_error(self.transport)
             if exc is not None:
-                error = aiohttp.ClientPayloadError(f"the connection was lost: {exc!r}")
+                error = aiohttp.ClientPayloadError(f"connection lost: {exc!r}")
                 payload.set_exception(error)
         super().connection_lost(exc)
 
 
 def _pending_error(transport):
-    """Return the error that a connection's socket holds, or None."""
-    found = transport.get_extra_info("socket") if transport is not None else None
-    if found is None:
+    """Return the pending error of a connection's socket, or None."""
+    sock = transport.get_extra_info("socket") if transport is not None else None
+    if sock is None:
         return None
-    number = found.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-    return OSError(number, os.strerror(number)) if number else None
+    code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    return OSError(code, os.strerror(code)) if code else None
 
 
 class DirectConnector(aiohttp.BaseConnector):
-    """Connects to ``IP:port`` addresses, without names and without TLS.
+    """Connects to ``IP:port`` addresses, without DNS and without TLS.
 
-    Failure: a caller leaves, or a time limit passes, in the moment in which a connection
-    has been made and the HTTP library hands its socket to the event loop. The library
-    closes the socket, of which the loop goes on to own the number. Every connection that
-    is given that number from there on fails, for as long as the process runs, or the
-    loop ends the process. Here the loop makes the connection itself, and a cancelled one
-    is taken back by who owns it.
+    It guards against the reuse of a file descriptor that is still in use. The HTTP
+    library's own connector hands a connected socket to the event loop. If a caller
+    disconnects or a timeout expires at that moment, the library closes the socket,
+    while the event loop still owns its descriptor. Every later connection that is given
+    that descriptor fails for as long as the process runs, or the loop ends the process.
+    Here the event loop makes the connection itself, and cleans up a cancelled one.
 
     Parameters
     ==========
     protocol : type, optional
-        Of the connections.
+        Protocol class of the connections.
     tcp_keepalive : bool, optional
-        Whether a connection whose other end is silent ends by itself.
+        Whether a connection whose peer does not answer is closed.
     options
         Those of ``aiohttp.BaseConnector``.
     """
 
     def __init__(self, protocol=ResponseHandler, tcp_keepalive=False, **options):
         super().__init__(**options)
-        # The library has no public way to give a protocol of one's own.
+        # The library has no public interface to set the protocol class.
         self._factory = functools.partial(protocol, loop=self._loop)
-        self._is_guarded = tcp_keepalive
+        self._tcp_keepalive = tcp_keepalive
 
     async def _create_connection(self, req, traces, timeout):
         try:
@@ -92,17 +94,17 @@
                     self._factory, req.url.host, req.url.port
                 )
         except TimeoutError as error:
-            text = f"no connection to {req.url.host}:{req.url.port} in time"
+            text = f"connection to {req.url.host}:{req.url.port} timed out"
             raise aiohttp.ConnectionTimeoutError(text) from error
         except OSError as error:
             raise aiohttp.ClientConnectorError(req.connection_key, error) from error
-        if self._is_guarded:
+        if self._tcp_keepalive:
             enable_tcp_keepalive(transport.get_extra_info("socket"))
         return protocol
 
 
 class ResetDetectingConnector(DirectConnector):
-    """A connector whose connections report exactly how an answer ended."""
+    """A connector whose connections report a response that ends with a reset."""
 
     def __init__(self, **options):
-        super().__init__(_ExactEndHandler, **options)
+        super().__init__(_ResetDetectingHandler, **options)
--- a/libs/upstreams/src/hemlockhoist/upstreams/events.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/events.py
@@ -1,24 +1,24 @@
-"""Server-sent events of an engine's stream, split and checked for completeness."""
+"""Parsing of an engine's server-sent events, and checks that none is missing."""
 
 import msgspec
 
 from hemlockhoist.base import DispatchError, ResultCode
 from hemlockhoist.upstreams.response_ids import ResponseIdTracker
 
-# A piece of an answer is a few hundred bytes; a stream that sends this much without
-# an end of event is broken, and must not fill the memory.
+# An event takes a few hundred bytes. A stream that sends this much without the end of
+# an event is malformed, and must not exhaust the memory.
 MAX_EVENT_BYTES = 262_144
 _SEPARATOR = b"\n\n"
 _DONE = b"data: [DONE]"
 _ID = b"id:"
-# An event that is passed on begins with its id, so its data stand on a later line.
+# An event that is relayed begins with its id field, so its data is on a later line.
 _DATA = b"\ndata:"
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One event: its offset in the stream and its bytes with the separator.
+    """One event: its offset in the stream, and its bytes with the separator.
 
-    ``offset`` is -1 for the end mark.
+    ``offset`` is -1 for the final ``[DONE]`` event.
     """
 
     offset: int
@@ -26,11 +26,11 @@
 
     @property
     def done(self):
-        """Whether this is the end mark."""
+        """Whether this is the final ``[DONE]`` event."""
         return self.offset < 0
 
     def data(self):
-        """Return the bytes of the event's data line, without its name."""
+        """Return the value of the event's data field, as bytes."""
         start = self.raw.find(_DATA)
         if start < 0:
             return b""
@@ -38,31 +38,31 @@
         return self.raw[start : self.raw.find(b"\n", start)]
 
     def response_id(self):
-        """Return the id of the answer that the piece says it belongs to, or ""."""
+        """Return the response id in the event's data, or an empty string."""
         try:
-            return _piece_decoder.decode(self.data()).id
+            return _event_decoder.decode(self.data()).id
         except msgspec.MsgspecError:
             return ""
 
 
-class _Piece(msgspec.Struct):
+class _EventData(msgspec.Struct):
     id: str = ""
 
 
-_piece_decoder = msgspec.json.Decoder(_Piece)
+_event_decoder = msgspec.json.Decoder(_EventData)
 
 
 class StreamGap(Exception):  # noqa: N818
-    """The stream lacks its pieces from ``expected`` on; it has to be resumed there."""
+    """The stream lacks its events from ``expected`` on and has to be resumed there."""
 
     def __init__(self, expected, got):
         self.expected = expected
         self.got = got
-        super().__init__(f"expected piece {expected}, got {got}")
+        super().__init__(f"expected event {expected}, got {got}")
 
 
 class EventSplitter:
-    """Splits a byte stream, cut anywhere, into whole events.
+    """Splits a byte stream, received in chunks of any size, into complete events.
 
     Examples
     ========
@@ -74,24 +74,24 @@
     [0, -1]
     """
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_remainder",)
 
     def __init__(self):
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, chunk):
-        """Return the events that are whole now.
+        """Return the events that ``chunk`` completes.
 
         Raises
         ======
         DispatchError
-            ``UPSTREAM_BROKE_OFF`` when the bytes are not a stream of events.
+            ``UPSTREAM_BROKE_OFF`` when the bytes are not an event stream.
         """
-        *parts, rest = (self._rest + chunk).split(_SEPARATOR)
-        if len(rest) > MAX_EVENT_BYTES:
-            text = f"an event of more than {MAX_EVENT_BYTES} bytes"
+        *parts, remainder = (self._remainder + chunk).split(_SEPARATOR)
+        if len(remainder) > MAX_EVENT_BYTES:
+            text = f"event longer than {MAX_EVENT_BYTES} bytes"
             raise DispatchError(text, ResultCode.UPSTREAM_BROKE_OFF)
-        self._rest = rest
+        self._remainder = remainder
         return [_parse(part) for part in parts if part]
 
 
@@ -103,35 +103,35 @@
             return StreamEvent(int(head), raw)
     if part.endswith(_DONE):
         return StreamEvent(-1, raw)
-    raise DispatchError("an event without offset", ResultCode.UPSTREAM_BROKE_OFF)
+    raise DispatchError("event without an offset", ResultCode.UPSTREAM_BROKE_OFF)
 
 
 class OffsetChecker:
-    """Passes each piece of a stream on once and in order.
+    """Passes each event of a stream on once and in order.
 
-    An engine may repeat pieces at a resume, or skip some. Repeated ones are dropped;
-    a skipped one raises ``StreamGap``, because a caller would read a wrong answer
-    that looks whole.
+    An engine may repeat events at a resume, or skip some. Repeated events are dropped.
+    A skipped one raises ``StreamGap``, as the caller would otherwise read a wrong
+    answer that looks complete.
 
-    An engine may also cross two answers after the head of one has gone out: the
-    offsets run on, and the text is somebody else's. It shows in the id that every
-    piece of a completion carries. A piece with another id counts as a gap, so that the
-    stream is resumed with its own pieces.
+    An engine may also mix up two answers after the head of one was sent: the offsets
+    continue, but the text belongs to another request. This shows in the response id
+    that every event of a completion carries. An event with another id is treated as a
+    gap, so that the stream is resumed with its own events.
 
     Parameters
     ==========
     expected : int
-        Offset of the first piece to pass on.
-    name : ResponseIdChecker, optional
-        The id that the pieces have to carry.
+        Offset of the first event to pass on.
+    id_checker : ResponseIdChecker, optional
+        Check of the response id that the events carry.
     """
 
-    __slots__ = ("_name", "done", "expected")
+    __slots__ = ("_id_checker", "done", "expected")
 
-    def __init__(self, expected=0, name=None):
+    def __init__(self, expected=0, id_checker=None):
         self.expected = expected
         self.done = False
-        self._name = name or ResponseIdTracker().checker_for("", "")
+        self._id_checker = id_checker or ResponseIdTracker().checker_for("", "")
 
     def check(self, events):
         """Return the events to pass on.
@@ -139,7 +139,8 @@
         Raises
         ======
         StreamGap
-            With nothing of ``events`` after the gap taken in.
+            When an event is missing or has another response id. The events after the
+            gap are ignored.
         """
         new_events = []
         for event in events:
@@ -149,8 +150,8 @@
                 break
             if event.offset < self.expected:
                 continue
-            crossed = not self._name.accepts(event.response_id())
-            if event.offset > self.expected or crossed:
+            is_mismatched = not self._id_checker.accepts(event.response_id())
+            if event.offset > self.expected or is_mismatched:
                 raise StreamGapWithEvents(new_events, self.expected, event.offset)
             self.expected += 1
             new_events.append(event)
@@ -158,7 +159,7 @@
 
 
 class StreamGapWithEvents(StreamGap):
-    """A gap, with the good events before it."""
+    """A gap, with the new events received before it."""
 
     def __init__(self, new_events, expected, got):
         super().__init__(expected, got)
--- a/libs/upstreams/src/hemlockhoist/upstreams/guard.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/guard.py
@@ -1,24 +1,25 @@
-"""The last check before the first byte of a request leaves."""
+"""Final check of a grant before the first byte of a request is sent."""
 
 import collections
 
 from hemlockhoist.base import Property, Refused, ResultCode
 
-# Request ids kept to check against: over an hour at 31 requests a second of one host.
+# Number of request ids kept for the check: more than an hour of requests at 31 per
+# second on one host.
 REGISTER_SIZE = 131_072
 
 
 class DispatchRegister:
-    """The request ids that this process dispatched, to assert that none comes twice.
+    """Ids of the requests that this process dispatched, to detect a second dispatch.
 
-    The mechanism is ``SendGuard``; this is the independent check of it, over all
-    guards that may have been made for one request.
+    ``SendGuard`` prevents second dispatches; this is an independent check of it, over
+    all guards that may have been created for one request.
 
     Parameters
     ==========
     invariants : InvariantLog
     size : int
-        Ids kept; the oldest are forgotten.
+        Maximum number of ids, of which the oldest are dropped.
     """
 
     __slots__ = ("_ids", "_invariants", "_size")
@@ -32,12 +33,12 @@
         return request_id in self._ids
 
     def record(self, request_id):
-        """Note a dispatch.
+        """Record a dispatch.
 
         Raises
         ======
         PropertyViolation
-            When the id was dispatched before and violations are fatal.
+            When the id was dispatched before, and violations are fatal.
         """
         self._invariants.check(
             Property.DISPATCHED_AT_MOST_ONCE,
@@ -50,30 +51,30 @@
 
 
 class SendGuard:
-    """Lets one dispatch through once, while its grant is in force.
+    """Permits one dispatch, once, while its grant is valid.
 
-    The check runs in the same step of the event loop as the hand-over of the first
+    The check runs in the same step of the event loop as the handover of the first
     bytes to the kernel. It guards against four failures:
 
-    * the process was stopped between taking the grant and sending: the clock is read
-      afresh here, so the grant shows as expired;
+    * the process was suspended between receiving the grant and sending: the clock is
+      read here, so the grant is found expired;
     * the version was halted or the upstream left meanwhile: ``revoke`` was called;
-    * the HTTP library repeats a request by itself when the connection breaks
-      (aiohttp does for GET and some others): the second pass finds the guard used;
-    * an error of this program dispatches twice: the same.
+    * the HTTP library resends a request on its own when the connection breaks (aiohttp
+      does for GET and some others): the second call finds the guard used;
+    * a fault of this program dispatches twice: likewise.
 
-    Until ``begin_dispatch`` has returned nothing has been sent, so "not run" is true; from then
-    on it may never be said.
+    Until ``begin_dispatch`` has returned, nothing was sent and "not run" is a correct
+    report; afterwards it must never be given.
 
     Parameters
     ==========
     clock : Clock
     expires_ms : int
-        On that clock.
+        Expiry of the grant on that clock.
     register : DispatchRegister
     request_id : str
     on_dispatch : callable, optional
-        Called without arguments when the guard opens, before the first byte.
+        Called without arguments when the dispatch is permitted, before the first byte.
     """
 
     __slots__ = (
@@ -97,22 +98,22 @@
 
     @property
     def dispatched(self):
-        """Whether a byte may have left."""
+        """Whether any byte may have been sent."""
         return self.dispatched_ms is not None
 
     def revoke(self, reason):
-        """Forbid the dispatch; without effect once it has begun."""
+        """Forbid the dispatch; has no effect once it has begun."""
         self.revoked = reason
 
     def begin_dispatch(self):
-        """Pass the point of no return.
+        """Check the grant and permit the dispatch.
 
         Raises
         ======
         Refused
-            ``GRANT_EXPIRED`` when the grant lapsed or was revoked.
+            ``GRANT_EXPIRED`` when the grant has expired or was revoked.
         RepeatedDispatch
-            When the guard was open before.
+            When the dispatch was permitted before.
         """
         now_ms = self._clock.now_ms()
         if self.dispatched:
@@ -121,7 +122,7 @@
             raise Refused(f"grant revoked: {self.revoked}", ResultCode.GRANT_EXPIRED)
         if now_ms >= self.expires_ms:
             late_ms = now_ms - self.expires_ms
-            raise Refused(f"grant lapsed {late_ms} ms ago", ResultCode.GRANT_EXPIRED)
+            raise Refused(f"grant expired {late_ms} ms ago", ResultCode.GRANT_EXPIRED)
         if self._on_dispatch is not None:
             self._on_dispatch()
         self.dispatched_ms = now_ms
@@ -129,4 +130,4 @@
 
 
 class RepeatedDispatch(Exception):  # noqa: N818
-    """The HTTP library was about to send a request a second time; it was stopped."""
+    """The HTTP library was prevented from sending a request a second time."""
--- a/libs/upstreams/src/hemlockhoist/upstreams/response_ids.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/response_ids.py
@@ -1,17 +1,17 @@
-"""Telling the pieces of one answer from another's by the id that they carry."""
+"""Detection of events that belong to another answer, by their response id."""
 
 import collections
 
-# At the size to design for a host meets every engine of its pools, some thousands; an
-# address that was forgotten is learnt again with its next answer.
+# At design size, a host uses every engine of its pools, some thousands. A dropped
+# address is learned again from its next response.
 MAX_ADDRESSES = 16_384
 
 
 class ResponseIdTracker:
-    """Which upstreams name their answers after the request's id.
+    """Addresses of the upstreams whose response ids contain the request id.
 
-    Engines do so in ways of their own (``chatcmpl-ID``), or not at all. It is learnt
-    from the answers, so that an engine that does not is no worse off.
+    Engines form such ids in different ways (``chatcmpl-ID``), or not at all. Which
+    ones do is learned from their responses, so that the others are not affected.
     """
 
     __slots__ = ("_addresses",)
@@ -23,46 +23,46 @@
         return address in self._addresses
 
     def add(self, address):
-        """Note that the upstream names an answer after its request."""
+        """Record that the upstream's response ids contain the request id."""
         self._addresses[address] = None
         if len(self._addresses) > MAX_ADDRESSES:
             self._addresses.popitem(last=False)
 
     def checker_for(self, address, request_id):
-        """Return the name to expect on the pieces of one answer."""
+        """Return a checker of the response ids in one answer."""
         return ResponseIdChecker(self, address, request_id)
 
 
 class ResponseIdChecker:
-    """The id on the pieces of one answer, over all connections it came by.
+    """Checks that all events of one answer, on all its connections, have one id.
 
     Parameters
     ==========
-    names : ResponseIdTracker
+    tracker : ResponseIdTracker
     address, request_id : str
     """
 
-    __slots__ = ("_address", "_first", "_names", "_request_id")
+    __slots__ = ("_address", "_expected_id", "_request_id", "_tracker")
 
-    def __init__(self, names, address, request_id):
-        self._names = names
+    def __init__(self, tracker, address, request_id):
+        self._tracker = tracker
         self._address = address
         self._request_id = request_id
-        self._first = None
+        self._expected_id = None
 
     def accepts(self, response_id):
-        """Return whether a piece with this id belongs to the answer.
+        """Return whether an event with this response id belongs to the answer.
 
         Parameters
         ==========
         response_id : str
-            Empty where a piece carries none.
+            Empty for an event without one.
         """
-        if self._first is not None:
-            return response_id == self._first
+        if self._expected_id is not None:
+            return response_id == self._expected_id
         if self._request_id and self._request_id in response_id:
-            self._names.add(self._address)
-        elif self._address in self._names:
+            self._tracker.add(self._address)
+        elif self._address in self._tracker:
             return False
-        self._first = response_id
+        self._expected_id = response_id
         return True
--- a/libs/upstreams/src/hemlockhoist/upstreams/tests/test_client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/tests/test_client.py
@@ -24,10 +24,10 @@
 
 
 class RawUpstream:
-    """An upstream that counts request heads and answers with fixed bytes."""
+    """An upstream that records request heads and responds with fixed bytes."""
 
-    def __init__(self, answer, read_head=True):
-        self.answer = answer
+    def __init__(self, response, read_head=True):
+        self.response = response
         self.read_head = read_head
         self.heads = []
         self.address = ""
@@ -45,12 +45,12 @@
     async def _serve(self, reader, writer):
         with contextlib.suppress(asyncio.IncompleteReadError):
             self.heads.append(await reader.readuntil(b"\r\n\r\n"))
-            writer.write(self.answer)
+            writer.write(self.response)
         writer.close()
 
 
 class RegisterTests(unittest.TestCase):
-    def test_two_guards_for_one_request_are_caught(self):
+    def test_second_dispatch_of_a_request_is_detected(self):
         """A fault of this program that dispatches a request twice is fatal in tests."""
         register = DispatchRegister(InvariantLog(fatal=True))
         register.record("r1")
@@ -58,15 +58,16 @@
             register.record("r1")
 
 
-class FreezeTests(unittest.TestCase):
-    def test_process_stopped_between_grant_and_first_byte_sends_nothing(self):
+class SuspensionTests(unittest.TestCase):
+    def test_process_suspended_between_grant_and_first_byte_sends_nothing(self):
         """
-        The whole process is stopped after it has taken a grant, and goes on when the
-        grant has ended. Nothing has told it that time passed: the clock of the event
-        loop has to be read afresh at the last check, in the same turn of the loop.
+        Guards against sending under an expired grant. The whole process is suspended
+        after it received a grant, and resumes after the expiry. The event loop does not
+        notice the time that passed, so the last check has to read the clock in the same
+        iteration of the loop.
         """
 
-        async def stopped():
+        async def suspended():
             clock = Clock.from_running_loop()
             register = DispatchRegister(InvariantLog(fatal=True))
             guard = SendGuard(clock, clock.now_ms() + 50, register, "r1")
@@ -76,7 +77,7 @@
             return caught.exception.code
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            self.assertIs(runner.run(stopped()), ResultCode.GRANT_EXPIRED)
+            self.assertIs(runner.run(suspended()), ResultCode.GRANT_EXPIRED)
 
 
 class DispatchTests(unittest.IsolatedAsyncioTestCase):
@@ -86,8 +87,8 @@
         await self.client.start()
         self.addAsyncCleanup(self.client.close)
 
-    async def _upstream(self, answer):
-        upstream = RawUpstream(answer)
+    async def _upstream(self, response):
+        upstream = RawUpstream(response)
         await upstream.start()
         self.addAsyncCleanup(upstream.close)
         return upstream
@@ -99,22 +100,22 @@
 
     async def _dispatch(self, address, guard, method="GET"):
         call = UpstreamCall(address=address, method=method, path="/x", request_id="r1")
-        async with self.client.dispatch(call, guard) as answer:
-            return answer.status, await answer.read(1000)
+        async with self.client.dispatch(call, guard) as response:
+            return response.status, await response.read(1000)
 
-    async def test_a_whole_answer_is_read(self):
-        """Status and body come through."""
+    async def test_complete_response_is_read(self):
+        """Status and body are returned."""
         upstream = await self._upstream(
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         )
         result = await self._dispatch(upstream.address, self._guard())
         self.assertEqual(result, (200, b"ok"))
 
-    async def test_http_library_repeats_a_get_by_itself(self):
-        """A lookup is declared with GET; the upstream runs it and then dies.
+    async def test_get_resent_by_the_http_library_is_stopped(self):
+        """A lookup is declared with GET; the upstream runs it and then crashes.
 
-        aiohttp takes a GET for harmless and sends it a second time over a new
-        connection. The upstream must see one, and the caller "outcome unknown".
+        aiohttp treats a GET as idempotent and resends it over a new connection. The
+        upstream must receive one request, and the caller "outcome unknown".
         """
         upstream = await self._upstream(b"")
         with self.assertRaises(DispatchError) as caught:
@@ -123,7 +124,7 @@
         self.assertEqual(len(upstream.heads), 1)
 
     async def test_an_expired_grant_sends_nothing(self):
-        """The grant lapsed while the connection was made: refused, not a byte sent."""
+        """The grant expires during the connect: refused, and no byte is sent."""
         upstream = await self._upstream(b"HTTP/1.1 200 OK\r\n\r\n")
         with self.assertRaises(Refused) as caught:
             await self._dispatch(upstream.address, self._guard(ttl_ms=0))
@@ -132,7 +133,7 @@
         self.assertEqual(upstream.heads, [])
 
     async def test_a_revoked_grant_sends_nothing(self):
-        """The version was halted while the connection was made."""
+        """The version is halted during the connect."""
         upstream = await self._upstream(b"HTTP/1.1 200 OK\r\n\r\n")
         guard = self._guard()
         guard.revoke("version halted")
@@ -142,7 +143,7 @@
         self.assertEqual(upstream.heads, [])
 
     async def test_a_refused_connection_is_not_run(self):
-        """Nobody listens at the address: nothing was sent and the guard is closed."""
+        """The address has no listener: nothing is sent, the guard permits nothing."""
         upstream = await self._upstream(b"")
         address = upstream.address
         await upstream.close()
@@ -152,8 +153,8 @@
         self.assertIs(caught.exception.code, ResultCode.CONNECT_FAILED)
         self.assertFalse(guard.dispatched)
 
-    async def test_a_body_cut_short_is_not_taken_for_whole(self):
-        """The upstream promised ten bytes and died after two."""
+    async def test_a_truncated_body_is_an_error(self):
+        """The upstream announces ten bytes and crashes after two."""
         upstream = await self._upstream(
             b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok"
         )
--- a/libs/upstreams/src/hemlockhoist/upstreams/tests/test_connections.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/tests/test_connections.py
@@ -20,14 +20,14 @@
 HOUR_MS = 3_600_000
 BUSY_S = 0.1
 HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-PART = b"half of an answ"
+PARTIAL_BODY = b"half of an answ"
 
 
 class ResettingUpstream:
-    """Sends a part of an answer without a length, and ends its connection.
+    """Sends a part of a response without a length, and ends its connection.
 
     With ``with_data`` the reset reaches the client together with the last bytes, as
-    its event loop is kept busy meanwhile.
+    the client's event loop is kept busy meanwhile.
     """
 
     def __init__(self, loop, resets, with_data):
@@ -51,7 +51,7 @@
             continue
         if self._with_data:
             self._loop.call_soon_threadsafe(time.sleep, BUSY_S)
-        connection.sendall(HEAD + PART)
+        connection.sendall(HEAD + PARTIAL_BODY)
         if not self._with_data:
             time.sleep(BUSY_S)
         if self._resets:
@@ -60,7 +60,7 @@
         connection.close()
 
 
-async def read_answer(resets, with_data):
+async def read_response(resets, with_data):
     loop = asyncio.get_running_loop()
     upstream = ResettingUpstream(loop, resets, with_data)
     upstream.start()
@@ -71,39 +71,39 @@
         register = DispatchRegister(InvariantLog(fatal=True))
         guard = SendGuard(clock, clock.now_ms() + HOUR_MS, register, "r1")
         call = UpstreamCall(address=upstream.address, method="GET", path="/")
-        async with client.dispatch(call, guard) as answer:
-            return await answer.read(1_000)
+        async with client.dispatch(call, guard) as response:
+            return await response.read(1_000)
     finally:
         await client.close()
         await asyncio.to_thread(upstream.close)
 
 
-class AnswerWithoutLengthTests(unittest.TestCase):
-    """A caller gets half of an answer that looks whole.
+class ResponseWithoutLengthTests(unittest.TestCase):
+    """Guards against a truncated response that looks complete to the caller.
 
-    The upstream's answer has no length and ends with its connection. The upstream
-    crashes in the middle, and the connection is reset; the HTTP library takes the
-    reset for the end, and where it comes together with data the event loop does.
+    The upstream's response has no length and ends with its connection. The upstream
+    crashes while sending, and the connection is reset. The HTTP library treats the
+    reset as the end, and so does the event loop if it arrives together with data.
     """
 
     def run_loop(self, resets, with_data):
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            return runner.run(read_answer(resets, with_data))
+            return runner.run(read_response(resets, with_data))
 
-    def test_orderly_end_is_the_end_of_the_answer(self):
-        self.assertEqual(self.run_loop(resets=False, with_data=False), PART)
-        self.assertEqual(self.run_loop(resets=False, with_data=True), PART)
+    def test_orderly_end_completes_the_response(self):
+        self.assertEqual(self.run_loop(resets=False, with_data=False), PARTIAL_BODY)
+        self.assertEqual(self.run_loop(resets=False, with_data=True), PARTIAL_BODY)
 
-    def test_reset_after_the_data_breaks_the_answer(self):
+    def test_reset_after_the_data_is_an_error(self):
         with self.assertRaises(DispatchError):
             self.run_loop(resets=True, with_data=False)
 
-    def test_reset_together_with_the_data_breaks_the_answer(self):
+    def test_reset_together_with_the_data_is_an_error(self):
         with self.assertRaises(DispatchError):
             self.run_loop(resets=True, with_data=True)
 
 
-async def answer_shortly(reader, writer):
+async def serve_fixed_response(reader, writer):
     with contextlib.suppress(asyncio.IncompleteReadError, OSError):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -112,22 +112,22 @@
 
 
 class CancelledConnectTests(unittest.TestCase):
-    """A host answers nobody any more, or its process ends, after callers have left.
+    """Guards against a host that fails all requests, or crashes, after disconnects.
 
-    A caller left in the moment in which the connection to the upstream had been made
-    and its socket was handed to the event loop. The loop went on to own the number of a
-    socket that was closed, and each later connection was given that number.
+    A caller disconnected at the moment when the connection to the upstream was made and
+    its socket was handed to the event loop. The loop kept the descriptor of a socket
+    that had been closed, and each later connection was given that descriptor.
     """
 
     ROUNDS = 500
-    AT_ONCE = 8
+    CONCURRENT = 8
 
-    def test_connections_are_made_after_many_were_cancelled(self):
+    def test_connections_succeed_after_many_were_cancelled(self):
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(self.leave_and_ask())
+            runner.run(self.cancel_and_request())
 
-    async def leave_and_ask(self):
-        server = await asyncio.start_server(answer_shortly, "127.0.0.1", 0)
+    async def cancel_and_request(self):
+        server = await asyncio.start_server(serve_fixed_response, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         client = UpstreamClient()
         await client.start()
@@ -135,22 +135,22 @@
         register = DispatchRegister(InvariantLog(fatal=True))
         rng = random.Random(1)
 
-        async def ask(name):
+        async def request(name):
             guard = SendGuard(clock, clock.now_ms() + HOUR_MS, register, name)
             call = UpstreamCall(address=f"127.0.0.1:{port}", method="GET", path="/")
-            async with client.dispatch(call, guard) as answer:
-                return await answer.read(100)
+            async with client.dispatch(call, guard) as response:
+                return await response.read(100)
 
-        async def leave(name):
-            task = asyncio.create_task(ask(name))
+        async def cancel_request(name):
+            task = asyncio.create_task(request(name))
             for _ in range(rng.randrange(40)):
                 await asyncio.sleep(0)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
         for number in range(self.ROUNDS):
-            names = [f"left-{number}-{at}" for at in range(self.AT_ONCE)]
-            await asyncio.gather(*(leave(name) for name in names))
-            self.assertEqual(await ask(f"asked-{number}"), b"ok")
+            names = [f"cancelled-{number}-{at}" for at in range(self.CONCURRENT)]
+            await asyncio.gather(*(cancel_request(name) for name in names))
+            self.assertEqual(await request(f"completed-{number}"), b"ok")
         await client.close()
         server.close()
