--- a/libs/cli/src/hemlockhoist/cli/tests/test_commands.py
+++ b/libs/cli/src/hemlockhoist/cli/tests/test_commands.py
@@ -45,7 +45,7 @@
         result = self.run_command("declare", "check", file)
         self.assertEqual(result.exit_code, ExitCode.INVALID)
         self.assertEqual(result.stdout, "")
-        self.assertIn(f"{file}:1: nope: is no known section", result.stderr)
+        self.assertIn(f"{file}:1: nope: is an unknown section", result.stderr)
         self.assertIn(f"{file}:2: tiers: is '3'; allowed: a list", result.stderr)
         self.assertIn("next: Mend each fault that is listed.", result.stderr)
         as_json = self.run_command("declare", "check", file, "--json")
--- a/libs/declarations/src/hemlockhoist/declarations/__init__.py
+++ b/libs/declarations/src/hemlockhoist/declarations/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet defaults and exceptions: model, checks, differences."""
+"""Declared state of the fleet: model, file format, checks, differences, routes."""
 
 from hemlockhoist.declarations.codec import (
     decode_declarations,
--- a/libs/declarations/src/hemlockhoist/declarations/checks.py
+++ b/libs/declarations/src/hemlockhoist/declarations/checks.py
@@ -1,20 +1,20 @@
-"""Checks between records: names, ranks, keys and references."""
+"""Checks across records: unique names, ranks and keys, and valid references."""
 
 from hemlockhoist.declarations.faults import Fault
 from hemlockhoist.declarations.model import PoolKind
 
-_SECTION_OF = {"tier": "tiers", "customer": "customers", "pool": "pools"}
+_SECTIONS_BY_KIND = {"tier": "tiers", "customer": "customers", "pool": "pools"}
 
 
 class CrossRecordChecks:
-    """Finds what no single record shows.
+    """Finds faults that involve several records.
 
     Parameters
     ==========
     file : str
-        Name for faults.
+        File name to report in faults.
     entries : dict of str to list of Entry
-        By kind; a field that was unsound is absent, and not looked at again.
+        By kind; fields already found invalid are absent, and are not checked again.
     """
 
     __slots__ = ("_entries", "_file", "faults")
@@ -25,8 +25,8 @@
         self.faults = []
 
     def run(self):
-        """Return every fault found."""
-        for kind in _SECTION_OF:
+        """Return all faults found."""
+        for kind in _SECTIONS_BY_KIND:
             self._check_unique(kind, "name", "name")
         self._check_unique("tier", "rank", "rank")
         self._check_tiers()
@@ -57,8 +57,8 @@
                 continue
             other = first.setdefault(value, entry)
             if other is not entry:
-                problem = f"{value!r} is the {what} of {other.path} too"
-                self._report(entry, field, problem, f"one {what} for one {kind}")
+                problem = f"{value!r} is the {what} of {other.path} as well"
+                self._report(entry, field, problem, f"a unique {what} for each {kind}")
 
     def _check_tiers(self):
         if not self._entries["tier"]:
@@ -66,8 +66,8 @@
                 file=self._file,
                 line=1 if self._file else 0,
                 field="tiers",
-                problem="has no tier",
-                allowed="one tier at least",
+                problem="contains no tier",
+                allowed="at least one tier",
             )
             self.faults.append(fault)
         for entry in self._entries["tier"]:
@@ -84,22 +84,22 @@
         for entry in self._entries["customer"]:
             tier = entry.values.get("highest_tier")
             if tier is not None and tier not in tiers:
-                problem = f"names the tier {tier!r}, which is not declared"
+                problem = f"refers to tier {tier!r}, which is not declared"
                 allowed = "one of " + ", ".join(sorted(tiers))
                 self._report(entry, "highest_tier", problem, allowed)
             for digest in entry.values.get("key_sha256", ()):
                 other = holders.setdefault(digest, entry)
                 if other is not entry:
-                    problem = f"{digest[:12]}… is a key of {other.path} too"
-                    allowed = "a key of one customer only"
+                    problem = f"{digest[:12]}… is a key of {other.path} as well"
+                    allowed = "a key of a single customer"
                     self._report(entry, "key_sha256", problem, allowed)
 
     def _check_pools(self):
         for entry in self._entries["pool"]:
             is_model = entry.values.get("kind") is PoolKind.MODEL
             if is_model and entry.values.get("idempotent_calls"):
-                problem = "stands at a model's pool, whose calls are all idempotent"
-                allowed = "nothing, or kind: service"
+                problem = "is set for a model pool, whose calls are all idempotent"
+                allowed = "no value, or kind: service"
                 self._report(entry, "idempotent_calls", problem, allowed)
 
     def _check_exceptions(self):
@@ -109,24 +109,24 @@
             kind, name, field = (values.get(n) for n in ("kind", "name", "field"))
             if kind is None or name is None:
                 continue
-            names = self._names(kind) if kind in _SECTION_OF else {name}
+            names = self._names(kind) if kind in _SECTIONS_BY_KIND else {name}
             if name not in names:
-                problem = f"names the {kind} {name!r}, which is not declared"
+                problem = f"refers to {kind} {name!r}, which is not declared"
                 allowed = "one of " + ", ".join(sorted(names))
                 self._report(entry, "name", problem, allowed)
             other = first.setdefault((kind, name, field), entry)
             if other is not entry and field is not None:
-                problem = f"{kind} {name!r}, {field} stands at {other.path} too"
-                self._report(entry, "field", problem, "one exception for one field")
+                problem = f"{kind} {name!r}, {field} is set by {other.path} as well"
+                self._report(entry, "field", problem, "one exception for each field")
 
 
 def check_version_shares(path, rules, file="", line=0):
-    """Return the faults between the fields of effective version rules.
+    """Return the faults of the traffic shares in effective version rules.
 
     Parameters
     ==========
     path : str
-        Of the rules' owner, for the fault.
+        Path of the record that holds the rules, reported in faults.
     rules : hemlockhoist.declarations.VersionRules
     """
     if rules.first_share_permille <= rules.unproven_share_permille:
--- a/libs/declarations/src/hemlockhoist/declarations/codec.py
+++ b/libs/declarations/src/hemlockhoist/declarations/codec.py
@@ -1,4 +1,4 @@
-"""Declarations to bytes of a table row, and back."""
+"""Encoding of declarations for a table row, and decoding."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 def encode_declarations(declarations):
-    """Return canonical JSON: equal content gives equal bytes.
+    """Return declarations as canonical JSON, so that equal content gives equal bytes.
 
     Parameters
     ==========
@@ -25,17 +25,17 @@
 
 
 def decode_declarations(data):
-    """Return the declarations that a table row or a request's body holds.
+    """Return the declarations in a table row or in the body of a request.
 
-    Fields of a later release are passed over, so that hosts of neighbouring
-    releases read one another's rows.
+    Unknown fields of a later release are ignored, so that hosts of adjacent releases
+    can read each other's rows.
 
     Raises
     ======
     DeclarationError
-        When the bytes are no declarations.
+        When the bytes are not valid declarations.
     """
     try:
         return _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise DeclarationError(f"no declarations: {error}") from error
+        raise DeclarationError(f"invalid declarations: {error}") from error
--- a/libs/declarations/src/hemlockhoist/declarations/difference.py
+++ b/libs/declarations/src/hemlockhoist/declarations/difference.py
@@ -1,4 +1,4 @@
-"""What changes between two declarations, for people and for scripts."""
+"""Differences between two declarations, as records and as text."""
 
 import enum
 
@@ -11,18 +11,18 @@
 
 
 class Action(enum.Enum):
-    """What happens to a record or a field."""
+    """Kind of a change to a record or a field."""
 
     ADDED = "added"
     REMOVED = "removed"
     CHANGED = "changed"
 
 
-_MARKS = {Action.ADDED: "+", Action.REMOVED: "-", Action.CHANGED: "~"}
+_SYMBOLS = {Action.ADDED: "+", Action.REMOVED: "-", Action.CHANGED: "~"}
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """One difference.
+    """One difference between two declarations.
 
     Parameters
     ==========
@@ -31,11 +31,11 @@
         ``tier``, ``customer``, ``pool``, ``default`` or ``exception``.
     name : str
     field : str
-        Empty where a whole record is added or removed.
+        Empty when a whole record is added or removed.
     old, new : object
-        None where there is none.
+        Values of the field, None where it has none.
     reason : str
-        Of an exception.
+        Reason of an exception.
     """
 
     action: Action
@@ -47,14 +47,14 @@
     reason: str = ""
 
     def __str__(self):
-        text = f"{_MARKS[self.action]} {self.kind} {self.name}"
+        text = f"{_SYMBOLS[self.action]} {self.kind} {self.name}"
         if self.field:
             text += f" {self.field}"
         if self.action is Action.CHANGED:
-            text += f": {_shown(self.old)} -> {_shown(self.new)}"
+            text += f": {_format_value(self.old)} -> {_format_value(self.new)}"
         elif self.kind == "exception":
             value = self.new if self.action is Action.ADDED else self.old
-            text += f": {_shown(value)}"
+            text += f": {_format_value(value)}"
         if self.reason:
             text += f" (reason: {self.reason})"
         return text
@@ -63,7 +63,7 @@
 def diff(old, new):
     """Return the differences between two declarations.
 
-    A changed default is one difference, however many records it reaches.
+    A changed default is one difference, regardless of how many records it affects.
 
     Parameters
     ==========
@@ -81,7 +81,7 @@
 
 
 def diff_text(changes):
-    """Return one line for each difference, or a line that says there is none."""
+    """Return one line for each difference, or "no difference"."""
     return "\n".join(str(change) for change in changes) or "no difference"
 
 
@@ -92,7 +92,7 @@
             before = value_of(getattr(old.defaults, kind), field)
             after = value_of(getattr(new.defaults, kind), field)
             if before != after:
-                changes.append(_changed("default", kind, field, before, after))
+                changes.append(_field_change("default", kind, field, before, after))
     return changes
 
 
@@ -106,29 +106,31 @@
         elif name not in after:
             changes.append(Change(action=Action.REMOVED, kind=kind, name=name))
         elif before[name] != after[name]:
-            left = _stated(kind, before[name], old)
-            right = _stated(kind, after[name], new)
+            left = _explicit_values(kind, before[name], old)
+            right = _explicit_values(kind, after[name], new)
             for field in left | right:
                 if left.get(field) != right.get(field):
                     values = left.get(field), right.get(field)
-                    changes.append(_changed(kind, name, field, *values))
+                    changes.append(_field_change(kind, name, field, *values))
     return changes
 
 
-def _stated(kind, record, declarations):
-    """Return a record's values apart from those that defaults and exceptions set.
+def _explicit_values(kind, record, declarations):
+    """Return a record's values except those set by defaults and exceptions.
 
-    Records made in a program may depart from a default without an exception; a
-    difference there is shown too.
+    Records created by a program may override a default without an exception, and such
+    values are compared as well.
     """
     excepted = {
         item.field
         for item in declarations.exceptions
         if item.kind == kind and item.name == record.name
     }
-    own = overridden_values(kind, record, declarations.defaults)
-    unexplained = {f: value for f, value in own.items() if f not in excepted}
-    return {**own_values(kind, record), **unexplained}
+    overridden = overridden_values(kind, record, declarations.defaults)
+    without_exception = {
+        f: value for f, value in overridden.items() if f not in excepted
+    }
+    return {**own_values(kind, record), **without_exception}
 
 
 def _exception_changes(old, new):
@@ -155,19 +157,19 @@
     return changes
 
 
-def _changed(kind, name, field, old, new):
+def _field_change(kind, name, field, old, new):
     return Change(
         action=Action.CHANGED, kind=kind, name=name, field=field, old=old, new=new
     )
 
 
-def _shown(value):
+def _format_value(value):
     if value is None:
         return "the default"
     if isinstance(value, enum.Enum):
         return str(value.value)
     if isinstance(value, tuple):
-        return "[" + ", ".join(_shown(item) for item in value) + "]"
+        return "[" + ", ".join(_format_value(item) for item in value) + "]"
     if isinstance(value, msgspec.Struct):
         return " ".join(str(item) for item in msgspec.structs.astuple(value))
     if isinstance(value, str) and len(value) == 64:
--- a/libs/declarations/src/hemlockhoist/declarations/document.py
+++ b/libs/declarations/src/hemlockhoist/declarations/document.py
@@ -1,4 +1,4 @@
-"""A declarations file to ``Declarations``, or to all of its faults."""
+"""Parser of a declarations file, which returns declarations or all faults."""
 
 from hemlockhoist.declarations import schema
 from hemlockhoist.declarations.checks import CrossRecordChecks, check_version_shares
@@ -10,24 +10,24 @@
 
 
 def parse_declarations(data, file="declarations.yaml"):
-    """Return what a declarations file states, exceptions applied.
+    """Return the declarations of a file, with its exceptions applied.
 
     Parameters
     ==========
     data : bytes
         YAML in UTF-8.
     file : str
-        Name for faults.
+        File name to report in faults.
 
     Returns
     =======
     Declarations
-        Of version 0: a file has no version until it is applied.
+        With version 0, as a file has no version until it is applied.
 
     Raises
     ======
     DeclarationFaults
-        With every fault of the file.
+        With all faults of the file.
 
     Examples
     ========
@@ -45,7 +45,7 @@
     faults += CrossRecordChecks(file, reader.entries).run()
     defaults = _defaults(reader.defaults)
     exceptions = _exceptions(reader.entries["exception"])
-    faults += _share_faults(file, reader, defaults, exceptions)
+    faults += _version_share_faults(file, reader, defaults, exceptions)
     if faults:
         raise DeclarationFaults(faults)
     records = {
@@ -67,7 +67,7 @@
 
 
 def check_file(data, file="declarations.yaml"):
-    """Return every fault of a declarations file as a tuple, empty for a sound one."""
+    """Return all faults of a declarations file as a tuple, empty for a valid file."""
     try:
         parse_declarations(data, file)
     except DeclarationFaults as error:
@@ -87,8 +87,8 @@
     return tuple(FleetException(**entry.values) for entry in entries if entry.complete)
 
 
-def _share_faults(file, reader, defaults, exceptions):
-    """Return the faults of version rules, each on the line that caused it."""
+def _version_share_faults(file, reader, defaults, exceptions):
+    """Return the faults of version rules, each with the line that caused it."""
     entry = reader.defaults.get("pool")
     line = entry.line_of("version_rules") if entry else 0
     faults = check_version_shares(
@@ -97,15 +97,17 @@
     for pool in reader.entries["pool"]:
         if not pool.complete:
             continue
-        own = [
+        pool_exceptions = [
             item
             for item in reader.entries["exception"]
             if item.values.get("kind") == "pool"
             and item.values.get("name") == pool.values["name"]
             and item.values.get("field", "").startswith("version_rules.")
         ]
-        if own:
+        if pool_exceptions:
             record = effective_record("pool", pool.values, defaults, exceptions)
             rules = record.version_rules
-            faults += check_version_shares(own[0].path, rules, file, own[0].line)
+            faults += check_version_shares(
+                pool_exceptions[0].path, rules, file, pool_exceptions[0].line
+            )
     return faults
--- a/libs/declarations/src/hemlockhoist/declarations/effective.py
+++ b/libs/declarations/src/hemlockhoist/declarations/effective.py
@@ -1,41 +1,41 @@
-"""Defaults plus exceptions give the effective records."""
+"""Effective records, from stated values, defaults and exceptions."""
 
 import msgspec
 
 from hemlockhoist.declarations import schema
 
 
-def effective_record(kind, facts, defaults, exceptions):
+def effective_record(kind, record_values, defaults, exceptions):
     """Return a record with its defaults and exceptions applied.
 
     Parameters
     ==========
     kind : str
         ``tier``, ``customer`` or ``pool``.
-    facts : dict
-        What the record states itself.
+    record_values : dict
+        Values that the record itself states.
     defaults : hemlockhoist.declarations.Defaults
     exceptions : iterable of FleetException
-        Those of other records are passed over.
+        Those of other records are ignored.
 
     Returns
     =======
     Tier, Customer or Pool
     """
-    values = defaulted_values(getattr(defaults, kind))
+    values = field_values(getattr(defaults, kind))
     for item in exceptions:
-        if item.kind == kind and item.name == facts["name"]:
+        if item.kind == kind and item.name == record_values["name"]:
             values = with_value(values, item.field, item.value)
-    return schema.RECORD_TYPES[kind](**facts, **values)
+    return schema.RECORD_TYPES[kind](**record_values, **values)
 
 
-def defaulted_values(record):
-    """Return the fields of a record as a dictionary, nested records kept."""
+def field_values(record):
+    """Return the fields of a record as a dictionary; nested records are kept."""
     return {name: getattr(record, name) for name in record.__struct_fields__}
 
 
 def with_value(values, field, value):
-    """Return a copy of ``values`` with one field set; a dot names a nested one.
+    """Return a copy of ``values`` with one field set; a nested one has a dotted name.
 
     Examples
     ========
@@ -50,22 +50,22 @@
 
 
 def value_of(record, field):
-    """Return a field's value; a dot names a nested one."""
+    """Return a field's value; a nested field has a dotted name."""
     for name in field.split("."):
         record = getattr(record, name)
     return record
 
 
 def own_values(kind, record):
-    """Return what a record states itself, without what defaults set."""
+    """Return the values that a record itself states, without those of defaults."""
     return {name: getattr(record, name) for name in schema.record_fields(kind)}
 
 
 def canonical(declarations):
-    """Return the same declarations in one fixed order.
+    """Return the declarations in canonical order.
 
-    Tiers stand by rank, everything else by name, so that equal content gives equal
-    bytes and digests whatever the order in the file.
+    Tiers are sorted by rank and all other records by name, so that equal content gives
+    equal bytes and digests regardless of the order in the file.
     """
     return msgspec.structs.replace(
         declarations,
@@ -82,12 +82,12 @@
 
 
 def overridden_values(kind, record, defaults):
-    """Return the fields in which a record departs from the defaults.
+    """Return the values of a record that differ from the defaults.
 
     Returns
     =======
     dict of str to object
-        Effective values by field, nested ones dotted.
+        Effective values by field; nested fields have dotted names.
     """
     default = getattr(defaults, kind)
     return {
--- a/libs/declarations/src/hemlockhoist/declarations/faults.py
+++ b/libs/declarations/src/hemlockhoist/declarations/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a declarations file: each with its place, cause and remedy."""
+"""Faults of declarations, each with its location, the problem and what is allowed."""
 
 import msgspec
 
@@ -6,20 +6,20 @@
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True, order=True):
-    """One thing that is wrong with a declaration.
+    """A fault in the declarations.
 
     Parameters
     ==========
     file : str
-        As the operator named it; empty for declarations that came over HTTP.
+        File name as given by the operator; empty for declarations sent over HTTP.
     line : int
-        Counted from 1; 0 where there is no line to name.
+        Line number from 1; 0 if it is not known.
     field : str
         Path of the field, such as ``customers[2].highest_tier``.
     problem : str
-        What is wrong, with the value found.
+        Description of the fault, with the value found.
     allowed : str
-        What may stand there.
+        Description of the allowed values.
     """
 
     file: str = ""
@@ -34,7 +34,7 @@
 
 
 class DeclarationFaults(DeclarationError):
-    """The declarations have faults; ``faults`` lists every one of them.
+    """Raised for invalid declarations; ``faults`` holds all faults, sorted.
 
     Parameters
     ==========
--- a/libs/declarations/src/hemlockhoist/declarations/model.py
+++ b/libs/declarations/src/hemlockhoist/declarations/model.py
@@ -1,23 +1,23 @@
 """The declared state of the fleet, as typed records.
 
-Operators keep one file in version control: fleet defaults, and a short list of
-exceptions that each carry a written reason. The records here are that file after
-reading; ``Declarations`` answers with the effective value, exceptions applied.
+Operators keep one file in version control, with fleet defaults and a short list of
+exceptions that each state a reason. The records of this module represent that file;
+those in ``Declarations`` hold effective values, with the exceptions applied.
 """
 
 import enum
 
 import msgspec
 
-# The kind of an exception that names a failure domain. Domains are not declared: the
-# platform's list tells where hosts and upstreams are.
+# Kind of an exception for a failure domain. Failure domains are not declared: the
+# platform's host list gives the domain of each host and upstream.
 DOMAIN_KIND = "failure_domain"
-# A slash, a backslash, and a percent sign that hides one of them.
+# An encoded slash, backslash, and percent sign (which may encode one of them again).
 _ENCODED_SEPARATORS = ("%2f", "%5c", "%25")
 
 
 class PoolKind(enum.Enum):
-    """What stands behind a pool."""
+    """Kind of the upstreams of a pool."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -31,11 +31,11 @@
     name : str
     rank : int
     deadline_ms : int
-        From arrival at an entry host to the last byte of the answer.
+        Longest time from arrival at an entry host to the last byte of the answer.
     first_token_target_ms : int
-        A whole answer whose first token came later does not count as goodput.
+        A complete answer with a later first token does not count as goodput.
     max_queued : int
-        Requests of this tier that may wait in one pool.
+        Maximum number of queued requests of this tier in one pool.
     """
 
     name: str
@@ -46,20 +46,20 @@
 
 
 class Customer(msgspec.Struct, frozen=True, kw_only=True):
-    """A customer and what it may use.
+    """A customer and its limits.
 
     Parameters
     ==========
     name : str
     key_sha256 : tuple of str
-        SHA-256 of its caller keys in hexadecimal: the file is in version control,
-        so the keys themselves are not in it.
+        SHA-256 of its caller keys in hexadecimal; the keys themselves are not stored,
+        as the file is in version control.
     highest_tier : str
-        Name of the highest tier it may ask for.
+        Name of the highest tier it may request.
     max_in_flight : int
-        Requests dispatched at one time, for each pool.
+        Maximum number of dispatched requests in each pool at a time.
     weight : int
-        Its share of a tier relative to other customers, when places are short.
+        Its share of a tier relative to other customers, when slots are scarce.
     """
 
     name: str
@@ -70,36 +70,36 @@
 
 
 class IdempotentCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Calls of a plain service that may be run more than once without harm.
+    """Calls of a plain service that are idempotent.
 
-    ``path`` is a prefix below the service's own path, of whole segments:
-    ``/labels`` covers ``/labels/7`` and not ``/labels-issue``.
+    ``path`` is a prefix of whole segments, relative to the service's own path:
+    ``/labels`` covers ``/labels/7`` but not ``/labels-issue``.
     """
 
     method: str
     path: str = "/"
 
     def covers(self, path):
-        """Return whether a call's path is this one or below it."""
+        """Return whether a call's path equals this path or is below it."""
         prefix = self.path.rstrip("/")
         return path == prefix or path.startswith(prefix + "/")
 
 
 class VersionRules(msgspec.Struct, frozen=True, kw_only=True):
-    """How a version move spreads traffic.
+    """Rules for the traffic of a new version during a move.
 
     Parameters
     ==========
     first_share_permille : int
-        Share of requests a new version starts with.
+        Initial share of requests that the new version receives.
     unproven_share_permille : int
-        Ceiling of the share until the evidence for the version suffices.
+        Maximum share until there is enough evidence for the version.
     non_idempotent_last : bool
-        Whether non-idempotent calls reach the new version only after it is proven
-        on idempotent ones.
+        Whether non-idempotent calls are sent to the new version only after it is
+        proven on idempotent ones.
     false_alarm_permille, missed_permille : int
-        Error rates of the sequential test: a good version taken back, a bad one
-        passed.
+        Error rates of the sequential test: a good version is rolled back, or a bad
+        one is accepted.
     """
 
     first_share_permille: int = 10
@@ -115,19 +115,19 @@
     Parameters
     ==========
     name : str
-        The model's name, or the first part of the service's path.
+        The model's name, or the first segment of the service's path.
     kind : PoolKind
     stable_version : str
-        The version that serves when no move is under way.
+        The version that serves requests when no move is in progress.
     idempotent_calls : tuple of IdempotentCall
-        Of a plain service; every other call is treated as non-idempotent. Chat
-        completions are idempotent: they change nothing at the engine.
+        For a plain service; all other calls are treated as non-idempotent. Chat
+        completions are idempotent, as they change nothing at the engine.
     checks_fencing : bool
-        Whether its upstreams refuse an order with an old fencing number.
+        Whether its upstreams refuse orders with an outdated fencing token.
     max_in_flight_per_upstream : int
-        Upper bound of the limit that a host finds by itself for an upstream.
+        Upper bound of the concurrency limit that a host adapts for an upstream.
     expected_output_tokens : int
-        Used for requests that name no ``max_tokens``.
+        Used for requests without ``max_tokens``.
     max_body_bytes : int
     version_rules : VersionRules
     """
@@ -143,13 +143,13 @@
     version_rules: VersionRules = VersionRules()
 
     def is_idempotent(self, method, path):
-        """Return whether a call may be repeated without harm.
+        """Return whether a call is idempotent.
 
         Parameters
         ==========
         method : str
         path : str
-            Below the service's own path, beginning with a slash.
+            Relative to the service's own path, with a leading slash.
         """
         if self.kind is PoolKind.MODEL:
             return True
@@ -162,12 +162,12 @@
 
 
 def _is_ambiguous(path):
-    """Return whether a client or upstream may read a path as another one.
+    """Return whether a client or upstream may resolve a path to another one.
 
-    A caller asks for ``/availability/../bookings``. It begins with an idempotent
-    path, the next reader resolves the dots, and a booking runs without a key: the
-    caller's repeat books the hall twice. Dots, empty segments, and their encoded
-    forms are taken for non-idempotent, whatever they would lead to.
+    A request for ``/availability/../bookings`` begins with an idempotent path, but an
+    upstream that resolves the dots runs a booking without a key, and a retry by the
+    caller books the hall twice. Paths with dot segments, empty segments or their
+    encoded forms are treated as non-idempotent, whatever they resolve to.
     """
     lowered = path.lower()
     if "\\" in path or any(code in lowered for code in _ENCODED_SEPARATORS):
@@ -177,20 +177,20 @@
 
 
 class TierDefaults(msgspec.Struct, frozen=True, kw_only=True):
-    """What holds for every tier that no exception names."""
+    """Default values for tiers."""
 
     max_queued: int = 256
 
 
 class CustomerDefaults(msgspec.Struct, frozen=True, kw_only=True):
-    """What holds for every customer that no exception names."""
+    """Default values for customers."""
 
     max_in_flight: int = 64
     weight: int = 1
 
 
 class PoolDefaults(msgspec.Struct, frozen=True, kw_only=True):
-    """What holds for every pool that no exception names."""
+    """Default values for pools."""
 
     max_in_flight_per_upstream: int = 32
     expected_output_tokens: int = 256
@@ -199,22 +199,22 @@
 
 
 class DomainDefaults(msgspec.Struct, frozen=True, kw_only=True):
-    """What holds for every failure domain that no exception names.
+    """Default values for failure domains.
 
     Parameters
     ==========
     evacuated : bool
-        Whether its upstreams are to get nothing.
+        Whether its upstreams receive no requests.
     """
 
     evacuated: bool = False
 
 
 class Defaults(msgspec.Struct, frozen=True, kw_only=True):
-    """The fleet's one set of defaults.
+    """The defaults of the fleet.
 
-    A field that stands here is set by its default or by an exception with a reason,
-    and never by the record itself.
+    A field with a default is set by that default or by an exception with a reason,
+    never by the record itself.
     """
 
     tier: TierDefaults = TierDefaults()
@@ -223,19 +223,19 @@
 
 
 class FleetException(msgspec.Struct, frozen=True, kw_only=True):
-    """A departure from the fleet defaults, with its written reason.
+    """An override of a fleet default, with a reason.
 
     Parameters
     ==========
     kind : str
         ``customer``, ``pool``, ``tier`` or ``failure_domain``.
     name : str
-        Which one.
+        Name of the record or failure domain.
     field : str
     value : object
-        Of the field's type.
+        Value of the field's type.
     reason : str
-        For any colleague to read; required.
+        Explanation for other operators; required.
     """
 
     kind: str
@@ -246,18 +246,18 @@
 
 
 class Declarations(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole fleet's declared state at one version.
+    """The declared state of the whole fleet at one version.
 
     Parameters
     ==========
     version : int
-        Counts up by one with each accepted change; 0 is "none yet".
+        Incremented by one with each accepted change; 0 before the first.
     tiers, customers, pools : tuple
-        Effective records: the exceptions are applied already.
+        Effective records, with the exceptions applied.
     exceptions : tuple of FleetException
-        Kept to be shown.
+        Kept for display.
     defaults : Defaults
-        Kept to be shown and compared; the records hold the effective values.
+        Kept for display and comparison; the records hold the effective values.
     """
 
     version: int = 0
@@ -268,7 +268,7 @@
     defaults: Defaults = Defaults()
 
     def evacuations(self):
-        """Return the failure domains that are out of use, each with the reason."""
+        """Return the evacuated failure domains, each with the reason."""
         return {
             item.name: item.reason
             for item in self.exceptions
@@ -276,13 +276,13 @@
         }
 
     def tier(self, name):
-        """Return the tier of that name, or None."""
+        """Return the tier with a given name, or None."""
         return next((tier for tier in self.tiers if tier.name == name), None)
 
     def pool(self, name):
-        """Return the pool of that name, or None."""
+        """Return the pool with a given name, or None."""
         return next((pool for pool in self.pools if pool.name == name), None)
 
     def customer(self, name):
-        """Return the customer of that name, or None."""
+        """Return the customer with a given name, or None."""
         return next((item for item in self.customers if item.name == name), None)
--- a/libs/declarations/src/hemlockhoist/declarations/reader.py
+++ b/libs/declarations/src/hemlockhoist/declarations/reader.py
@@ -1,4 +1,4 @@
-"""A tree of YAML nodes to entries: typed values that know their lines."""
+"""Conversion of a tree of YAML nodes to entries of typed values with their lines."""
 
 import enum
 import re
@@ -10,7 +10,7 @@
 from hemlockhoist.declarations.faults import Fault
 from hemlockhoist.declarations.yaml_nodes import line_of
 
-# The length is bounded: int() refuses thousands of digits with an error of its own.
+# The length is bounded, as int() raises an error of its own for thousands of digits.
 _DECIMAL = re.compile(r"[+-]?(0|[1-9][0-9_]{0,20})\Z")
 _BOOLEANS = {"true": True, "false": False}
 _STRING_TAG = "tag:yaml.org,2002:str"
@@ -22,11 +22,11 @@
 _EXCEPTION_FIELDS = ("kind", "name", "field", "value", "reason")
 _MIN_REASON_CHARS = 10
 _MAX_REASON_CHARS = 500
-_BAD = object()
+_INVALID = object()
 
 
 class Entry:
-    """One record as it was read: the values that are sound, and where they stand.
+    """The valid values of one record, each with its line.
 
     Parameters
     ==========
@@ -48,30 +48,30 @@
         self.complete = True
 
     def set(self, name, value, line):
-        """Keep a sound value and its line."""
+        """Store a valid value and its line."""
         self.values[name] = value
         self.lines[name] = line
 
     def line_of(self, name):
-        """Return the field's line, or the record's where the field is absent."""
+        """Return the field's line, or the record's line if the field is absent."""
         return self.lines.get(name, self.line)
 
 
 class Reader:
-    """Reads a whole tree and collects every fault instead of stopping at one.
+    """Reads a whole tree and collects all faults instead of stopping at the first.
 
     Parameters
     ==========
     file : str
-        Name for faults.
+        File name to report in faults.
 
     Attributes
     ==========
     faults : list of Fault
     entries : dict of str to list of Entry
-        Tiers, customers, pools and exceptions, by their kind.
+        Tiers, customers, pools and exceptions, by kind.
     defaults : dict of str to Entry
-        By kind.
+        Defaults by kind.
     """
 
     __slots__ = ("_file", "defaults", "entries", "faults")
@@ -95,9 +95,9 @@
         )
 
     def read(self, root):
-        """Read the whole file."""
+        """Read the whole file from its root node."""
         allowed = "a mapping of " + ", ".join(SECTIONS)
-        for name, key_line, node in self._items(root, "file", allowed):
+        for name, key_line, node in self._mapping_items(root, "file", allowed):
             if name == "defaults":
                 self._read_defaults(node)
             elif name in _LISTS:
@@ -105,14 +105,18 @@
             elif name == "exceptions":
                 self._read_exceptions(node)
             else:
-                self.report(key_line, name, "is no known section", allowed)
+                self.report(key_line, name, "is an unknown section", allowed)
 
     def _read_defaults(self, node):
         kinds = ", ".join(schema.DEFAULT_TYPES)
-        for kind, key_line, child in self._items(node, "defaults", f"any of {kinds}"):
+        for kind, key_line, child in self._mapping_items(
+            node, "defaults", f"any of {kinds}"
+        ):
             path = f"defaults.{kind}"
             if kind not in schema.DEFAULT_TYPES:
-                self.report(key_line, path, "is no kind of record", f"any of {kinds}")
+                self.report(
+                    key_line, path, "is an unknown kind of record", f"any of {kinds}"
+                )
                 continue
             specs = schema.defaulted_fields(kind)
             entry = Entry(kind, path, key_line)
@@ -121,7 +125,7 @@
 
     def _read_records(self, kind, section, node):
         specs = schema.record_fields(kind)
-        for position, child in enumerate(self._list(node, section)):
+        for position, child in enumerate(self._list_items(node, section)):
             entry = Entry(kind, f"{section}[{position}]", line_of(child))
             self._read_fields(entry, child, specs, schema.defaulted_fields(kind))
             if isinstance(child, yaml.MappingNode):
@@ -130,23 +134,25 @@
 
     def _read_fields(self, entry, node, specs, defaulted=()):
         allowed = "any of " + ", ".join(specs)
-        for name, key_line, child in self._items(node, entry.path, allowed, entry):
+        for name, key_line, child in self._mapping_items(
+            node, entry.path, allowed, entry
+        ):
             path = f"{entry.path}.{name}"
             if name in specs:
                 value = self._value(child, specs[name], path)
                 entry.lines[name] = line_of(child)
-                if value is _BAD:
+                if value is _INVALID:
                     entry.complete = False
                 else:
                     entry.set(name, value, line_of(child))
             elif name in defaulted:
-                problem = "is set for the whole fleet, not by one record"
-                remedy = (
+                problem = "is set for the whole fleet, not by a single record"
+                allowed_values = (
                     f"a default, or an exception of kind {entry.kind} with a reason"
                 )
-                self.report(key_line, path, problem, remedy)
+                self.report(key_line, path, problem, allowed_values)
             else:
-                self.report(key_line, path, "is no known field", allowed)
+                self.report(key_line, path, "is an unknown field", allowed)
 
     def _require(self, entry, names):
         for name in names:
@@ -157,13 +163,13 @@
 
     def _value(self, node, spec, path):
         if spec.item_type is not None:
-            items = self._list(node, path)
+            items = self._list_items(node, path)
             single = schema.FieldSpec(spec.owner, spec.name, spec.item_type, True)
             values = [
                 self._value(item, single, f"{path}[{position}]")
                 for position, item in enumerate(items)
             ]
-            return _BAD if _BAD in values else tuple(values)
+            return _INVALID if _INVALID in values else tuple(values)
         if issubclass(spec.type, msgspec.Struct):
             return self._struct(node, spec, path)
         return self._scalar(node, spec, path)
@@ -176,25 +182,32 @@
         if isinstance(node, yaml.MappingNode):
             self._require(entry, required_names(specs))
         if len(self.faults) > before:
-            return _BAD
+            return _INVALID
         return spec.type(**entry.values)
 
     def _scalar(self, node, spec, path):
         value = scalar_value(node, spec)
-        if value is _BAD or not spec.accepts(value):
-            self.report(line_of(node), path, f"is {_shown(node)}", _remedy(node, spec))
-            return _BAD
+        if value is _INVALID or not spec.accepts(value):
+            self.report(
+                line_of(node),
+                path,
+                f"is {_describe(node)}",
+                _allowed_values(node, spec),
+            )
+            return _INVALID
         return value
 
     def _read_exceptions(self, node):
         allowed = "any of " + ", ".join(_EXCEPTION_FIELDS)
-        for position, child in enumerate(self._list(node, "exceptions")):
+        for position, child in enumerate(self._list_items(node, "exceptions")):
             entry = Entry("exception", f"exceptions[{position}]", line_of(child))
             nodes = {}
-            for name, key_line, item in self._items(child, entry.path, allowed, entry):
+            for name, key_line, item in self._mapping_items(
+                child, entry.path, allowed, entry
+            ):
                 if name not in _EXCEPTION_FIELDS:
                     path = f"{entry.path}.{name}"
-                    self.report(key_line, path, "is no known field", allowed)
+                    self.report(key_line, path, "is an unknown field", allowed)
                     continue
                 nodes[name] = item
                 entry.lines[name] = line_of(item)
@@ -210,18 +223,21 @@
         path = f"{entry.path}.{name}"
         value = _text(node)
         if name == "kind":
-            sound = value in schema.EXCEPTION_KINDS
+            is_valid = value in schema.EXCEPTION_KINDS
             allowed = "one of " + ", ".join(schema.EXCEPTION_KINDS)
         elif name == "reason":
-            sound = value is not None and is_valid_reason(value)
+            is_valid = value is not None and is_valid_reason(value)
             allowed = REASON_ALLOWED
         else:
-            sound, allowed = bool(value), "a name, in quotes where it looks otherwise"
-        if sound:
+            is_valid, allowed = (
+                bool(value),
+                "a name, in quotes if YAML reads another type",
+            )
+        if is_valid:
             entry.set(name, value, line_of(node))
         else:
             entry.complete = False
-            self.report(line_of(node), path, f"is {_shown(node)}", allowed)
+            self.report(line_of(node), path, f"is {_describe(node)}", allowed)
 
     def _read_exception_value(self, entry, node):
         kind, field = entry.values.get("kind"), entry.values.get("field")
@@ -230,38 +246,38 @@
         specs = schema.exception_fields(kind)
         if field not in specs:
             entry.complete = False
-            problem = f"names {field!r}, which is no field with a default"
+            problem = f"names {field!r}, which is not a field with a default"
             allowed = "one of " + ", ".join(specs)
             line = entry.line_of("field")
             self.report(line, f"{entry.path}.field", problem, allowed)
         elif node is not None:
             value = self._value(node, specs[field], f"{entry.path}.value")
-            if value is _BAD:
+            if value is _INVALID:
                 entry.complete = False
             else:
                 entry.set("value", value, line_of(node))
 
-    def _items(self, node, path, allowed, entry=None):
-        """Return ``(name, line, node)`` of a mapping, each name once."""
+    def _mapping_items(self, node, path, allowed, entry=None):
+        """Return ``(name, line, node)`` for the items of a mapping, each name once."""
         if not isinstance(node, yaml.MappingNode):
             if entry is not None:
                 entry.complete = False
-            self.report(line_of(node), path, f"is {_shown(node)}", allowed)
+            self.report(line_of(node), path, f"is {_describe(node)}", allowed)
             return []
         found = {}
         for key, child in node.value:
-            name = key.value if isinstance(key, yaml.ScalarNode) else _shown(key)
+            name = key.value if isinstance(key, yaml.ScalarNode) else _describe(key)
             if name in found:
-                problem = f"stands twice (first on line {found[name][1]})"
-                self.report(line_of(key), f"{path}.{name}", problem, "one of them")
+                problem = f"is given twice (first on line {found[name][1]})"
+                self.report(line_of(key), f"{path}.{name}", problem, "one occurrence")
             else:
                 found[name] = (name, line_of(key), child)
         return list(found.values())
 
-    def _list(self, node, path):
+    def _list_items(self, node, path):
         if isinstance(node, yaml.SequenceNode):
             return node.value
-        self.report(line_of(node), path, f"is {_shown(node)}", "a list")
+        self.report(line_of(node), path, f"is {_describe(node)}", "a list")
         return []
 
 
@@ -276,30 +292,30 @@
 
 
 def is_valid_reason(text):
-    """Return whether a text can serve as the reason of an exception."""
+    """Return whether a text has the length required of an exception's reason."""
     return _MIN_REASON_CHARS <= len(text.strip()) <= _MAX_REASON_CHARS
 
 
 def scalar_value(node, spec):
-    """Return a scalar node's value, or a marker when it has another type.
+    """Return a scalar node's value, or a marker if it has another type.
 
-    YAML reads ``010`` as 8, ``1:30`` as 90 and ``no`` as false. A limit or a name
-    would silently be another one, so that numbers are taken in decimal only, truth
-    values as ``true`` and ``false`` only, and text only where YAML sees text.
+    YAML reads ``010`` as 8, ``1:30`` as 90 and ``no`` as false, which would silently
+    change a limit or a name. So numbers are accepted in decimal only, booleans as
+    ``true`` and ``false`` only, and text only if YAML resolves it to a string.
     """
     if not isinstance(node, yaml.ScalarNode):
-        return _BAD
+        return _INVALID
     if spec.type is int:
         decimal = node.tag == _INTEGER_TAG and _DECIMAL.match(node.value)
-        return int(node.value) if decimal else _BAD
+        return int(node.value) if decimal else _INVALID
     if spec.type is bool:
         is_boolean = node.tag == _BOOLEAN_TAG
-        return _BOOLEANS.get(node.value, _BAD) if is_boolean else _BAD
+        return _BOOLEANS.get(node.value, _INVALID) if is_boolean else _INVALID
     text = _text(node)
     if text is None:
-        return _BAD
+        return _INVALID
     if issubclass(spec.type, enum.Enum):
-        return next((item for item in spec.type if item.value == text), _BAD)
+        return next((item for item in spec.type if item.value == text), _INVALID)
     return text
 
 
@@ -308,7 +324,7 @@
     return node.value if is_text else None
 
 
-def _shown(node):
+def _describe(node):
     if isinstance(node, yaml.MappingNode):
         return "a mapping"
     if isinstance(node, yaml.SequenceNode):
@@ -319,7 +335,7 @@
     return repr(text)
 
 
-def _remedy(node, spec):
+def _allowed_values(node, spec):
     quotable = isinstance(node, yaml.ScalarNode) and node.tag != _STRING_TAG
     if spec.type is str and quotable:
         return f"{spec.allowed}, in quotes"
--- a/libs/declarations/src/hemlockhoist/declarations/record_checks.py
+++ b/libs/declarations/src/hemlockhoist/declarations/record_checks.py
@@ -1,4 +1,4 @@
-"""Checks of declarations that came as records, not as a file."""
+"""Checks of declarations received as records instead of a file."""
 
 from hemlockhoist.declarations import schema
 from hemlockhoist.declarations.checks import CrossRecordChecks, check_version_shares
@@ -15,10 +15,10 @@
 
 
 def check_declarations(declarations):
-    """Raise when declarations break a rule that a file would be held to.
+    """Raise ``DeclarationFaults`` if declarations break a rule that holds for files.
 
-    A host checks what an operator's command sends: the command may be of another
-    release, or not ours.
+    A host checks the declarations that an operator's command sends, as the command may
+    be of another release, or another program.
 
     Parameters
     ==========
@@ -27,7 +27,7 @@
     Raises
     ======
     DeclarationFaults
-        With every fault.
+        With all faults.
     """
     faults = []
     entries = {}
@@ -49,7 +49,7 @@
     faults += CrossRecordChecks("", entries).run()
     for position, pool in enumerate(declarations.pools):
         faults += check_version_shares(f"pools[{position}]", pool.version_rules)
-    faults += _unexplained(declarations)
+    faults += _override_faults(declarations)
     if faults:
         raise DeclarationFaults(faults)
 
@@ -93,7 +93,7 @@
     specs = schema.exception_fields(values["kind"])
     spec = specs.get(values["field"])
     if spec is None:
-        problem = f"names {values['field']!r}, which is no field with a default"
+        problem = f"names {values['field']!r}, which is not a field with a default"
         faults.append(
             _fault(f"{entry.path}.field", problem, "one of " + ", ".join(specs))
         )
@@ -103,29 +103,39 @@
     return faults
 
 
-def _unexplained(declarations):
-    """Return a fault for each departure whose exception is missing or differs."""
-    stated = {(i.kind, i.name, i.field): i.value for i in declarations.exceptions}
+def _override_faults(declarations):
+    """Return a fault for each override whose exception is missing or differs."""
+    exception_values = {
+        (i.kind, i.name, i.field): i.value for i in declarations.exceptions
+    }
     faults = []
     for kind in schema.RECORD_TYPES:
         for position, record in enumerate(getattr(declarations, _SECTIONS[kind])):
-            own = overridden_values(kind, record, declarations.defaults)
+            overridden = overridden_values(kind, record, declarations.defaults)
             path = f"{_SECTIONS[kind]}[{position}]"
-            for field, value in own.items():
-                if stated.get((kind, record.name, field)) != value:
-                    problem = f"is {value!r}, and no exception says so"
+            for field, value in overridden.items():
+                if exception_values.get((kind, record.name, field)) != value:
+                    problem = f"is {value!r}, which no exception states"
                     allowed = "the default, or an exception with a reason"
                     faults.append(_fault(f"{path}.{field}", problem, allowed))
-            excepted = [key for key in stated if key[:2] == (kind, record.name)]
+            excepted = [
+                key for key in exception_values if key[:2] == (kind, record.name)
+            ]
             for key in excepted:
                 default = getattr(declarations.defaults, kind)
-                if key[2] not in own and not _equals(default, key[2], stated[key]):
-                    problem = f"does not hold the exception's value {stated[key]!r}"
-                    faults.append(_fault(f"{path}.{key[2]}", problem, "that value"))
+                if key[2] not in overridden and not _field_equals(
+                    default, key[2], exception_values[key]
+                ):
+                    problem = (
+                        f"differs from the exception's value {exception_values[key]!r}"
+                    )
+                    faults.append(
+                        _fault(f"{path}.{key[2]}", problem, "the exception's value")
+                    )
     return faults
 
 
-def _equals(default, field, value):
+def _field_equals(default, field, value):
     for name in field.split("."):
         default = getattr(default, name, None)
     return default == value
--- a/libs/declarations/src/hemlockhoist/declarations/routes.py
+++ b/libs/declarations/src/hemlockhoist/declarations/routes.py
@@ -1,20 +1,20 @@
-"""The declared routes: which requests go to which pool, for whom, and how.
+"""The declared routes of requests to pools, with customers and request limits.
 
-Where callers address the fleet by host name and path, operators declare routes. A
-``RouteTable`` is that declaration at one version, with what a request needs to be
-admitted: routes, the customers' keys and allowances, and limits on requests.
+Operators declare routes for callers that address the fleet by host name and path. A
+``RouteTable`` holds the declaration at one version, with all that is needed to admit a
+request: routes, the customers' keys and quotas, and limits on requests.
 """
 
 import enum
 
 import msgspec
 
-# Requests of a customer without a rank of its own stand beside those of the highest.
+# Customers without a rank of their own have the highest rank.
 DEFAULT_CUSTOMER_RANK = 0
 
 
 class CallKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Kind of the calls on a route, which decides whether they may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -22,13 +22,13 @@
 
 
 class PoolShare(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of a route's traffic.
+    """A pool's share of the traffic of a route.
 
     Parameters
     ==========
     pool : str
     weight : int
-        In relation to the route's other shares.
+        Weight relative to the route's other shares.
     """
 
     pool: str
@@ -36,35 +36,35 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests that are handled alike.
+    """A class of requests with common handling, selected by host name and path.
 
     Parameters
     ==========
     name, host : str
     prefix : str
-        Begins and ends with a slash.
+        Path prefix that begins and ends with a slash.
     kind : CallKind
     timeout_ms : int
-        The longest that a caller is kept waiting for the end of its answer.
+        Longest time that a caller waits for the end of its answer.
     target_ms : int
-        An answer (of a stream: its first event) within this time is in time.
+        Time within which an answer (for a stream, its first event) is on time.
     max_gap_ms : int
-        Of a stream: the longest pause between events of an answer that is in time; 0
-        where none is declared.
+        For a stream, the longest gap between events of an answer that is on time; 0 if
+        none is declared.
     caller_wait_limit_ms : int
-        Of a stream: a caller that gets no event for this long leaves; 0 where callers
-        wait for the whole time that they state.
+        For a stream, the time without an event after which a caller disconnects; 0 if
+        callers wait for the full time that they state.
     rank : int
         0 is the highest.
     shares : tuple of PoolShare
     max_attempts : int
-        Upstreams that one request may be sent to, the first included.
+        Maximum number of upstreams that a request is sent to, including the first.
     allows_anonymous : bool
-        Whether it takes requests without a key.
+        Whether requests without a key are accepted.
     is_resumable : bool
         Whether a stream may be continued by another upstream.
     regions : tuple of str
-        Where its requests may be sent; empty for anywhere.
+        Regions that its requests may be sent to; empty for all.
     """
 
     name: str
@@ -84,19 +84,19 @@
 
     @property
     def is_repeatable(self):
-        """Whether running a request again does no harm."""
+        """Whether a request may be run again without harm."""
         return self.kind is CallKind.IDEMPOTENT or self.is_resumable
 
 
 class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What is declared of the engines of a model pool.
+    """Declared properties of the engines of a model pool.
 
     Parameters
     ==========
     batch_size : int
-        Requests that an engine works on at once.
+        Number of requests that an engine processes concurrently.
     cache_tokens : int
-        Tokens that its memory holds.
+        Capacity of its KV cache in tokens.
     tokens_per_event : int
     """
 
@@ -112,13 +112,13 @@
     ==========
     name : str
     max_connections : int
-        That one upstream takes from all hosts together.
-    engine : EngineShape or None
+        Maximum number of connections to one upstream from all hosts together.
+    engine : EngineSpec or None
         None for a plain service.
     cold_ms : int
-        For how long an upstream is cold after its start.
+        Time after its start during which an upstream is cold.
     cold_requests_per_s : float
-        What a cold upstream bears; 0 where that is not bounded.
+        Maximum request rate of a cold upstream; 0 for no limit.
     """
 
     name: str
@@ -129,7 +129,7 @@
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller may send, and how long it may take or be idle."""
+    """Limits on the size of requests, on the time to send headers and on idle time."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -138,15 +138,15 @@
 
 
 class Quota(msgspec.Struct, frozen=True, kw_only=True):
-    """How much a customer may send, over all hosts.
+    """Rate limit of a customer, across all hosts.
 
     Parameters
     ==========
     units_per_s, burst_units : int
-        Tokens where ``counts_tokens``, else requests.
+        In tokens if ``counts_tokens`` is set, in requests otherwise.
     counts_tokens : bool
     default_request_units : int
-        What a request without a token count counts as.
+        Units charged for a request without a token count.
     """
 
     units_per_s: int
@@ -163,11 +163,11 @@
     name : str
     keys : tuple of str
     rank : int
-        Goes before the route's rank.
+        Takes precedence over the route's rank.
     quota : Quota or None
         None for no limit.
     regions : tuple of str
-        Where its requests may be sent; empty for anywhere.
+        Regions that its requests may be sent to; empty for all.
     """
 
     name: str
@@ -186,7 +186,7 @@
     routes : sequence of Route
     pools : sequence of RoutedPool
     customers : sequence of KeyedCustomer
-        Empty where no route asks for a key.
+        Empty if no route requires a key.
     limits : RequestLimits
 
     Examples
@@ -227,7 +227,7 @@
 
     @property
     def requires_keys(self):
-        """Whether requests carry a key, but on open routes."""
+        """Whether requests need a key, except on routes that allow anonymous ones."""
         return bool(self._customers)
 
     @property
@@ -241,16 +241,16 @@
         return tuple(self._customers.values())
 
     def regions_of(self, host):
-        """Return all regions that some routes of a host name are bound to."""
+        """Return all regions that routes of a host name are restricted to."""
         routes = self._by_host.get(host, {}).values()
         return tuple({region for route in routes for region in route.regions})
 
     def pool(self, name):
-        """Return the pool of that name, or None."""
+        """Return the pool with a given name, or None."""
         return self._pools.get(name)
 
     def customer(self, name):
-        """Return the customer of that name, or None."""
+        """Return the customer with a given name, or None."""
         return self._customers.get(name)
 
     def customer_of(self, key):
@@ -258,10 +258,10 @@
         return self._by_key.get(key)
 
     def match(self, host, path):
-        """Return the route with the longest prefix that begins the path, or None.
+        """Return the route with the longest matching path prefix, or None.
 
-        Prefixes end with a slash, so that only the path's own slashes are tried: the
-        cost does not grow with the number of routes.
+        Prefixes end with a slash, so only prefixes that end at a slash of the path are
+        looked up, and the cost does not depend on the number of routes.
         """
         prefixes = self._by_host.get(host)
         if prefixes is None:
--- a/libs/declarations/src/hemlockhoist/declarations/schema.py
+++ b/libs/declarations/src/hemlockhoist/declarations/schema.py
@@ -1,7 +1,7 @@
-"""What may stand in each declared field, derived from the records of the model.
+"""Allowed values of each declared field, derived from the records of the model.
 
-Types and requiredness come from the records; bounds and patterns stand in the tables
-below, each with its reason.
+Types and required fields follow from the records; bounds and patterns are given in the
+tables below, with their reasons.
 """
 
 import enum
@@ -26,32 +26,34 @@
 EXCEPTION_KINDS = (*RECORD_TYPES, DOMAIN_KIND)
 _DAY_MS = 86_400_000
 
-# record, field: least, greatest.
+# (record, field): (minimum, maximum).
 _BOUNDS = {
-    # More ranks than tiers in use (5 planned), few enough for an array per pool.
+    # More ranks than tiers in use (5 planned), and few enough for an array per pool.
     ("Tier", "rank"): (0, 15),
-    # Below 10 ms no network round trip fits; a day bounds the records kept.
+    # 10 ms is the least that leaves time for a network round trip; one day bounds the
+    # number of stored records.
     ("Tier", "deadline_ms"): (10, _DAY_MS),
     ("Tier", "first_token_target_ms"): (1, _DAY_MS),
-    # 0 means "never queue"; the ceiling bounds a home's memory for one pool.
+    # 0 disables queueing; the maximum bounds a home's memory for one pool.
     ("Tier", "max_queued"): (0, 100_000),
-    # 0 closes a customer out without removing it.
+    # 0 blocks a customer without removing it.
     ("Customer", "max_in_flight"): (0, 1_000_000),
-    # A ratio above 1000 starves the small customer in practice.
+    # A ratio above 1000 would starve the customer with the lower weight.
     ("Customer", "weight"): (1, 1_000),
     ("Pool", "max_in_flight_per_upstream"): (1, 4_096),
     ("Pool", "expected_output_tokens"): (1, 1_000_000),
-    # The ceiling bounds an entry host's memory for one request.
+    # The maximum bounds an entry host's memory for one request.
     ("Pool", "max_body_bytes"): (1_024, 67_108_864),
-    # 0 would never give the new version any evidence; half is no small share.
+    # 0 would never yield evidence for the new version; above one half, the share would
+    # not be a small one.
     ("VersionRules", "first_share_permille"): (1, 500),
     ("VersionRules", "unproven_share_permille"): (1, 500),
-    # The sequential test needs both error rates above 0 and below one half.
+    # The sequential test requires both error rates to be above 0 and below one half.
     ("VersionRules", "false_alarm_permille"): (1, 499),
     ("VersionRules", "missed_permille"): (1, 499),
 }
-# Bounds of a whole number that has no row above.
-_ANY_INTEGER = (0, 2**53)
+# Bounds of integers without a row above.
+_DEFAULT_BOUNDS = (0, 2**53)
 
 _NAME = (r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", "1 to 64 letters, digits, '.', '_', '-'")
 _PATTERNS = {
@@ -62,16 +64,16 @@
     "method": (r"[A-Z]{1,16}", "an HTTP method in capitals, such as GET"),
     "path": (r"/[^\s?#]{0,255}", "a path that begins with '/'"),
 }
-_ANY_TEXT = (r".{1,500}", "1 to 500 characters on one line")
+_DEFAULT_PATTERN = (r".{1,500}", "1 to 500 characters on one line")
 
 
 class FieldSpec:
-    """What one field may hold.
+    """Specification of one field.
 
     Parameters
     ==========
     owner : str
-        Name of the record it belongs to.
+        Name of the record that the field belongs to.
     name : str
     type : type
         ``int``, ``bool``, ``str``, an enumeration, a record, or a tuple of one.
@@ -80,9 +82,9 @@
     Attributes
     ==========
     bounds : tuple of int
-        Least and greatest value of a whole number.
+        Minimum and maximum of an integer.
     item_type : type or None
-        Of a list's items; None when the field is no list.
+        Type of the items of a list; None for other fields.
     """
 
     __slots__ = (
@@ -100,40 +102,40 @@
         self.name = name
         self.type = type
         self.required = required
-        self.bounds = _BOUNDS.get((owner, name), _ANY_INTEGER)
+        self.bounds = _BOUNDS.get((owner, name), _DEFAULT_BOUNDS)
         self.item_type = None
         if typing.get_origin(type) is tuple:
             self.item_type = typing.get_args(type)[0]
-        self._pattern = re.compile(_PATTERNS.get(name, _ANY_TEXT)[0])
+        self._pattern = re.compile(_PATTERNS.get(name, _DEFAULT_PATTERN)[0])
 
     @property
     def has_own_bounds(self):
-        """Whether the table of bounds names this field."""
+        """Whether the table of bounds has a row for this field."""
         return (self.owner, self.name) in _BOUNDS
 
     @property
     def allowed(self):
-        """What may stand in the field (or in each item), for people."""
+        """Readable description of the allowed values of the field, or of its items."""
         kind = self.item_type or self.type
         if kind is bool:
             return "true or false"
         if kind is int:
-            least, greatest = self.bounds
-            return f"a whole number from {least} to {greatest}"
+            minimum, maximum = self.bounds
+            return f"a whole number from {minimum} to {maximum}"
         if kind is str:
-            return _PATTERNS.get(self.name, _ANY_TEXT)[1]
+            return _PATTERNS.get(self.name, _DEFAULT_PATTERN)[1]
         if issubclass(kind, enum.Enum):
             return "one of " + ", ".join(item.value for item in kind)
         names = ", ".join(info.name for info in msgspec.structs.fields(kind))
         return f"a mapping of {names}"
 
     def accepts(self, value):
-        """Return whether a scalar of the right type is within bounds."""
+        """Return whether a scalar of the field's type is within its bounds."""
         if isinstance(value, bool):
             return True
         if isinstance(value, int):
-            least, greatest = self.bounds
-            return least <= value <= greatest
+            minimum, maximum = self.bounds
+            return minimum <= value <= maximum
         if isinstance(value, str):
             return self._pattern.fullmatch(value) is not None
         return True
@@ -143,15 +145,15 @@
 def fields_of(record_type, owner=None):
     """Return the specifications of a record's fields by name.
 
-    The result is shared between calls, like that of the functions below: without
-    that, cutting 1,700 customers into sections spends most of its time here.
+    The result is cached, like that of the functions below: otherwise, dividing 1,700
+    customers into sections spends most of its time here.
 
     Parameters
     ==========
     record_type : type
-        A ``msgspec.Struct``.
+        A subclass of ``msgspec.Struct``.
     owner : str, optional
-        Name to look bounds up by, where it is not the record's own.
+        Name by which bounds are looked up, if it is not the record's own.
     """
     specs = {}
     for info in msgspec.structs.fields(record_type):
@@ -162,7 +164,7 @@
 
 @functools.cache
 def defaulted_fields(kind):
-    """Return the specifications of the fields that ``defaults`` and exceptions set.
+    """Return the specifications of the fields set by defaults and exceptions.
 
     Parameters
     ==========
@@ -174,7 +176,7 @@
 
 @functools.cache
 def record_fields(kind):
-    """Return the specifications of the fields that a record states itself."""
+    """Return the specifications of the fields that a record itself states."""
     specs = fields_of(RECORD_TYPES[kind])
     defaulted = defaulted_fields(kind)
     return {name: spec for name, spec in specs.items() if name not in defaulted}
@@ -182,7 +184,9 @@
 
 @functools.cache
 def exception_fields(kind):
-    """Return the specifications that an exception may name, nested ones dotted.
+    """Return the specifications of the fields that an exception may set.
+
+    Nested fields have dotted names.
 
     Examples
     ========
--- a/libs/declarations/src/hemlockhoist/declarations/sectioning.py
+++ b/libs/declarations/src/hemlockhoist/declarations/sectioning.py
@@ -1,8 +1,8 @@
-"""Declarations cut into sections, so that a change ships only what it touches.
+"""Division of declarations into sections, so that a change transfers only some.
 
-At 32,000 changes a day, 1,700 customers and 1,300 hosts, sending the whole would
-cost each host most of what control may use. A record is stored without the values
-that come from the defaults: a changed default is a change of one section.
+At 32,000 changes per day, 1,700 customers and 1,300 hosts, sending all declarations
+with each change would use most of each host's budget for control traffic. Records are
+stored without the values that defaults give, so a changed default changes one section.
 """
 
 import msgspec
@@ -20,7 +20,7 @@
     Tier,
 )
 
-# 1,700 customers give about seven a bucket, near one kilobyte.
+# 1,700 customers give about seven per bucket, near one kilobyte.
 CUSTOMER_BUCKETS = 256
 HEAD = "head"
 EXCEPTIONS = "exceptions"
@@ -30,7 +30,7 @@
 
 
 class Section(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of the declarations that is sent as a whole.
+    """A part of the declarations that is transferred as a unit.
 
     Parameters
     ==========
@@ -38,7 +38,7 @@
         ``head`` (defaults and tiers), ``exceptions``, ``pool:NAME`` or
         ``customers:NNN``.
     digest : str
-        Of the body.
+        Digest of the body.
     body : bytes
         JSON.
     """
@@ -49,7 +49,7 @@
 
 
 class Sections(msgspec.Struct, frozen=True, kw_only=True):
-    """All sections of one version, by name in sorted order."""
+    """All sections of one version, sorted by name."""
 
     version: int
     items: tuple[Section, ...]
@@ -61,23 +61,23 @@
 
     @property
     def digest(self):
-        """One digest of the whole content, whatever its version."""
+        """Digest of the whole content, independent of the version."""
         return _digest(_ENCODER.encode(self.manifest))
 
 
 class SectionDelta(msgspec.Struct, frozen=True, kw_only=True):
-    """What turns the sections of one version into those of another.
+    """Difference between the sections of two versions.
 
     Parameters
     ==========
     version : int
-        That results.
+        The resulting version.
     changed : tuple of Section
-        Also those that are new.
+        Changed and new sections.
     removed : tuple of str
-        Names.
+        Names of the removed sections.
     digest : str
-        Of the whole that results.
+        Digest of the resulting content.
     """
 
     version: int
@@ -87,13 +87,13 @@
 
 
 class SectionMismatch(DeclarationError):
-    """A delta does not fit what is held; the whole has to be fetched."""
+    """A delta does not match the held sections; all sections have to be fetched."""
 
     code = ResultCode.DECLARATION_CONFLICT
 
 
 def sections(declarations):
-    """Return the sections of declarations.
+    """Return declarations divided into sections.
 
     Parameters
     ==========
@@ -105,28 +105,28 @@
     """
     ordered = canonical(declarations)
     defaults = ordered.defaults
-    tiers = [_stored("tier", tier, defaults) for tier in ordered.tiers]
+    tiers = [_to_stored("tier", tier, defaults) for tier in ordered.tiers]
     bodies = {
         HEAD: {"defaults": defaults, "tiers": tiers},
         EXCEPTIONS: ordered.exceptions,
     }
     for pool in ordered.pools:
-        bodies[_POOL + pool.name] = _stored("pool", pool, defaults)
+        bodies[_POOL + pool.name] = _to_stored("pool", pool, defaults)
     for customer in ordered.customers:
-        stored = _stored("customer", customer, defaults)
+        stored = _to_stored("customer", customer, defaults)
         bodies.setdefault(customer_section(customer.name), []).append(stored)
     items = tuple(_section(name, bodies[name]) for name in sorted(bodies))
     return Sections(version=ordered.version, items=items)
 
 
 def customer_section(name):
-    """Return the name of the section that holds a customer."""
+    """Return the name of the section that contains a customer."""
     bucket = xxhash.xxh3_64_intdigest(name.encode()) % CUSTOMER_BUCKETS
     return f"{_CUSTOMERS}{bucket:03}"
 
 
 def changed_sections(old, new):
-    """Return what a holder of ``old`` needs to have ``new``.
+    """Return the delta from ``old`` to ``new``.
 
     Parameters
     ==========
@@ -136,29 +136,29 @@
 
 
 def missing_sections(manifest, new):
-    """Return what a holder of sections with these digests needs to have ``new``.
+    """Return the delta to ``new`` from sections with given digests.
 
     Parameters
     ==========
     manifest : mapping of str to str
-        Digests by section name; empty for a holder of nothing.
+        Digests by section name; empty if no sections are held.
     new : Sections
 
     Returns
     =======
     SectionDelta
     """
-    kept = new.manifest
+    new_manifest = new.manifest
     return SectionDelta(
         version=new.version,
         changed=tuple(i for i in new.items if manifest.get(i.name) != i.digest),
-        removed=tuple(sorted(name for name in manifest if name not in kept)),
+        removed=tuple(sorted(name for name in manifest if name not in new_manifest)),
         digest=new.digest,
     )
 
 
 def merge_sections(held, delta):
-    """Return the sections that result from a delta.
+    """Return the sections that result from applying a delta.
 
     Parameters
     ==========
@@ -168,42 +168,46 @@
     Raises
     ======
     SectionMismatch
-        When the delta is no newer than what is held, was damaged, or was made for
-        other sections than those held. A host that took it would run a mixture of
-        two versions that nobody declared, under the number of one of them; the
-        digest of the whole shows it.
+        When the delta is not newer than the held sections, was corrupted, or was made
+        for other sections than those held. A host that applied such a delta would run
+        a mixture of two versions under the number of one of them; the digest of the
+        resulting content detects this.
     """
     if delta.version <= held.version:
-        raise SectionMismatch(f"version {delta.version} is not above {held.version}")
+        raise SectionMismatch(
+            f"version {delta.version} is not newer than {held.version}"
+        )
     for item in delta.changed:
         if _digest(item.body) != item.digest:
-            raise SectionMismatch(f"section {item.name} was damaged on its way")
+            raise SectionMismatch(f"section {item.name} was corrupted in transit")
     removed = set(delta.removed)
     merged = {item.name: item for item in held.items if item.name not in removed}
     merged |= {item.name: item for item in delta.changed}
     items = tuple(merged[name] for name in sorted(merged))
     result = Sections(version=delta.version, items=items)
     if result.digest != delta.digest:
-        raise SectionMismatch(f"the delta to version {delta.version} does not fit")
+        raise SectionMismatch(
+            f"delta to version {delta.version} does not match the held sections"
+        )
     return result
 
 
-def from_sections(whole):
-    """Return the declarations that sections hold.
+def from_sections(all_sections):
+    """Return the declarations contained in sections.
 
     Raises
     ======
     DeclarationError
-        When a section can not be read.
+        When a section cannot be decoded.
     """
-    return SectionReader().read(whole)
+    return SectionReader().read(all_sections)
 
 
 class SectionReader:
-    """Turns sections into declarations, reading again only what has changed.
+    """Converts sections to declarations, decoding only sections that have changed.
 
-    A host keeps one: a change of one customer among 1,700 costs the reading of one
-    bucket.
+    A host keeps one reader, so that a change of one customer among 1,700 requires
+    decoding one bucket.
     """
 
     __slots__ = ("_head_digest", "_records")
@@ -212,71 +216,74 @@
         self._records = {}
         self._head_digest = None
 
-    def read(self, whole):
-        """Return the declarations of ``whole``.
+    def read(self, all_sections):
+        """Return the declarations of ``all_sections``.
 
         Parameters
         ==========
-        whole : Sections
+        all_sections : Sections
         """
         try:
-            return self._read(whole)
+            return self._read(all_sections)
         except (msgspec.DecodeError, KeyError, TypeError, AttributeError) as error:
-            raise DeclarationError(f"sections can not be read: {error!r}") from error
+            raise DeclarationError(f"sections cannot be decoded: {error!r}") from error
 
-    def _read(self, whole):
-        by_name = {item.name: item for item in whole.items}
+    def _read(self, all_sections):
+        by_name = {item.name: item for item in all_sections.items}
         head = by_name[HEAD]
         stored = msgspec.json.decode(head.body)
         defaults = msgspec.convert(stored["defaults"], Defaults)
         if head.digest != self._head_digest:
-            # Records hold effective values, which new defaults change.
+            # Records hold effective values, which depend on the defaults.
             self._records = {}
             self._head_digest = head.digest
         records = {}
-        for item in whole.items:
-            known = self._records.get(item.name)
-            if known is None or known[0] != item.digest:
-                known = (item.digest, _restored_all(item, defaults))
-            records[item.name] = known
+        for item in all_sections.items:
+            cached = self._records.get(item.name)
+            if cached is None or cached[0] != item.digest:
+                cached = (item.digest, _decode_section(item, defaults))
+            records[item.name] = cached
         self._records = records
         return canonical(
             Declarations(
-                version=whole.version,
+                version=all_sections.version,
                 tiers=tuple(
-                    _restored(Tier, "tier", i, defaults) for i in stored["tiers"]
+                    _from_stored(Tier, "tier", i, defaults) for i in stored["tiers"]
                 ),
-                customers=_joined(records, _CUSTOMERS),
-                pools=_joined(records, _POOL),
-                exceptions=_joined(records, EXCEPTIONS),
+                customers=_collect(records, _CUSTOMERS),
+                pools=_collect(records, _POOL),
+                exceptions=_collect(records, EXCEPTIONS),
                 defaults=defaults,
             )
         )
 
 
-def _joined(records, prefix):
-    found = (known for name, (_, known) in records.items() if name.startswith(prefix))
+def _collect(records, prefix):
+    found = (cached for name, (_, cached) in records.items() if name.startswith(prefix))
     return tuple(record for group in found for record in group)
 
 
-def _restored_all(section, defaults):
+def _decode_section(section, defaults):
     if section.name == HEAD:
         return ()
     stored = msgspec.json.decode(section.body)
     if section.name == EXCEPTIONS:
         return msgspec.convert(stored, tuple[FleetException, ...])
     if section.name.startswith(_POOL):
-        return (_restored(Pool, "pool", stored, defaults),)
-    return tuple(_restored(Customer, "customer", item, defaults) for item in stored)
+        return (_from_stored(Pool, "pool", stored, defaults),)
+    return tuple(_from_stored(Customer, "customer", item, defaults) for item in stored)
 
 
-def _stored(kind, record, defaults):
-    """Return a record's own facts, and where it departs from the defaults."""
-    own = overridden_values(kind, record, defaults)
-    return {**own_values(kind, record), **({"departs": own} if own else {})}
+def _to_stored(kind, record, defaults):
+    """Return a record's own values, and those that override defaults."""
+    overridden = overridden_values(kind, record, defaults)
+    return {
+        **own_values(kind, record),
+        **({"departs": overridden} if overridden else {}),
+    }
 
 
-def _restored(record_type, kind, stored, defaults):
+def _from_stored(record_type, kind, stored, defaults):
     default = getattr(defaults, kind)
     values = msgspec.to_builtins(default)
     for field, value in stored.get("departs", {}).items():
@@ -285,10 +292,10 @@
             values[outer] = {**values[outer], inner: value}
         else:
             values[outer] = value
-    facts = {
+    own_fields = {
         name: stored[name] for name in schema.record_fields(kind) if name in stored
     }
-    return msgspec.convert({**values, **facts}, record_type)
+    return msgspec.convert({**values, **own_fields}, record_type)
 
 
 def _section(name, content):
--- a/libs/declarations/src/hemlockhoist/declarations/stored.py
+++ b/libs/declarations/src/hemlockhoist/declarations/stored.py
@@ -1,4 +1,4 @@
-"""What the table service holds: the declarations and their history."""
+"""Content of the table service's row: the declarations and their history."""
 
 import msgspec
 
@@ -8,10 +8,10 @@
 
 TABLE = "declarations"
 KEY = "current"
-# Holds the version alone, and is written together with the other row.
+# Row that holds the version alone, written in one transaction with the other row.
 VERSION_KEY = "version"
-# Enough to settle a lost answer long after, few enough for a row that is read often;
-# what is older stands in version control.
+# Enough entries to resolve a lost answer long afterwards, and few enough for a row that
+# is read often; older changes are found in version control.
 MAX_HISTORY = 200
 MAX_CHANGE_LINES = 8
 MAX_LINE_CHARS = 240
@@ -23,12 +23,12 @@
     Parameters
     ==========
     version : int
-        That the change made.
+        Version that the change made.
     change_id, author : str
     unix_ms : int
-        When a host accepted it.
+        When a host accepted the change.
     changes : tuple of str
-        One line for each difference, the reasons of exceptions among them; cut to
+        One line for each difference, with the reasons of exceptions; at most
         ``MAX_CHANGE_LINES``.
     """
 
@@ -40,7 +40,7 @@
 
 
 class StoredDeclarations(msgspec.Struct, frozen=True, kw_only=True):
-    """What the row holds.
+    """Content of the row.
 
     Parameters
     ==========
@@ -53,39 +53,39 @@
     history: tuple[HistoryEntry, ...] = ()
 
     def entry_for_change(self, change_id):
-        """Return the history's entry of a change, or None."""
+        """Return the history entry of a change, or None."""
         return next((e for e in self.history if e.change_id == change_id), None)
 
     def entry_for_version(self, version):
-        """Return the entry of the change that made a version, or None."""
+        """Return the history entry of the change that made a version, or None."""
         return next((e for e in self.history if e.version == version), None)
 
     def with_change(self, declarations, change_id, author, unix_ms):
-        """Return the row's next content.
+        """Return the row's content after a change.
 
         Parameters
         ==========
         declarations : Declarations
-            Their version is set here.
+            Their version is replaced by the next one.
         change_id, author : str
         unix_ms : int
         """
         version = self.declarations.version + 1
-        following = msgspec.structs.replace(canonical(declarations), version=version)
+        updated = msgspec.structs.replace(canonical(declarations), version=version)
         entry = HistoryEntry(
             version=version,
             change_id=change_id,
             author=author,
             unix_ms=unix_ms,
-            changes=_lines(self.declarations, following),
+            changes=_change_lines(self.declarations, updated),
         )
         history = (entry, *self.history)[:MAX_HISTORY]
-        return StoredDeclarations(declarations=following, history=history)
+        return StoredDeclarations(declarations=updated, history=history)
 
 
-def _lines(old, new):
+def _change_lines(old, new):
     lines = tuple(str(change)[:MAX_LINE_CHARS] for change in diff(old, new))
     if len(lines) <= MAX_CHANGE_LINES:
         return lines
-    more = len(lines) - MAX_CHANGE_LINES + 1
-    return (*lines[: MAX_CHANGE_LINES - 1], f"and {more} more")
+    omitted_count = len(lines) - MAX_CHANGE_LINES + 1
+    return (*lines[: MAX_CHANGE_LINES - 1], f"and {omitted_count} more")
--- a/libs/declarations/src/hemlockhoist/declarations/tests/samples.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/samples.py
@@ -1,4 +1,4 @@
-"""Declarations for tests: one sound fleet and a strategy for any."""
+"""Declarations for tests: the example, a large fleet and a Hypothesis strategy."""
 
 import pathlib
 
@@ -25,7 +25,7 @@
 
 
 def fleet(customers=1_700, pools=11):
-    """Return declarations of the size to design for."""
+    """Return declarations of the design size."""
     return Declarations(
         version=1,
         tiers=tuple(
@@ -53,7 +53,7 @@
 
 @st.composite
 def any_declarations(draw):
-    """Draw declarations with and without departures and exceptions."""
+    """Draw declarations with and without overrides and exceptions."""
     limits = st.integers(1, 3)
     default = CustomerDefaults(max_in_flight=draw(limits), weight=draw(limits))
     customers = tuple(
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_difference.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_difference.py
@@ -16,7 +16,7 @@
 
 class DifferenceTests(unittest.TestCase):
     def test_differences_are_shown_as_lines(self):
-        """Defaults, records and exceptions each give one line, with the reason."""
+        """Each changed default, record and exception gives one line, with reasons."""
         new = edited(
             ("max_in_flight: 64", "max_in_flight: 48"),
             ("stable_version: v1", "stable_version: v2"),
@@ -37,10 +37,10 @@
         )
 
     def test_equal_declarations_have_no_difference(self):
-        """The text says so plainly."""
+        """Equal declarations give the text "no difference"."""
         self.assertEqual(diff_text(diff(example(), example())), "no difference")
 
     @given(any_declarations(), any_declarations())
     def test_no_difference_means_equal(self, old, new):
-        """Two declarations differ exactly when the list of changes is not empty."""
+        """Two declarations differ if and only if the list of changes is not empty."""
         self.assertEqual(bool(diff(old, new)), canonical(old) != canonical(new))
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_document.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_document.py
@@ -25,8 +25,8 @@
 
 
 class ExampleTests(unittest.TestCase):
-    def test_example_is_sound(self):
-        """The example file has no fault; its exceptions take effect."""
+    def test_example_is_valid(self):
+        """The example file has no fault, and its exceptions are applied."""
         found = parse_declarations(EXAMPLE.read_bytes())
         self.assertEqual(len(found.customers), 5)
         self.assertEqual(found.customer("northern-university").max_in_flight, 192)
@@ -36,7 +36,7 @@
         self.assertEqual(rules.unproven_share_permille, 50)
 
     def test_bookings_are_not_idempotent(self):
-        """Availability lookups may be repeated, bookings may not."""
+        """Availability lookups are idempotent, bookings are not."""
         pool = parse_declarations(EXAMPLE.read_bytes()).pool("reservations")
         self.assertIs(pool.kind, PoolKind.SERVICE)
         self.assertTrue(pool.is_idempotent("GET", "/availability/hall-4"))
@@ -44,12 +44,12 @@
         self.assertFalse(pool.is_idempotent("GET", "/bookings"))
 
     def test_docstring_examples_run(self):
-        """The examples in the docstrings give what they show."""
+        """The examples in the docstrings run and give the results shown."""
         for module in (document, effective, schema):
             self.assertEqual(doctest.testmod(module).failed, 0)
 
     def test_every_number_has_bounds(self):
-        """Each whole number of a record has a row in the table of bounds."""
+        """Each integer field of a record has a row in the table of bounds."""
         for kind in schema.RECORD_TYPES:
             specs = {**schema.record_fields(kind), **schema.exception_fields(kind)}
             for spec in specs.values():
@@ -58,8 +58,8 @@
 
 
 class FaultTests(unittest.TestCase):
-    def test_every_fault_is_reported_at_once(self):
-        """Faults of all sections come together, each with its line and field."""
+    def test_all_faults_are_reported_at_once(self):
+        """Faults of all sections are reported together, with their lines and fields."""
         text = f"""tiers:
   - {TIER}
   - {{name: a, rank: 0, deadline_ms: 10s, first_token_target_ms: 9, max_queued: 1}}
@@ -98,20 +98,19 @@
             },
         )
 
-    def test_text_names_the_place_the_cause_and_the_remedy(self):
-        """A fault reads as file, line, field, what is wrong and what is allowed."""
+    def test_text_of_a_fault(self):
+        """The text gives the file, line, field, problem and allowed values."""
         with self.assertRaises(DeclarationFaults) as caught:
             parse_declarations(f"tiers:\n- {TIER}\nfoo: 1\n".encode(), "fleet.yaml")
         self.assertIn(
-            "fleet.yaml:3: foo: is no known section; allowed: a mapping of defaults,",
+            "fleet.yaml:3: foo: is an unknown section; allowed: a mapping of defaults,",
             str(caught.exception),
         )
 
     def test_key_of_two_customers(self):
         """
-        Two customers are given the same key by mistake. Either one's requests would
-        count against the other's limit, whichever stands first. The file is refused
-        and names both.
+        Two customers have the same key by mistake. Requests of one of them would count
+        against the limit of the other. The file is rejected, and the fault names both.
         """
         key = "0" * 64
         text = f"""tiers: [{TIER}]
@@ -123,21 +122,21 @@
         self.assertEqual((line, field), (4, "customers[1].key_sha256"))
         self.assertIn("customers[0]", problem)
 
-    def test_numbers_that_yaml_reads_otherwise(self):
+    def test_numbers_in_other_notations_of_yaml(self):
         """
-        An operator writes 010 or 1:30 as a limit. YAML 1.1 reads 8 and 90, and the
-        fleet would run with a limit nobody wrote. Both are refused, as is a number
-        of thousands of digits.
+        An operator writes 010 or 1:30 as a limit. YAML 1.1 reads them as 8 and 90, and
+        the fleet would run with an unintended limit. Both are rejected, as is a number
+        with thousands of digits.
         """
         for value in ("010", "1:30", "0x10", "1e3", "yes", "9" * 5000, "''"):
             text = f"defaults: {{customer: {{weight: {value}}}}}\ntiers: [{TIER}]"
             fields = [field for _, field, _ in faults_of(text)]
             self.assertEqual(fields, ["defaults.customer.weight"], value)
 
-    def test_a_field_that_stands_twice(self):
+    def test_a_field_that_is_given_twice(self):
         """
-        A limit is written twice in one record, far apart. YAML takes the last one
-        and the first, which a colleague reads, has no effect. It is refused.
+        A limit is given twice in one record, far apart. YAML uses the last one, and an
+        operator may read the first, which has no effect. The file is rejected.
         """
         text = f"tiers: [{TIER}]\ndefaults:\n  tier:\n    max_queued: 1\n  tier: {{}}"
         ((line, field, problem),) = faults_of(text)
@@ -145,7 +144,7 @@
         self.assertIn("line 3", problem)
 
     def test_shares_in_the_wrong_order(self):
-        """An exception that lifts the first share over the ceiling is a fault."""
+        """An exception that raises the first share above the maximum is a fault."""
         text = f"""tiers: [{TIER}]
 pools: [{{name: p, kind: model, stable_version: v1}}]
 exceptions:
@@ -156,8 +155,8 @@
         self.assertEqual(line, 4)
         self.assertTrue(field.endswith("first_share_permille"), field)
 
-    def test_files_that_are_no_declarations(self):
-        """Empty, binary, oversized, deeply nested or aliased files get one fault."""
+    def test_files_that_are_not_declarations(self):
+        """Empty, binary, oversized, deeply nested and aliased files give one fault."""
         cases = {
             b"": "empty",
             b"# a comment": "empty",
@@ -177,7 +176,7 @@
 
     @given(st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
     def test_any_bytes_give_faults_and_no_other_error(self, data):
-        """Whatever the bytes, the check ends in a list of faults."""
+        """For arbitrary bytes, the check returns a list of faults."""
         self.assertTrue(check_file(data))
 
     @given(
@@ -197,6 +196,6 @@
         )
     )
     def test_any_tree_gives_faults_and_no_other_error(self, tree):
-        """Whatever stands in the sections, the check ends in a list of faults."""
+        """For arbitrary content of the sections, the check returns a list of faults."""
         for text in (json.dumps(tree), json.dumps({"exceptions": tree})):
             self.assertTrue(check_file(text.encode()))
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_evacuations.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_evacuations.py
@@ -44,8 +44,8 @@
         kept = parsed(EVACUATED.replace("value: true", "value: false"))
         self.assertEqual(kept.evacuations(), {})
 
-    def test_what_makes_no_sense_is_a_fault(self):
-        """A zone is emptied, or stays in use, by a typing error."""
+    def test_invalid_exceptions_are_faults(self):
+        """Guards against evacuating a zone, or failing to, because of a typo."""
         for old, new in (
             ("value: true", "value: yes"),
             ("field: evacuated", "field: drained"),
@@ -56,7 +56,7 @@
                 text = TIERS + EVACUATED.replace(old, new)
                 self.assertTrue(check_file(text.encode()))
 
-    def test_record_of_another_program_is_checked(self):
+    def test_exception_received_as_a_record_is_checked(self):
         found = parsed(EVACUATED)
         (item,) = found.exceptions
         wrong = type(item)(
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_model.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_model.py
@@ -18,18 +18,18 @@
 
 class IdempotentCallTests(unittest.TestCase):
     def test_prefixes_are_whole_segments(self):
-        """A path covers itself and what is below it, not a longer name beside it."""
+        """A path covers itself and paths below it, but not a longer segment."""
         for path in ("/labels", "/labels/", "/labels/7", "/labels/7.json"):
             self.assertTrue(POOL.is_idempotent("GET", path), path)
         self.assertTrue(POOL.is_idempotent("POST", "/search/x"))
         for path in ("/labels-issue", "/label", "/", "", "/x/labels"):
             self.assertFalse(POOL.is_idempotent("GET", path), path)
 
-    def test_paths_that_lead_elsewhere(self):
+    def test_paths_that_may_resolve_to_others(self):
         """
-        A caller asks for a path that begins as a lookup and, once its dots are
-        resolved, is a label issuance. Taken for a lookup it would run without a key,
-        and a repeat would issue a second label. It is non-idempotent.
+        A path begins like a lookup and, with its dot segments resolved, issues a
+        label. If it were treated as a lookup, it would run without a key, and a retry
+        would issue a second label. It is non-idempotent.
         """
         for tail in (
             "/../issue",
@@ -47,14 +47,14 @@
             self.assertFalse(POOL.is_idempotent("GET", "/labels" + tail), tail)
 
     def test_a_root_covers_all(self):
-        """The path "/" covers every call of its method that is not ambiguous."""
+        """The path "/" covers all paths."""
         call = IdempotentCall(method="GET")
         self.assertTrue(call.covers("/"))
         self.assertTrue(call.covers("/a/b"))
 
     @given(st.text(alphabet="ab./%2eE\\", max_size=12))
-    def test_what_is_idempotent_has_no_dot_segments(self, tail):
-        """Whatever the tail, a path taken for a lookup resolves to itself."""
+    def test_idempotent_paths_have_no_dot_segments(self, tail):
+        """For any tail, a path treated as a lookup resolves to itself."""
         path = "/labels/" + tail
         if POOL.is_idempotent("GET", path):
             segments = path.lower().replace("%2e", ".").split("/")
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_record_checks.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_record_checks.py
@@ -22,27 +22,27 @@
 
 
 class RecordCheckTests(unittest.TestCase):
-    def test_sound_declarations_pass(self):
-        """What a file gave passes, and so does a fleet made in a program."""
+    def test_valid_declarations_pass(self):
+        """Declarations read from a file pass, and so do those created by a program."""
         check_declarations(example())
         check_declarations(fleet(20))
 
-    def test_a_departure_without_its_exception(self):
+    def test_an_override_without_its_exception(self):
         """
-        A script sends records of its own making, in which one customer has a larger
-        limit and no exception says why. A colleague would find no reason. It is
-        refused, as is a record that lacks what its exception promises.
+        A script sends records of its own, in which one customer has a larger limit
+        without an exception that gives the reason. They are rejected, as is a record
+        without the value that its exception sets.
         """
         found = example()
         customers = list(found.customers)
         customers[0] = replace(customers[0], max_in_flight=500)
-        grown = replace(found, customers=tuple(customers))
-        self.assertEqual(fields_of(grown), {"customers[0].max_in_flight"})
+        increased = replace(found, customers=tuple(customers))
+        self.assertEqual(fields_of(increased), {"customers[0].max_in_flight"})
         without = replace(found, exceptions=found.exceptions[:-1])
         self.assertEqual(len(fields_of(without)), 1)
 
     def test_bounds_and_references_hold_for_records_too(self):
-        """Bounds, references, reasons and fields are checked together."""
+        """Faults of bounds, references, reasons and fields are reported together."""
         found = example()
         bad = replace(
             found,
@@ -68,5 +68,5 @@
         )
 
     def test_empty_declarations_are_refused(self):
-        """No tier, no service: the declarations of nothing are no declarations."""
+        """Declarations without a tier are invalid, as no request could be served."""
         self.assertEqual(fields_of(decode_declarations(b"{}")), {"tiers"})
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_sectioning.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_sectioning.py
@@ -20,7 +20,7 @@
 from hemlockhoist.declarations.tests.samples import any_declarations, example, fleet
 
 
-def renamed(declarations, version):
+def with_version(declarations, version):
     return msgspec.structs.replace(declarations, version=version)
 
 
@@ -36,14 +36,14 @@
 
 class CodecTests(unittest.TestCase):
     @given(any_declarations())
-    def test_a_row_gives_back_what_was_written(self, declarations):
-        """Encoding and decoding keeps the content, in canonical order."""
+    def test_encoding_round_trip(self, declarations):
+        """Encoding and decoding preserves the content, in canonical order."""
         row = encode_declarations(declarations)
         self.assertEqual(decode_declarations(row), canonical(declarations))
         self.assertEqual(encode_declarations(decode_declarations(row)), row)
 
-    def test_what_is_no_row_is_one_error(self):
-        """Truncated, wrong or binary rows raise DeclarationError."""
+    def test_invalid_rows_raise_one_error(self):
+        """Truncated, wrong and binary rows raise DeclarationError."""
         row = encode_declarations(example())
         for data in (b"", row[:-5], b"[]", b'{"tiers": 3}', b"\xff\xfe"):
             with self.assertRaises(DeclarationError):
@@ -53,8 +53,8 @@
 class SectionTests(unittest.TestCase):
     @given(any_declarations(), any_declarations())
     def test_merged_sections_are_the_new_declarations(self, old, new):
-        """Whatever changed, old plus delta reads as new, with any reader."""
-        new = renamed(new, 2)
+        """Applying the delta to old gives new, also with a reader that has read old."""
+        new = with_version(new, 2)
         reader = SectionReader()
         reader.read(sections(old))
         merged = merge_sections(
@@ -64,15 +64,15 @@
         self.assertEqual(reader.read(merged), canonical(new))
         self.assertEqual(from_sections(merged), canonical(new))
 
-    def test_one_customer_ships_one_bucket(self):
-        """At 1,700 customers a changed limit ships one section below 4 KB."""
+    def test_change_of_one_customer_transfers_one_bucket(self):
+        """With 1,700 customers, a changed limit transfers one section below 4 KB."""
         old = fleet()
         delta = changed_sections(sections(old), sections(with_limit(old, 7, 9)))
         self.assertEqual(len(delta.changed), 1)
         self.assertLess(len(msgspec.msgpack.encode(delta)), 4_096)
 
-    def test_a_default_ships_the_head_only(self):
-        """A changed default reaches 1,700 customers by one section."""
+    def test_change_of_a_default_transfers_the_head_only(self):
+        """A changed default is applied to 1,700 customers by one section."""
         old = fleet()
         new = msgspec.structs.replace(
             old,
@@ -93,27 +93,27 @@
         self.assertEqual(reader.read(merged), canonical(new))
 
     def test_a_new_host_gets_everything(self):
-        """A holder of nothing lacks every section."""
-        whole = sections(example())
-        self.assertEqual(missing_sections({}, whole).changed, whole.items)
+        """The delta from an empty manifest contains every section."""
+        all_sections = sections(example())
+        self.assertEqual(missing_sections({}, all_sections).changed, all_sections.items)
 
     def test_an_old_delta_does_not_revert(self):
         """
-        Two peers pass changes on, and an older one arrives last. A host that took
-        it would run the configuration of before the change, after it had said that
-        the new one was in force. It is refused.
+        Two peers relay changes, and an older one arrives last. A host that applied it
+        would return to the earlier configuration, after it had reported that the new
+        one was in force. The older delta is rejected.
         """
-        old = renamed(example(), 4)
+        old = with_version(example(), 4)
         new = with_limit(old, 0, 7)
-        late = changed_sections(sections(new), sections(renamed(old, 5)))
+        outdated_delta = changed_sections(sections(new), sections(with_version(old, 5)))
         with self.assertRaises(SectionMismatch):
-            merge_sections(sections(new), late)
+            merge_sections(sections(new), outdated_delta)
 
     def test_a_delta_for_other_sections(self):
         """
-        A host misses one change and gets the delta of the next. Taking it would mix
-        two versions under the number of the later. The digest of the whole differs,
-        and the host asks for what it lacks instead.
+        A host misses one change and receives the delta of the next. Applying it would
+        mix two versions under the number of the later. The digest of the result
+        differs, and the host requests the missing sections instead.
         """
         first = fleet(20)
         second = with_limit(first, 3, 9)
@@ -122,22 +122,22 @@
         with self.assertRaises(SectionMismatch):
             merge_sections(sections(first), delta)
 
-    def test_damaged_or_unreadable_sections(self):
-        """A section that was changed on its way, or is no JSON, is one error."""
+    def test_corrupted_or_invalid_sections(self):
+        """A section that was altered in transit, or is not valid JSON, is an error."""
         old = example()
         delta = changed_sections(sections(old), sections(with_limit(old, 0, 9)))
-        damaged = msgspec.structs.replace(delta.changed[0], body=b"[]")
+        corrupted = msgspec.structs.replace(delta.changed[0], body=b"[]")
         with self.assertRaises(SectionMismatch):
             merge_sections(
-                sections(old), msgspec.structs.replace(delta, changed=(damaged,))
+                sections(old), msgspec.structs.replace(delta, changed=(corrupted,))
             )
-        whole = sections(old)
+        all_sections = sections(old)
         for body in (b"", b"[]", b'{"defaults": 3}', b'{"defaults": {}, "tiers": [1]}'):
             items = tuple(
                 msgspec.structs.replace(item, body=body)
                 if item.name == "head"
                 else item
-                for item in whole.items
+                for item in all_sections.items
             )
             with self.assertRaises(DeclarationError):
-                from_sections(msgspec.structs.replace(whole, items=items))
+                from_sections(msgspec.structs.replace(all_sections, items=items))
--- a/libs/declarations/src/hemlockhoist/declarations/yaml_nodes.py
+++ b/libs/declarations/src/hemlockhoist/declarations/yaml_nodes.py
@@ -1,4 +1,4 @@
-"""YAML text to a tree of nodes that know their lines, within bounds."""
+"""Composition of YAML text to a tree of nodes with lines, within resource bounds."""
 
 import yaml
 
@@ -6,14 +6,14 @@
 
 MAX_FILE_BYTES = 4_194_304
 MAX_DEPTH = 12
-# The C parser reads a file of 1,700 customers some ten times as fast.
+# The C parser reads a file of 1,700 customers about ten times as fast.
 _LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-_OPENING = (yaml.MappingStartEvent, yaml.SequenceStartEvent)
-_CLOSING = (yaml.MappingEndEvent, yaml.SequenceEndEvent)
+_START_EVENTS = (yaml.MappingStartEvent, yaml.SequenceStartEvent)
+_END_EVENTS = (yaml.MappingEndEvent, yaml.SequenceEndEvent)
 
 
 def line_of(node):
-    """Return the line of a node, counted from 1."""
+    """Return the line number of a node, counted from 1."""
     return node.start_mark.line + 1
 
 
@@ -24,7 +24,7 @@
     ==========
     data : bytes
     file : str
-        Name for faults.
+        File name to report in faults.
 
     Raises
     ======
@@ -41,7 +41,7 @@
         raise _fault(file, line, f"is not YAML: {error.problem}") from error
     except yaml.reader.ReaderError as error:
         line = text.count("\n", 0, error.position) + 1
-        raise _fault(file, line, f"has a character YAML bars: {error.reason}") from None
+        raise _fault(file, line, f"has an invalid character: {error.reason}") from None
     if root is None:
         raise _fault(file, 1, "is empty")
     return root
@@ -60,22 +60,22 @@
 
 
 def _check_events(text, file):
-    """Bar what would make the composer's work unbounded.
+    """Reject input for which the composer's use of resources would be unbounded.
 
-    The composer recurses once for each level and follows aliases: a file of
-    ``[[[[…`` overflows the C stack, and a few lines of nested aliases stand for
-    billions of nodes. The process would die or use up its memory. Both are seen
-    here, in the flat list of events, before anything is composed.
+    The composer recurses for each level and follows aliases: a file of ``[[[[…``
+    overflows the C stack, and a few lines of nested aliases expand to billions of
+    nodes, which crashes the process or exhausts its memory. Both are detected here, in
+    the flat sequence of events, before anything is composed.
     """
     depth = 0
     for event in yaml.parse(text, Loader=_LOADER):
         line = event.start_mark.line + 1
         if isinstance(event, yaml.AliasEvent):
             problem = f"uses the alias *{event.anchor}"
-            raise _fault(file, line, problem, "values written out, no aliases")
-        if isinstance(event, _OPENING):
+            raise _fault(file, line, problem, "values without aliases")
+        if isinstance(event, _START_EVENTS):
             depth += 1
-        elif isinstance(event, _CLOSING):
+        elif isinstance(event, _END_EVENTS):
             depth -= 1
         if depth > MAX_DEPTH:
             problem = f"is nested more than {MAX_DEPTH} levels deep"
--- a/libs/store/src/hemlockhoist/store/lease.py
+++ b/libs/store/src/hemlockhoist/store/lease.py
@@ -111,7 +111,7 @@
         """
         row = await self._tables.read(self.TABLE, self._key, LeaseRow)
         if row is not None and not self._is_free(row):
-            raise LeaseLost(f"{self._key} is held by {row.value.holder}")
+            raise LeaseLost(f"{self._key}: lease is held by {row.value.holder}")
         fencing = 1 if row is None else row.value.fencing + 1
         version = ABSENT if row is None else row.version
         await self._write(self._holder, fencing, version)
@@ -130,7 +130,7 @@
         """
         if not self.held():
             self._ends_ms = None
-            raise LeaseLost(f"{self._key} has expired")
+            raise LeaseLost(f"{self._key}: lease has expired")
         try:
             await self._write(self._holder, self.fencing, self._version)
         except LeaseLost:
@@ -151,14 +151,14 @@
             When the platform failed; the lease then expires by itself.
         """
         if not self.held():
-            raise LeaseLost(f"{self._key} has expired")
+            raise LeaseLost(f"{self._key}: lease has expired")
         # From here on this host must not act under the lease, whether or not the write
         # succeeds.
         self._ends_ms = None
         await self._write(_NO_HOLDER, self.fencing, self._version)
 
     def _is_free(self, row):
-        """Return whether the lease in the row has ended for its holder with certainty."""
+        """Return whether the lease in the row has certainly ended for its holder."""
         lease = row.value
         now_ms = self._clock.now_ms()
         if lease.holder in (_NO_HOLDER, self._holder):
@@ -169,7 +169,7 @@
         return now_ms - self._first_seen_ms >= lease.duration_ms + _drift_ms(lease)
 
     async def _refresh_own_version(self):
-        """Take the row's version over if this holder wrote it; return whether it did."""
+        """Adopt the row's version if this holder wrote it; return whether it did."""
         row = await self._tables.read(self.TABLE, self._key, LeaseRow)
         lease = row.value
         if lease.holder != self._holder or lease.fencing != self.fencing:
@@ -186,7 +186,7 @@
             )
         except StoreConflict as error:
             self._ends_ms = None
-            raise LeaseLost(f"{self._key} was acquired by another host") from error
+            raise LeaseLost(f"{self._key}: lease acquired by another host") from error
         self._version = written.version
         if holder != _NO_HOLDER:
             self._ends_ms = sent_ms + row.duration_ms - _drift_ms(row)
