--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -35,14 +35,14 @@
 RETRY_MS = 500
 # Part of an order's time by which all requests are to be on the new version. In the
 # rest the old version's last answers end and the operators are told.
-MOVED_PART = 0.85
+MOVED_FRACTION = 0.85
 # Parts of that time: while the bound on the trial holds for all routes, and before
 # which a move does not end. The rest is for the evidence under the whole load.
-TRIAL_UNTIL_PART = 0.75
-TRIAL_END_PART = 0.9
+TRIAL_UNTIL_FRACTION = 0.75
+TRIAL_END_FRACTION = 0.9
 # Of the declared bound on an unproven version, what is used: hosts that decide alone
 # give out a little besides, and answers under way when it is halted count too.
-TRIAL_PART = 0.6
+TRIAL_FRACTION = 0.6
 AUTHOR = "hemlockhoist"
 # Of the lease on a pool's moves: an order has to be over in seconds, and the next home
 # widens nothing before its predecessor's lease has ended.
@@ -58,14 +58,14 @@
     bounds : FleetBounds
     """
     return TrialBound(
-        share_permille=int(1_000 * TRIAL_PART * bounds.trial_share),
-        requests=int(TRIAL_PART * bounds.trial_tolerance),
-        until_fraction=TRIAL_UNTIL_PART,
-        min_end_fraction=TRIAL_END_PART,
+        share_permille=int(1_000 * TRIAL_FRACTION * bounds.trial_share),
+        requests=int(TRIAL_FRACTION * bounds.trial_tolerance),
+        until_fraction=TRIAL_UNTIL_FRACTION,
+        min_end_fraction=TRIAL_END_FRACTION,
     )
 
 
-class OrderedMoves(MoveService):
+class OrderedMoveService(MoveService):
     """Carries out the operators' orders at the pools' home.
 
     Parameters
@@ -100,7 +100,7 @@
         await self._task.close()
         await super().close()
 
-    def take_order(self, order):
+    def receive_order(self, order):
         """Take an operator's order, or its repetition by a reading."""
         former = self._orders.get(order.pool)
         if former is not None and former.order_id == order.order_id:
@@ -156,28 +156,28 @@
             pool,
             row,
             now_ms,
-            self._shared_ms(),
+            self._fleet_time_ms(),
             self._context.invariants,
             trial_bound(self._context.settings.bounds),
             # The old version's upstreams stop with the end of the move.
             watch_ms=0,
         )
 
-    def _shared_ms(self):
-        return self._context.knowledge.store_now_ms()
+    def _fleet_time_ms(self):
+        return self._context.store_view.store_now_ms()
 
-    def _is_watched(self, pool):
+    def _may_have_move(self, pool):
         order = self._orders.get(pool)
         if order is None:
             return False
         told_id, told_state = self._told.get(pool, ("", None))
         return told_id != order.order_id or told_state not in _FINAL
 
-    def _audience(self, pool):
+    def _recipients(self, pool):
         # Each host may have to decide alone.
         return self._context.fleet.live_hosts()
 
-    def _share_halt(self, pool, move_id, version):
+    def _publish_halt(self, pool, move_id, version):
         self._halted.record(pool, version, move_id)
 
     def _is_halted(self, move):
@@ -193,7 +193,7 @@
     # Orders.
 
     def _follow_ms(self):
-        is_open = any(self._is_watched(pool) for pool in self._orders)
+        is_open = any(self._may_have_move(pool) for pool in self._orders)
         return ORDERS_MS if is_open else IDLE_TICK_MS
 
     async def _follow_orders(self):
@@ -242,7 +242,7 @@
         if not former:
             await self._tell(order, OrderState.COMPLETED)
             return None
-        return await self._change(
+        return await self._update_row(
             order.pool, lambda row: self._started(row, order, former)
         )
 
@@ -255,9 +255,9 @@
             if row.serving_version != former:
                 # Upstreams were replaced without a move since.
                 row = None
-        now_ms = self._shared_ms()
+        now_ms = self._fleet_time_ms()
         waited_ms = self._context.clock.now_ms() - self._received_ms[order.pool]
-        left_ms = max(1, int(MOVED_PART * order.duration_ms) - waited_ms)
+        left_ms = max(1, int(MOVED_FRACTION * order.duration_ms) - waited_ms)
         request = MoveRequest(
             move_id=order.order_id,
             pool=order.pool,
--- a/libs/host/src/hemlockhoist/host/inbound.py
+++ b/libs/host/src/hemlockhoist/host/message_router.py
@@ -1,4 +1,4 @@
-"""Where peers' messages go: one handler for each type."""
+"""Routes messages of peers to the services of a host by message type."""
 
 import functools
 
@@ -42,11 +42,11 @@
 )
 
 
-class Inbound:
-    """Hands messages to the parts of a host, once it is open.
+class MessageRouter:
+    """Passes messages to the services of a host once it is open.
 
-    The socket for peers is opened first, since its address belongs to the host's
-    identity; what arrives before the parts stand is dropped, as if lost.
+    The peer socket is opened before the services exist, since its address is part of
+    the host's identity. Messages that arrive until then are dropped, as if lost.
     """
 
     __slots__ = ("_context",)
@@ -55,7 +55,7 @@
         self._context = None
 
     def open(self, context):
-        """Begin to hand messages on.
+        """Start passing messages on.
 
         Parameters
         ==========
@@ -64,19 +64,19 @@
         self._context = context
 
     def on_message(self, sender, message, late_ms):
-        """Take one message of a peer, or of this host itself."""
+        """Handle a message from a peer or from this host itself."""
         if self._context is not None:
             _handle(message, self._context, sender, late_ms)
 
-    def on_broken(self, host_id):
-        """Take the end of a connection to a peer."""
+    def on_connection_lost(self, host_id):
+        """Handle the end of a connection to a peer."""
         if self._context is not None:
-            self._context.fleet.on_broken(host_id)
+            self._context.fleet.on_connection_lost(host_id)
 
 
 @functools.singledispatch
 def _handle(message, context, sender, late_ms):
-    """Do what a message asks for."""
+    """Pass a message to the service that handles its type."""
     raise TypeError(type(message).__name__)
 
 
@@ -116,7 +116,7 @@
 
 @_handle.register
 def _(message: HomeTakeover, context, sender, late_ms):
-    report = context.grants.report(message.pool, message.home_incarnation, sender)
+    report = context.grants.report_held(message.pool, message.home_incarnation, sender)
     context.bus.send(sender, report)
 
 
@@ -124,13 +124,13 @@
 def _(message: HomeClosed, context, sender, late_ms):
     home = context.homes.find(message.pool)
     if home is not None:
-        home.on_former_closed()
+        home.on_predecessor_closed()
 
 
 @_handle.register
 def _(message: HeldGrants, context, sender, late_ms):
-    for home in context.homes.of_pool(message.pool):
-        home.on_held(sender, message)
+    for home in context.homes.all_for_pool(message.pool):
+        home.on_held_grants(sender, message)
 
 
 @_handle.register
@@ -142,7 +142,7 @@
 
 @_handle.register
 def _(message: FeedQuestion, context, sender, late_ms):
-    context.feeds.on_question(sender, message)
+    context.feeds.on_query(sender, message)
 
 
 @_handle.register
@@ -152,18 +152,18 @@
 
 @_handle.register
 def _(message: LeftUpstream, context, sender, late_ms):
-    context.knowledge.on_upstream_left(message.upstream_id, message.version)
+    context.store_view.on_upstream_left(message.upstream_id, message.version)
 
 
 @_handle.register
 def _(message: EvacuatedDomain, context, sender, late_ms):
-    context.knowledge.on_domain_evacuated(message.failure_domain, message.version)
+    context.store_view.on_domain_evacuated(message.failure_domain, message.version)
 
 
 @_handle.register
 def _(message: ColdUpstream, context, sender, late_ms):
     cold_ms = max(0, message.cold_ms - late_ms)
-    context.knowledge.on_upstream_cold(message.upstream_id, message.version, cold_ms)
+    context.store_view.on_upstream_cold(message.upstream_id, message.version, cold_ms)
 
 
 @_handle.register
--- a/libs/host/src/hemlockhoist/host/tests/test_upstream_watch.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_upstream_watch.py
@@ -1,7 +1,7 @@
 import unittest
 
 from hemlockhoist.decisions import Upstream, UpstreamState
-from hemlockhoist.host.upstream_watch import in_service
+from hemlockhoist.host.upstream_watch import mark_evacuated
 
 
 def upstream(name, state=UpstreamState.LIVE):
@@ -16,10 +16,12 @@
 
 
 class EvacuationTests(unittest.TestCase):
-    def test_upstreams_of_evacuated_domains_get_nothing(self):
-        """An operator empties a zone, and its engines go on getting requests."""
+    def test_upstreams_of_evacuated_domains_are_marked(self):
+        """Upstreams of an evacuated domain are marked, or would still get requests."""
         leaving = upstream("a2", UpstreamState.LEAVING)
-        found = in_service([upstream("a1"), leaving, upstream("b1")], {"a": "repairs"})
+        found = mark_evacuated(
+            [upstream("a1"), leaving, upstream("b1")], {"a": "repairs"}
+        )
         states = {item.upstream_id: item.state for item in found}
         self.assertIs(states["a1"], UpstreamState.EVACUATED)
         self.assertIs(states["a2"], UpstreamState.LEAVING)
--- a/libs/standins/src/hemlockhoist/standins/published/site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/site.py
@@ -11,7 +11,7 @@
 from hemlockhoist.base import SuspendAwareClock
 from hemlockhoist.entry import EntrySettings, FleetBounds
 from hemlockhoist.entry.process import EntryProcess
-from hemlockhoist.platform.adapter import UsersPlatform
+from hemlockhoist.platform.adapter import PlatformAdapter
 from hemlockhoist.standins.published.store import StoreStandin
 
 HOST_NAME = "halls.example"
@@ -177,7 +177,7 @@
         clock = SuspendAwareClock.from_system()
         if self._boot_clock is not None:
             clock = SuspendAwareClock(self._boot_clock.read_ns)
-        platform = UsersPlatform(settings, clock)
+        platform = PlatformAdapter(settings, clock)
         host = EntryProcess(settings, platform, clock, listener)
         self.hosts.append(await self._open(host))
         return host
@@ -189,10 +189,10 @@
                 await asyncio.sleep(0.01)
 
     def _is_ready(self, host):
-        knowledge = host.context.knowledge
+        store_view = host.context.store_view
         live = len(host.context.fleet.live_hosts())
         return (
-            knowledge.is_complete and knowledge.is_fresh() and live >= len(self.hosts)
+            store_view.is_complete and store_view.is_fresh() and live >= len(self.hosts)
         )
 
     def url(self, path, host=0):
