--- a/libs/store/src/hemlockhoist/store/config.py
+++ b/libs/store/src/hemlockhoist/store/config.py
@@ -20,7 +20,7 @@
     retry_permille : int
         Retries allowed per thousand calls, over all calls of the process.
     retry_burst : int
-        Maximum number of unused retries that accumulate while calls succeed.
+        Maximum number of unused retries that accumulate.
     max_connections : int
     """
 
