--- a/libs/entry/src/hemlockhoist/entry/__init__.py
+++ b/libs/entry/src/hemlockhoist/entry/__init__.py
@@ -5,15 +5,15 @@
 from hemlockhoist.entry.platform import Platform
 from hemlockhoist.entry.settings import EntrySettings, FleetBounds
 from hemlockhoist.entry.wire import (
-    AnswerHead,
     CallerCall,
     DirectoryQuery,
+    ResponseHead,
     UpstreamDirectives,
     WireFormat,
 )
 
 __all__ = [
-    "AnswerHead",
+    "ResponseHead",
     "CallerCall",
     "DirectoryQuery",
     "DomainOrder",
--- a/libs/entry/src/hemlockhoist/entry/admission.py
+++ b/libs/entry/src/hemlockhoist/entry/admission.py
@@ -1,4 +1,4 @@
-"""From a request's head to the route, customer and times that govern it."""
+"""Admission of a request: its route, customer and deadlines."""
 
 import msgspec
 
@@ -7,29 +7,30 @@
 from hemlockhoist.declarations import KeyedCustomer, Route
 from hemlockhoist.entry.wire import CallerCall
 
-# Ranks of customers go before those of routes: the two make one order.
+# Number of ranks a route may have. The customer's rank is the more significant part of
+# the combined rank.
 ROUTE_RANKS = 1_000
-# What a request is taken to generate where its caller gives no estimate, as a part of
-# the most that it asked for.
+# Expected output where the caller gives no estimate, as a fraction of the maximum that
+# it requested.
 OUTPUT_FRACTION = 0.15
 DEFAULT_MAX_WAIT_MS = 30_000
 
 
 class AdmittedCall(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that may be served.
+    """An admitted request with everything that governs its execution.
 
     Parameters
     ==========
     call : CallerCall
     route : Route
     customer : KeyedCustomer or None
-        None on routes without a key.
+        None on routes that allow anonymous requests.
     pool : str
-    arrived_ms, deadline_ms, target_by_ms, leaves_ms : int
-        On this host's clock: when it came, when its final answer is due, until when an
-        answer is in time, and when its caller leaves if nothing of it has come.
+    arrived_ms, deadline_ms, target_by_ms, waits_until_ms : int
+        On this host's clock: the arrival, when the final response is due, until when a
+        response is on time, and when the caller disconnects if it has received nothing.
     prefix_hashes : tuple of int
-        Of the parts of its prompt, each chained to those before it.
+        Hashes of its prefix blocks, each chained to the preceding ones.
     """
 
     call: CallerCall
@@ -44,30 +45,30 @@
 
     @property
     def prefix_tokens(self):
-        """The tokens of each part of its prompt."""
+        """Token count of each prefix block."""
         return tuple(count for _, count in self.call.prefix_blocks)
 
     @property
     def regions(self):
-        """Where its body may go; empty for anywhere."""
+        """Regions its body may be sent to; empty for any."""
         customer_regions = self.customer.regions if self.customer else ()
         return common_regions(self.route.regions, customer_regions)
 
     @property
     def rank(self):
-        """Its place in the order of tiers; 0 is the highest."""
+        """Combined tier rank of customer and route; 0 is the highest."""
         customer_rank = self.customer.rank if self.customer else 0
         return customer_rank * ROUTE_RANKS + self.route.rank
 
     @property
     def tier(self):
-        """The name of its tier, for metrics: the customer's rank and the route's."""
+        """Label of its tier in metrics: the customer's rank and the route's."""
         customer_rank = self.customer.rank if self.customer else 0
         return f"{customer_rank}-{self.route.rank}"
 
     @property
     def units(self):
-        """What it counts as against its customer's allowance."""
+        """Units charged to its customer's quota."""
         quota = self.customer.quota if self.customer else None
         if quota is None:
             return 0
@@ -77,7 +78,7 @@
 
     @property
     def output_tokens(self):
-        """How many tokens it is expected to generate."""
+        """Expected number of output tokens."""
         hinted = self.call.expected_output_tokens
         if hinted:
             return min(hinted, self.call.max_output_tokens or hinted)
@@ -85,10 +86,10 @@
 
 
 def common_regions(first, second):
-    """Return the regions that two declarations allow; empty for anywhere.
+    """Return the regions allowed by two declarations; empty for any.
 
-    Where they have none in common, the request may go nowhere: the name of no region
-    stands for that.
+    Disjoint declarations allow no region at all, which is represented by one empty
+    region name.
 
     Examples
     ========
@@ -104,11 +105,11 @@
 
 
 class Admission:
-    """Finds route and customer of a request, or refuses it.
+    """Determines route and customer of a request, or refuses the request.
 
     Parameters
     ==========
-    store_view : Knowledge
+    store_view : StoreView
     chooser : PoolChooser
     """
 
@@ -119,20 +120,20 @@
         self._chooser = chooser
 
     def admit(self, call, arrived_ms):
-        """Return the ``AdmittedCall``.
+        """Return the ``AdmittedCall`` of a request.
 
         Raises
         ======
         BadRequest
-            No such route, or no such key.
+            Route or key does not exist.
         Refused
-            This host can not tell, as it knows too little or nothing fresh.
+            This host cannot decide: its view of the store is incomplete or stale.
         """
         self._store_view.check_complete()
         table = self._store_view.routes
         route = table.match(call.host, call.path)
         if route is None:
-            self._refuse_for_good("no route", ResultCode.NOT_FOUND)
+            self._refuse_permanently("no route", ResultCode.NOT_FOUND)
         customer = None
         if table.requires_keys and not route.allows_anonymous:
             customer = self.customer_of(call)
@@ -158,7 +159,7 @@
         )
 
     def customer_of(self, call):
-        """Return the customer that holds a request's key, now.
+        """Return the customer that holds the key of a request now.
 
         Raises
         ======
@@ -166,16 +167,16 @@
         """
         customer = self._store_view.routes.customer_of(call.key) if call.key else None
         if customer is None:
-            self._refuse_for_good("", ResultCode.UNKNOWN_KEY)
+            self._refuse_permanently("", ResultCode.UNKNOWN_KEY)
         self._store_view.check_fresh()
         return customer
 
-    def _refuse_for_good(self, text, code):
-        """Refuse a request that can not be served under the routes in force.
+    def _refuse_permanently(self, text, code):
+        """Refuse permanently a request that the routes in force do not cover.
 
-        Failure: a host is cut off from the store while a route or a key is added. It
-        would send callers away for good with what all other hosts serve. So where the
-        routes are not proven fresh, they are told to come back.
+        Failure prevented: a host is cut off from the store while a route or a key is
+        added, and permanently refuses what all other hosts serve. Where the routes are
+        not proven fresh, the caller is therefore told to retry.
         """
         self._store_view.check_fresh()
         raise BadRequest(text, code)
--- a/libs/entry/src/hemlockhoist/entry/attempt.py
+++ b/libs/entry/src/hemlockhoist/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request, and what its home is told of it."""
+"""One attempt to send a request, and the outcome reported to the pool's home."""
 
 from hemlockhoist.decisions import Outcome, OutcomeKind
 from hemlockhoist.decisions.entry import AttemptEnd
@@ -13,25 +13,25 @@
 
 
 class Attempt:
-    """One send of a request, and what is learnt in its course.
+    """State of one attempt to send a request.
 
     Parameters
     ==========
     hold : GrantHold
     guard : SendGuard
     waited_ms : int
-        From asking for its place to having it.
+        Time between requesting the grant and receiving it.
     """
 
     __slots__ = (
         "first_ms",
-        "guard",
         "grant_outdated",
+        "guard",
         "hold",
         "is_misdirected",
+        "is_reachable",
         "kind",
         "longest_gap_ms",
-        "is_reachable",
         "output_tokens",
         "reason",
         "token_us",
@@ -42,7 +42,7 @@
         self.hold = hold
         self.guard = guard
         self.waited_ms = waited_ms
-        # What a request that its caller left ends as; every other end says its own.
+        # Remains only if the caller disconnects; every other end sets its own kind.
         self.kind = OutcomeKind.CANCELLED
         self.is_reachable = True
         self.grant_outdated = False
@@ -54,11 +54,11 @@
         self.reason = ""
 
     def record_end(self, end):
-        """Take how it ended; None stands for an answer."""
+        """Set the outcome kind from how the attempt ended; None means success."""
         self.kind = OutcomeKind.SUCCESS if end is None else _OUTCOMES[end]
 
     def outcome(self, now_ms):
-        """Return the outcome, for the home of the pool."""
+        """Return the ``Outcome`` that is reported to the home of the pool."""
         sent_ms = self.guard.dispatched_ms
         if sent_ms is None or self.is_misdirected:
             kind = OutcomeKind.NOT_SENT
--- a/libs/entry/src/hemlockhoist/entry/context.py
+++ b/libs/entry/src/hemlockhoist/entry/context.py
@@ -1,8 +1,8 @@
-"""What the parts of an entry host share."""
+"""The shared components of an entry host."""
 
 
 class EntryContext:
-    """The parts of one entry host.
+    """The components of one entry host.
 
     Attributes
     ==========
@@ -18,19 +18,19 @@
     feeds : FeedStore
     fleet : Fleet
     declarations : Declarations
-        The pools of the route table, as homes see them.
-    store_view : Knowledge
-        The routes, the upstreams, and how fresh they are.
-    gate : FleetGate
+        The pools of the route table, for homes and schedulers.
+    store_view : StoreView
+        The routes and upstreams, and the age of their proof.
+    gate : QuotaGate
     homes : HomeService
     grants : GrantClient
-    moves : OrderedMoves
+    moves : OrderedMoveService
     upstreams : UpstreamClient
     register : DispatchRegister
     leaving : bool
         Whether a graceful shutdown has begun.
     refuses_requests : bool
-        Whether new requests are turned away, as it is about to end.
+        Whether new requests are refused because the host is about to stop.
     open_requests : int
     """
 
@@ -46,7 +46,6 @@
         "homes",
         "identity",
         "invariants",
-        "store_view",
         "leaving",
         "metrics",
         "moves",
@@ -55,6 +54,7 @@
         "refuses_requests",
         "register",
         "settings",
+        "store_view",
         "traces",
         "upstreams",
     )
--- a/libs/entry/src/hemlockhoist/entry/events.py
+++ b/libs/entry/src/hemlockhoist/entry/events.py
@@ -1,40 +1,40 @@
-"""Events of a stream: split from its bytes, and checked for their order."""
+"""Parsing of event streams: splitting into events, and checking their order."""
 
 import msgspec
 
 from hemlockhoist.base import DispatchError, ResultCode
 
-# An event is some hundred bytes; this much without an end is no stream of events, and
-# must not fill the memory.
+# Events have a few hundred bytes. This much data without an event's end is no event
+# stream, and must not exhaust the memory.
 MAX_EVENT_BYTES = 262_144
 _SEPARATOR = b"\n\n"
 _ID = b"id:"
 
 
 class NumberedEvent(msgspec.Struct, frozen=True):
-    """One event: its number, and its bytes with the separator."""
+    """An event: its number, and its bytes including the separator."""
 
     number: int
     raw: bytes
 
 
 class EventReader:
-    """Splits a stream into whole events and gives each once, in order.
+    """Splits a stream into complete events and returns each once, in order.
 
-    A stream that goes on at another upstream may begin with events that the caller
-    has; they are dropped. A number that is skipped, an event without one, and bytes
-    left over at the end mean that the stream is broken: passed on, a caller would read
-    a wrong answer that looks whole.
+    A stream that resumes at another upstream may start with events that the caller
+    already has; they are dropped. A skipped number, an event without a number, and an
+    incomplete event at the end mean that the stream is broken: if it were passed on, a
+    caller would read a wrong response that looks complete.
 
     Parameters
     ==========
     last_number : int or None
-        Of the last event that the caller has; None where it has none.
+        Number of the last event that the caller has received; None for none.
 
     Attributes
     ==========
     error : DispatchError or None
-        Why the stream is broken; the events before the break were given.
+        Why the stream is broken; the events before that point were returned.
 
     Examples
     ========
@@ -48,46 +48,48 @@
     False
     """
 
-    __slots__ = ("_rest", "error", "last_number")
+    __slots__ = ("_incomplete", "error", "last_number")
 
     def __init__(self, last_number=None):
         self.last_number = last_number
         self.error = None
-        self._rest = b""
+        self._incomplete = b""
 
     @property
     def is_between_events(self):
-        """Whether no part of an event is left over."""
-        return not self._rest
+        """Whether no incomplete event is buffered."""
+        return not self._incomplete
 
     def restart(self):
-        """Forget a part of an event: another upstream begins it anew."""
-        self._rest = b""
+        """Discard an incomplete event, which another upstream will send again."""
+        self._incomplete = b""
         self.error = None
 
     def feed(self, chunk):
-        """Return the new events that are whole now; see ``error`` after it."""
-        *parts, self._rest = (self._rest + chunk).split(_SEPARATOR)
+        """Return the events completed by a chunk; check ``error`` afterwards."""
+        *parts, self._incomplete = (self._incomplete + chunk).split(_SEPARATOR)
         events = []
         for part in parts:
-            number = _number(part)
+            number = _event_number(part)
             if number is None:
-                self.error = _broken("an event without a number")
+                self.error = _stream_error("event without a number")
                 break
             if self.last_number is not None:
                 if number <= self.last_number:
                     continue
                 if number > self.last_number + 1:
-                    self.error = _broken(f"event {number} after {self.last_number}")
+                    self.error = _stream_error(
+                        f"event {number} after {self.last_number}"
+                    )
                     break
             self.last_number = number
             events.append(NumberedEvent(number, part + _SEPARATOR))
-        if len(self._rest) > MAX_EVENT_BYTES:
-            self.error = _broken(f"an event of more than {MAX_EVENT_BYTES} bytes")
+        if len(self._incomplete) > MAX_EVENT_BYTES:
+            self.error = _stream_error(f"event of more than {MAX_EVENT_BYTES} bytes")
         return events
 
 
-def _number(part):
+def _event_number(part):
     for line in part.split(b"\n"):
         if line.startswith(_ID):
             text = line[len(_ID) :].strip()
@@ -95,5 +97,5 @@
     return None
 
 
-def _broken(text):
+def _stream_error(text):
     return DispatchError(text, ResultCode.UPSTREAM_BROKE_OFF)
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One request's way from its admission through its attempts to its final answer."""
+"""Execution of one admitted request: grants, attempts and the final response."""
 
 import asyncio
 import itertools
@@ -36,19 +36,19 @@
 
 _log = get_logger("entry.exchange")
 
-# The whole answer is read before its head goes to the caller, so that a caller never
-# holds part of an answer that can not be had again.
-MAX_ANSWER_BYTES = 8_388_608
+# Full responses are buffered before anything is sent to the caller, so that a failed
+# attempt never leaves the caller with part of a response that cannot be restarted.
+MAX_RESPONSE_BYTES = 8_388_608
 _OK = 200
 _SERVER_ERROR = 500
-# Enough of an incarnation to tell the hosts of one fleet apart.
+# Prefix of the incarnation in attempt ids; long enough to tell a fleet's hosts apart.
 INCARNATION_DIGITS = 6
-# Where an answer never came, this is told as the time to come back.
+# Retry-After of requests that are refused as no upstream responded.
 RETRY_AFTER_MS = 300
 
 
 class Exchange:
-    """Takes one admitted request to its final answer.
+    """Executes one admitted request until its final response.
 
     Parameters
     ==========
@@ -57,7 +57,7 @@
     admitted : AdmittedCall
     body : bytes
     admission : Admission
-        Asked again just before a send, whether the key still holds.
+        Queried again just before each send, as the key may have been revoked.
     """
 
     _numbers = itertools.count(1)
@@ -65,18 +65,18 @@
     __slots__ = (
         "_admission",
         "_admitted",
-        "_arrivals",
         "_attempts",
         "_body",
         "_context",
-        "_failed_answer",
+        "_delivered_count",
+        "_dispatch_count",
+        "_failed_response",
         "_failed_upstreams",
         "_may_have_run",
         "_number",
         "_reason",
         "_relay",
-        "_sends",
-        "_unsent",
+        "_undelivered_count",
         "request_id",
     )
 
@@ -86,11 +86,11 @@
         self._admission = admission
         self._body = body
         self._attempts = 0
-        self._arrivals = 0
-        self._sends = 0
-        self._unsent = 0
+        self._dispatch_count = 0
+        self._delivered_count = 0
+        self._undelivered_count = 0
         self._may_have_run = False
-        self._failed_answer = None
+        self._failed_response = None
         self._failed_upstreams = []
         self._reason = ""
         self._number = next(self._numbers)
@@ -106,36 +106,36 @@
             )
 
     async def run(self):
-        """Return the final answer.
+        """Return the final response.
 
         Raises
         ======
         Refused, BadRequest
-            The request did not run, and will not.
+            The request did not run and will not be run.
         DispatchError
-            It may have run.
+            The request may have run.
         """
         deadline_s = self._admitted.deadline_ms / MS_PER_S
         try:
             async with asyncio.timeout_at(deadline_s):
-                return await self._try_until_answered()
+                return await self._run_attempts()
         except TimeoutError:
-            return self._end_at_deadline()
+            return self._deadline_result()
         except HemlockhoistError as error:
-            if not self.has_begun:
+            if not self.response_started:
                 raise
-            # Failure: a host wakes from a suspension in the middle of a stream. Its
-            # proof of the routes is too old to go on at another upstream, and the
-            # refusal that follows would be written into the answer that has begun.
-            return self._cut(error.message)
+            # Failure prevented: a host resumes from a suspension in the middle of a
+            # stream. Its proof of the routes is too old to continue at another
+            # upstream, and the refusal would be written into the started response.
+            return self._abort_stream(error.message)
 
-    async def _try_until_answered(self):
+    async def _run_attempts(self):
         while True:
             self._attempts += 1
             try:
                 hold, waited_ms = await self._acquire()
             except Refused as error:
-                return self._end_without_place(error)
+                return self._end_without_grant(error)
             answer, end = await self._attempt(hold, waited_ms)
             if answer is not None:
                 return answer
@@ -143,33 +143,33 @@
                 end,
                 self._admitted.route,
                 self._may_have_run,
-                self._sends,
-                self._unsent,
+                self._delivered_count,
+                self._undelivered_count,
             )
             if step is not Step.TRY_ANOTHER:
-                return self._end(step, end)
+                return self._final_result(step, end)
 
     # Grants.
 
     async def _acquire(self):
-        """Return a grant, and how long it was waited for."""
-        asked_ms = self._context.clock.now_ms()
+        """Return a grant and the time spent waiting for it, in milliseconds."""
+        requested_ms = self._context.clock.now_ms()
         with self._context.traces.span(Hop.GRANT, pool=self._admitted.pool):
             hold = await self._context.grants.acquire(
-                self._admitted.pool, self._brief, self._admitted.deadline_ms
+                self._admitted.pool, self._request_brief, self._admitted.deadline_ms
             )
-        waited_ms = self._context.clock.now_ms() - asked_ms
+        waited_ms = self._context.clock.now_ms() - requested_ms
         self._context.metrics.time(QUEUE_WAIT_MS, waited_ms, self._admitted.tier)
         return hold, waited_ms
 
-    def _brief(self, now_ms):
+    def _request_brief(self, now_ms):
         admitted = self._admitted
         return RequestBrief(
             request_id=self._attempt_id,
             route=admitted.route.name,
             customer=admitted.customer.name if admitted.customer else "",
             tier_rank=admitted.rank,
-            # A stream that breaks off at a bad version is lost, and books nothing.
+            # A stream broken by a bad version is lost but has no side effects.
             idempotent=admitted.route.kind is not CallKind.NON_IDEMPOTENT,
             prompt_tokens=admitted.call.prompt_tokens,
             output_tokens=admitted.output_tokens,
@@ -179,8 +179,9 @@
             max_gap_ms=admitted.route.max_gap_ms,
             failure_domain=self._context.identity.failure_domain,
             trace=self._context.traces.text_for_peer(),
-            attempt=1 + self._arrivals,
-            # Taken once: a request whose upstream could not be reached asks again.
+            attempt=1 + self._dispatch_count,
+            # Charged once: a request whose upstream was unreachable requests another
+            # grant without being counted again.
             units=admitted.units if self._attempts == 1 else 0,
             is_new=self._attempts == 1,
             avoid=tuple(self._failed_upstreams),
@@ -191,30 +192,30 @@
 
     @property
     def _attempt_id(self):
-        """What the present attempt is called between hosts.
+        """The id of the current attempt between hosts.
 
-        It begins with the caller's id, so that one search finds all lines of a request
-        on all hosts, and stays unique where a caller uses its id twice.
+        It starts with the caller's request id, so that one search finds all log lines
+        of a request on all hosts, and is unique even if a caller reuses its id.
         """
-        run = self._context.identity.incarnation[:INCARNATION_DIGITS]
-        return f"{self.request_id}/{run}{self._number:x}.{self._attempts}"
+        prefix = self._context.identity.incarnation[:INCARNATION_DIGITS]
+        return f"{self.request_id}/{prefix}{self._number:x}.{self._attempts}"
 
     # One attempt.
 
     async def _attempt(self, hold, waited_ms):
-        """Return ``(answer, None)`` or ``(None, AttemptEnd)``."""
-        attempt = Attempt(hold, self._guard(hold), waited_ms)
+        """Run one attempt; return ``(response, None)`` or ``(None, AttemptEnd)``."""
+        attempt = Attempt(hold, self._send_guard(hold), waited_ms)
         try:
             with self._context.traces.span(Hop.UPSTREAM, upstream=hold.upstream_id):
                 answer, end = await self._send(attempt)
             attempt.record_end(end)
             if end is None:
-                self._count_whole(attempt)
-            self._note_failed(attempt, end)
+                self._count_success(attempt)
+            self._record_failure(attempt, end)
             return answer, end
         finally:
-            self._note_sent(attempt)
-            if self._is_over and attempt.kind is OutcomeKind.CANCELLED:
+            self._record_dispatch(attempt)
+            if self._is_past_deadline and attempt.kind is OutcomeKind.CANCELLED:
                 attempt.kind = OutcomeKind.TIMEOUT
             outcome = attempt.outcome(self._context.clock.now_ms())
             self._context.grants.release(hold, outcome)
@@ -227,8 +228,8 @@
         if outcome.total_ms >= 0:
             metrics.time(HOLD_MS, outcome.total_ms, attempt.hold.pool)
 
-    def _count_whole(self, attempt):
-        """Count a whole answer, and whether it was in time."""
+    def _count_success(self, attempt):
+        """Count a successful response, and whether it met its target time."""
         metrics, admitted = self._context.metrics, self._admitted
         now_ms = self._context.clock.now_ms()
         metrics.count(REQUESTS_WHOLE, admitted.tier)
@@ -238,7 +239,7 @@
         if first_ms <= admitted.target_by_ms:
             metrics.count(REQUESTS_GOOD, admitted.tier)
 
-    def _guard(self, hold):
+    def _send_guard(self, hold):
         return SendGuard(
             self._context.clock,
             hold.expires_ms,
@@ -248,11 +249,11 @@
         )
 
     def _check_before_send(self, hold):
-        """Pass the point of no return, or raise while nothing was sent.
+        """Check all preconditions again, and mark the request as possibly run.
 
-        Failure: a request waits for its place while its customer's key is taken away,
-        or its upstream leaves, or the host is suspended. What held at its arrival does
-        not hold any more, and nothing later would notice.
+        Raises an error while nothing has been sent. Failure prevented: while a request waits for a slot, its customer's key is
+        revoked, its upstream leaves or the host is suspended. The checks at admission
+        no longer hold then, and no later step would detect it.
         """
         if self._admitted.customer is not None:
             self._admission.customer_of(self._admitted.call)
@@ -262,12 +263,12 @@
         self._context.invariants.check(
             Property.NON_IDEMPOTENT_RUNS_AT_MOST_ONCE,
             self._admitted.route.is_repeatable or not self._may_have_run,
-            f"{self.request_id} is sent again and may have run",
+            f"{self.request_id} is sent again although it may have run",
         )
         self._may_have_run = True
 
-    def _note_failed(self, attempt, end):
-        """Remember why, and not to try the upstream again while there are others."""
+    def _record_failure(self, attempt, end):
+        """Record the reason, and avoid the upstream while there are others."""
         self._reason = attempt.reason
         if end is None:
             return
@@ -275,19 +276,21 @@
         if end is not AttemptEnd.NOT_SENT or not is_reached:
             self._failed_upstreams.append(attempt.hold.upstream_id)
 
-    def _note_sent(self, attempt):
-        self._arrivals += attempt.guard.dispatched
+    def _record_dispatch(self, attempt):
+        self._dispatch_count += attempt.guard.dispatched
         if attempt.is_misdirected or not attempt.guard.dispatched:
-            self._unsent += 1
+            self._undelivered_count += 1
         else:
-            self._sends += 1
+            self._delivered_count += 1
 
     async def _send(self, attempt):
         may_have_run = self._may_have_run
         try:
             client = self._context.upstreams
-            async with client.dispatch(self._call(attempt), attempt.guard) as answer:
-                answer, end = await self._take(answer, attempt)
+            async with client.dispatch(
+                self._upstream_call(attempt), attempt.guard
+            ) as answer:
+                answer, end = await self._read_response(answer, attempt)
         except GrantOutdated as error:
             attempt.reason = error.message
             attempt.grant_outdated = True
@@ -311,7 +314,7 @@
                 end = AttemptEnd.NOT_SENT
         return answer, end
 
-    def _call(self, attempt):
+    def _upstream_call(self, attempt):
         admitted = self._admitted
         remaining_ms = max(1, admitted.deadline_ms - self._context.clock.now_ms())
         last = admitted.call.last_event_id
@@ -334,41 +337,41 @@
             idle_timeout_ms=remaining_ms,
         )
 
-    async def _take(self, answer, attempt):
+    async def _read_response(self, answer, attempt):
         wire = self._context.platform.wire
-        head = wire.read_answer(answer.status, answer.headers)
+        head = wire.read_response_head(answer.status, answer.headers)
         if head.is_misdirected:
-            # The run that the list names is not there any more: like a connection
-            # that is refused, and as harmless to try elsewhere.
+            # The listed process has been replaced by another one: equivalent to a
+            # refused connection, so another upstream can be tried safely.
             attempt.is_misdirected = True
             attempt.is_reachable = False
-            attempt.reason = "another run answers at the address"
+            attempt.reason = "another upstream process answers at this address"
         if head.is_not_run:
-            attempt.reason = attempt.reason or "it did not run the request"
+            attempt.reason = attempt.reason or "the upstream did not run the request"
             return None, AttemptEnd.NOT_RUN
         if not answer.matches_request(self._admitted.call.request_id):
-            attempt.reason = "the answer is another request's"
+            attempt.reason = "the response belongs to another request"
             return None, AttemptEnd.BROKEN
-        if head.status < 300 and not head.has_receipt:
-            attempt.reason = "a success without receipt"
+        if head.status < 300 and not head.has_signature:
+            attempt.reason = "successful response without a signature"
             return None, AttemptEnd.BROKEN
         if self._relay is not None and head.status == _OK:
-            return await self._take_stream(answer, head, attempt)
-        return await self._take_whole(answer, head, attempt)
+            return await self._relay_stream(answer, head, attempt)
+        return await self._read_full_response(answer, head, attempt)
 
-    async def _take_whole(self, answer, head, attempt):
-        body = await answer.read(MAX_ANSWER_BYTES)
+    async def _read_full_response(self, answer, head, attempt):
+        body = await answer.read(MAX_RESPONSE_BYTES)
         attempt.first_ms = self._context.clock.now_ms()
         if self._relay is not None and self._relay.started:
             return None, AttemptEnd.FAILED_ANSWER
         response = upstream_response(head, body)
         if head.status < _SERVER_ERROR:
             return response, None
-        self._failed_answer = response
-        attempt.reason = f"it answered with status {head.status}"
+        self._failed_response = response
+        attempt.reason = f"the upstream answered with status {head.status}"
         return None, AttemptEnd.FAILED_ANSWER
 
-    async def _take_stream(self, answer, head, attempt):
+    async def _relay_stream(self, answer, head, attempt):
         grants = self._context.grants
 
         def on_first():
@@ -391,23 +394,23 @@
                 attempt.token_us = event_us // tokens_per_event
         return response, None
 
-    # Ends.
+    # Final responses.
 
-    def _end_without_place(self, error):
-        """End when no further place was given."""
-        if self._failed_answer is not None and not self.has_begun:
-            return self._failed_answer
-        if self.has_begun:
-            return self._cut(f"no further place: {error.message}")
+    def _end_without_grant(self, error):
+        """Return or raise the final result when no further grant is issued."""
+        if self._failed_response is not None and not self.response_started:
+            return self._failed_response
+        if self.response_started:
+            return self._abort_stream(f"no further grant: {error.message}")
         if self._may_have_run:
             raise DispatchError(error.message, ResultCode.OUTCOME_UNKNOWN)
         raise error
 
-    def _end(self, step, end):
-        if self.has_begun:
-            return self._cut(self._reason or end.value)
-        if step is Step.ANSWER and self._failed_answer is not None:
-            return self._failed_answer
+    def _final_result(self, step, end):
+        if self.response_started:
+            return self._abort_stream(self._reason or end.value)
+        if step is Step.ANSWER and self._failed_response is not None:
+            return self._failed_response
         if step is Step.REFUSE:
             code = ResultCode.CONNECT_FAILED
             raise Refused(self._reason or end.value, code, RETRY_AFTER_MS)
@@ -416,25 +419,25 @@
             code = ResultCode.UPSTREAM_TIMEOUT
         raise DispatchError(self._reason or end.value, code)
 
-    def _end_at_deadline(self):
-        if self.has_begun:
-            return self._cut("its time was over")
+    def _deadline_result(self):
+        if self.response_started:
+            return self._abort_stream("deadline passed")
         if self._may_have_run:
             raise DispatchError("", ResultCode.UPSTREAM_TIMEOUT)
         raise Refused("", ResultCode.DEADLINE_PASSED, RETRY_AFTER_MS)
 
-    def _cut(self, reason):
+    def _abort_stream(self, reason):
         _log.warning("stream_cut", request=self.request_id, reason=reason)
         return self._relay.abort()
 
     @property
-    def _is_over(self):
-        """Whether the time for the request's final answer has come."""
+    def _is_past_deadline(self):
+        """Whether the deadline of the request has passed."""
         return self._context.clock.now_ms() >= self._admitted.deadline_ms
 
     @property
     def attempts(self):
-        """Attempts begun so far."""
+        """Number of attempts begun so far."""
         return self._attempts
 
     @property
@@ -443,8 +446,8 @@
         return self._may_have_run
 
     @property
-    def has_begun(self):
-        """Whether any of the answer was sent to the caller."""
+    def response_started(self):
+        """Whether any part of the response has been sent to the caller."""
         return self._relay is not None and self._relay.started
 
     def _log_attempt(self, attempt, outcome):
--- a/libs/entry/src/hemlockhoist/entry/gate.py
+++ b/libs/entry/src/hemlockhoist/entry/gate.py
@@ -1,4 +1,4 @@
-"""Refusals that come before any question of places: allowances and retries."""
+"""Enforcement of customer quotas and of the retry limit, ahead of the scheduler."""
 
 from hemlockhoist.base import ResultCode
 from hemlockhoist.decisions.limits import (
@@ -9,13 +9,13 @@
 )
 from hemlockhoist.host.home import AllowAllGate, GateRefusal
 
-# A retry that was refused may be sent by the caller itself, when the failed upstream
-# has had time to come back or to be avoided.
-RETRY_REFUSED_MS = 300
+# Retry-After of a refused retry: the caller may retry itself once the failed upstream
+# has had time to recover or to be avoided.
+RETRY_AFTER_MS = 300
 
 
 class QuotaGate(AllowAllGate):
-    """Holds customers to their allowances, and retries to their bound.
+    """Enforces customer quotas and the limit on retries.
 
     Parameters
     ==========
@@ -24,23 +24,23 @@
     Attributes
     ==========
     on_takeover_begun : callable
-        Called when this host begins to decide.
+        Called when this host takes over as home.
     """
 
     __slots__ = (
         "_bounds",
-        "_history",
-        "_retries",
+        "_coverage",
+        "_retry_limiters",
         "_share",
-        "quotas",
         "on_takeover_begun",
+        "quotas",
     )
 
     def __init__(self, bounds):
         self.on_takeover_begun = lambda: None
-        self._history = None
+        self._coverage = None
         self._bounds = bounds
-        self._retries = {}
+        self._retry_limiters = {}
         self._share = 1.0
         self.quotas = QuotaTracker(
             QuotaBounds(
@@ -52,14 +52,14 @@
 
     def refusal(self, pool, request, now_ms):
         """Return the ``GateRefusal`` of a request, or None."""
-        window = self._window(pool)
+        limiter = self._retry_limiter(pool)
         if request.attempt > 1:
-            if window.acquire(now_ms):
+            if limiter.acquire(now_ms):
                 return None
             reason = f"retry {request.attempt} of {pool}"
-            return GateRefusal(ResultCode.RETRIES_EXHAUSTED, RETRY_REFUSED_MS, reason)
+            return GateRefusal(ResultCode.RETRIES_EXHAUSTED, RETRY_AFTER_MS, reason)
         if request.is_new:
-            window.count_request(now_ms)
+            limiter.count_request(now_ms)
         wait_ms = self.quotas.acquire(request.customer, request.units, now_ms)
         if not wait_ms:
             return None
@@ -68,76 +68,76 @@
         return GateRefusal(ResultCode.ALLOWANCE_SPENT, wait_ms, reason)
 
     def set_share(self, share):
-        """Take the part of all bounds that this host gives out."""
+        """Set the share of all bounds that this host may use."""
         self.quotas.set_share(share)
-        for window in self._retries.values():
-            window.share = share
+        for limiter in self._retry_limiters.values():
+            limiter.share = share
         self._share = share
 
     def on_takeover(self, hosts, now_ms):
-        """Presume the bounds spent until the hosts have told what was."""
+        """Assume the bounds to be used up until the hosts have reported their usage."""
         window_ms = self._bounds.quota_window_ms
-        if self._history is None or not self._history.is_same_takeover(now_ms):
-            self._history = UsageCoverage(window_ms, now_ms)
-        self._history.record_queried(hosts)
-        self._note_past()
+        if self._coverage is None or not self._coverage.is_same_takeover(now_ms):
+            self._coverage = UsageCoverage(window_ms, now_ms)
+        self._coverage.record_queried(hosts)
+        self._apply_unknown_usage()
         self.on_takeover_begun()
 
     def on_usage_report(self, host, held, now_ms):
-        """Count what was spent under a home before this one."""
+        """Count usage granted by the preceding home, as reported by a host."""
         self.quotas.add_reported((held.incarnation, held.pool), held.usage, now_ms)
-        if self._history is not None:
-            self._history.record_report(host, held.up_ms)
-            self._note_past()
+        if self._coverage is not None:
+            self._coverage.record_report(host, held.up_ms)
+            self._apply_unknown_usage()
 
     @property
     def has_unknown_usage(self):
-        """Whether any host could not tell what was spent before a takeover.
+        """Whether any host could not report the usage before a takeover.
 
-        Failure: a sixth of the hosts lose their power, the home among them. What their
-        requests had spent is told by nobody, and a customer at its bound gets as much
-        more; the record of the home before knows it.
+        Failure prevented: a sixth of the hosts lose power, the home among them. The
+        usage of their requests is reported by no host, and a customer at its bound is
+        granted as much again. The usage record of the preceding home contains it.
         """
-        history = self._history
-        return history is not None and history.unknown().fraction > 0
+        coverage = self._coverage
+        return coverage is not None and coverage.unknown().fraction > 0
 
     @property
     def takeover(self):
-        """What tells this takeover from others, or None before the first."""
-        return self._history
+        """The identity of the current takeover, or None before the first one."""
+        return self._coverage
 
-    def _note_past(self):
-        past = self._history.unknown()
-        self.quotas.set_unknown_usage(past)
-        for window in self._retries.values():
-            window.unknown_usage = past
+    def _apply_unknown_usage(self):
+        assumed_usage = self._coverage.unknown()
+        self.quotas.set_unknown_usage(assumed_usage)
+        for limiter in self._retry_limiters.values():
+            limiter.unknown_usage = assumed_usage
 
     def on_not_run(self, request, now_ms):
-        """Give back what a refused request had taken of its customer's allowance."""
+        """Refund the quota units of a request that did not run."""
         if request.units:
             self.quotas.refund(request.customer, request.units, now_ms)
 
     def on_dequeued(self, request, since_ms, now_ms):
-        """Count what a request takes of its customer's allowance from when it runs.
+        """Charge a request's quota units to the time at which it starts to run.
 
-        Failure: requests wait for seconds in a burst. Counted from when they came, they
-        left the window before the requests that ran with them did, and a customer ran
-        more than its bound in one window.
+        Failure prevented: requests wait for seconds in a burst. Charged at arrival,
+        they left the window before the requests that ran alongside them, and a
+        customer ran more than its bound in one window.
         """
         if request.units:
             self.quotas.retime(request.customer, request.units, since_ms, now_ms)
 
-    def _window(self, pool):
-        window = self._retries.get(pool)
-        if window is None:
+    def _retry_limiter(self, pool):
+        limiter = self._retry_limiters.get(pool)
+        if limiter is None:
             bounds = self._bounds
-            window = RetryLimiter(
+            limiter = RetryLimiter(
                 bounds.retry_window_ms,
                 bounds.retry_ratio,
                 bounds.retry_base,
                 self._share,
             )
-            if self._history is not None:
-                window.unknown_usage = self._history.unknown()
-            self._retries[pool] = window
-        return window
+            if self._coverage is not None:
+                limiter.unknown_usage = self._coverage.unknown()
+            self._retry_limiters[pool] = limiter
+        return limiter
--- a/libs/entry/src/hemlockhoist/entry/host_registry.py
+++ b/libs/entry/src/hemlockhoist/entry/host_registry.py
@@ -1,4 +1,4 @@
-"""Where hosts enter themselves, and how each finds the others."""
+"""Registration of this host in the store, and discovery of the other hosts."""
 
 import msgspec
 
@@ -14,22 +14,22 @@
 
 _log = get_logger("entry.roster")
 
-# While the store fails, what is due is tried again this often.
-RETRY_MS = 2_000
-# A host that starts reads the list and introduces itself to all others; from there on
-# hosts know each other by their probes. The list is read again for what probes can not
-# show: hosts that a cut has kept from each other since they started. A feed of the list
-# would wake every host for each that comes or goes, thousands of calls at a fleet's start.
-READ_AGAIN_MS = 60_000
-# A host that finds itself alone looks again soon. Of two that start together, the one
-# that reads later finds the other, as each enters itself before it reads.
-ALONE_READ_AGAIN_MS = 2_000
-# Dropped in one transaction; the store takes at least this many.
-SWEPT_AT_ONCE = 50
+# Retry interval of registering and reading while the store fails.
+RETRY_INTERVAL_MS = 2_000
+# A starting host reads the list and introduces itself to all others; from then on hosts
+# learn of each other by probes. The list is read again for what probes cannot show:
+# hosts that a network partition has separated since they started. A feed of the list
+# would wake every host for each change, thousands of calls at a fleet's start.
+READ_INTERVAL_MS = 60_000
+# A host that is alone in the list reads again soon. Of two hosts that start together,
+# the later reader finds the other one, as each registers itself before it reads.
+ALONE_READ_INTERVAL_MS = 2_000
+# Rows removed in one transaction; the store accepts at least this many.
+MAX_REMOVED_ROWS = 50
 
 
 class HostRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What a host enters of itself; its key is its address for peers.
+    """The row by which a host registers itself; its key is its peer address.
 
     Parameters
     ==========
@@ -44,9 +44,9 @@
 
 
 class HostRegistry:
-    """Keeps this host's row, and tells the fleet of all rows and seeds.
+    """Registers this host, and passes all registered hosts and seeds to the fleet.
 
-    A row may outlive its host; the fleet's probes find that out.
+    A row may outlive its host; the fleet's probes detect that.
 
     Parameters
     ==========
@@ -55,46 +55,49 @@
 
     __slots__ = (
         "_context",
-        "_entries",
         "_is_introduced",
+        "_is_registered",
+        "_listed_hosts",
         "_read_due_ms",
-        "_stale",
+        "_stale_entries",
         "_task",
         "_versions",
-        "_written",
     )
 
     def __init__(self, context):
         self._context = context
-        self._entries = {}
+        self._listed_hosts = {}
         self._versions = {}
-        self._stale = StaleEntries()
-        self._written = False
+        self._stale_entries = StaleEntries()
+        self._is_registered = False
         self._is_introduced = False
         self._read_due_ms = 0
-        self._task = PeriodicTask(RETRY_MS, self._follow)
+        self._task = PeriodicTask(RETRY_INTERVAL_MS, self._run_once)
 
     async def start(self):
-        """Enter this host, and begin to follow the others."""
-        self._tell_fleet()
+        """Start registering this host and discovering the others."""
+        self._update_fleet()
         await self._task.start()
 
     async def close(self):
-        """Stop following."""
+        """Stop; the row of this host stays."""
         await self._task.close()
 
     def read_again(self):
-        """Read the list soon, after the store was out of reach.
+        """Read the list soon, after the store was unreachable.
 
-        A host that has entered itself and read the list waits for its usual turn: a
-        host that starts meanwhile introduces itself.
+        A host that has registered itself and read the list waits for its regular read:
+        hosts that start meanwhile introduce themselves.
         """
-        if not (self._written and self._is_introduced):
+        if not (self._is_registered and self._is_introduced):
             self._read_due_ms = 0
 
-    async def _follow(self):
-        """Do what is due: enter this host first, so that whoever reads later sees it."""
-        await self._enter()
+    async def _run_once(self):
+        """Register this host if needed, then read the list of hosts if due.
+
+        Registering comes first, so that any later reader finds this host.
+        """
+        await self._register()
         now_ms = self._context.clock.now_ms()
         if now_ms < self._read_due_ms:
             return
@@ -103,24 +106,24 @@
         except PlatformError as error:
             _log.warning("host_rows_not_read", reason=error.message)
             return
-        self._take_rows(reading.rows)
-        is_alone = len(self._entries) < 2
-        pause_ms = ALONE_READ_AGAIN_MS if is_alone else READ_AGAIN_MS
-        self._read_due_ms = now_ms + pause_ms
+        self._apply_rows(reading.rows)
+        is_alone = len(self._listed_hosts) < 2
+        interval_ms = ALONE_READ_INTERVAL_MS if is_alone else READ_INTERVAL_MS
+        self._read_due_ms = now_ms + interval_ms
         if not self._is_introduced:
             self._is_introduced = True
             self._context.fleet.introduce()
-        await self._sweep()
+        await self._remove_stale_rows()
 
     async def leave(self):
-        """Take this host's row back."""
+        """Remove this host's row."""
         try:
             await self._context.platform.store.commit((self._change(None),))
         except PlatformError as error:
             _log.warning("host_row_not_dropped", reason=error.message)
 
-    async def _enter(self):
-        if self._written or self._context.leaving:
+    async def _register(self):
+        if self._is_registered or self._context.leaving:
             return
         identity = self._context.identity
         row = HostRow(
@@ -136,7 +139,7 @@
         except PlatformError as error:
             _log.warning("host_row_not_written", reason=error.message)
             return
-        self._written = True
+        self._is_registered = True
 
     def _change(self, value):
         key = self._context.identity.host_id
@@ -146,64 +149,66 @@
     def _table(self):
         return self._context.platform.host_table
 
-    async def _sweep(self):
-        """Drop the entries of hosts that were lost long ago.
+    async def _remove_stale_rows(self):
+        """Remove the rows of hosts that were lost long ago.
 
-        One host does it, so that a fleet of a thousand does not send a thousand
-        transactions; two that take themselves for it do no harm.
+        Only the host with the lowest address does it, so that a fleet of a thousand
+        does not send a thousand transactions. Two hosts that both do it cause no harm.
         """
         live = self._context.fleet.live_hosts()
-        stale = self._stale.find(self._versions, live, self._context.clock.now_ms())
+        stale = self._stale_entries.find(
+            self._versions, live, self._context.clock.now_ms()
+        )
         if not stale or self._context.identity.host_id != min(live):
             return
         changes = tuple(
             RowChange(
                 table=self._table, key=key, value=None, if_version=self._versions[key]
             )
-            for key in stale[:SWEPT_AT_ONCE]
+            for key in stale[:MAX_REMOVED_ROWS]
         )
         try:
             await self._context.platform.store.commit(changes)
         except StoreConflict as error:
-            # One of the hosts has come back and entered itself anew.
+            # One of the hosts has restarted and registered itself again.
             _log.info("host_rows_changed", reason=error.message)
             return
         except PlatformError as error:
             _log.warning("host_rows_not_dropped", reason=error.message)
             return
-        _log.info("host_rows_dropped", hosts=",".join(stale[:SWEPT_AT_ONCE]))
+        _log.info("host_rows_dropped", hosts=",".join(stale[:MAX_REMOVED_ROWS]))
         self._read_due_ms = 0
 
-    def _take_rows(self, rows):
-        self._entries, self._versions = {}, {}
+    def _apply_rows(self, rows):
+        self._listed_hosts, self._versions = {}, {}
         for row in rows:
             if row.value is not None:
-                self._take_row(row)
+                self._apply_row(row)
         if self._context.identity.host_id not in self._versions:
-            # Taken for lost, by a host that could not reach this one.
-            self._written = False
-        self._tell_fleet()
+            # A host that could not reach this one removed its row as stale.
+            self._is_registered = False
+        self._update_fleet()
 
-    def _take_row(self, row):
+    def _apply_row(self, row):
         try:
             host = msgspec.json.decode(row.value, type=HostRow)
         except msgspec.MsgspecError as error:
             _log.warning("host_row_unreadable", row=row.key, reason=str(error))
             return
         self._versions[row.key] = row.version
-        self._entries[row.key] = ListedHost(
+        self._listed_hosts[row.key] = ListedHost(
             address=row.key,
             caller_address=host.caller_address,
             failure_domain=host.failure_domain,
             processor_millicores=host.processor_millicores,
         )
 
-    def _tell_fleet(self):
-        """Tell the fleet of all entries, and of the seeds that have none."""
+    def _update_fleet(self):
+        """Pass all registered hosts, and the seeds without a row, to the fleet."""
         own = self._context.identity.host_id
         seeds = (
             ListedHost(address=address)
             for address in self._context.settings.seed_peer_addresses
-            if address != own and address not in self._entries
+            if address != own and address not in self._listed_hosts
         )
-        self._context.fleet.on_list((*self._entries.values(), *seeds))
+        self._context.fleet.on_list((*self._listed_hosts.values(), *seeds))
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -1,4 +1,4 @@
-"""Version moves that operators order through the store."""
+"""Version moves ordered by operators through the store."""
 
 from hemlockhoist.base import (
     MoveError,
@@ -29,29 +29,31 @@
 
 _log = get_logger("entry.moves")
 
-ORDERS_MS = 200
-# After the store failed, before an order is begun or told again: it has a time limit
-# of some seconds, of which a longer rest would be a large part.
-RETRY_MS = 500
-# Part of an order's time by which all requests are to be on the new version. In the
-# rest the old version's last answers end and the operators are told.
+ORDER_CHECK_INTERVAL_MS = 200
+# Pause after a failure of the store before an order is started or reported again. An
+# order has a time limit of some seconds, of which a longer pause would be a large part.
+RETRY_DELAY_MS = 500
+# Fraction of an order's duration by which all requests are to be on the new version. In
+# the remaining time the old version's last responses end and the result is reported to
+# the operators.
 MOVED_FRACTION = 0.85
-# Parts of that time: while the bound on the trial holds for all routes, and before
-# which a move does not end. The rest is for the evidence under the whole load.
+# Fractions of that time: how long the bound on the trial applies to all routes, and the
+# earliest end of a move. The rest is for gathering evidence under the full load.
 TRIAL_UNTIL_FRACTION = 0.75
 TRIAL_END_FRACTION = 0.9
-# Of the declared bound on an unproven version, what is used: hosts that decide alone
-# give out a little besides, and answers under way when it is halted count too.
+# Fraction of the declared bound on an unproven version that is used. Hosts that
+# schedule alone grant a little on top, and responses in progress when the version is
+# halted count too.
 TRIAL_FRACTION = 0.6
 AUTHOR = "hemlockhoist"
-# Of the lease on a pool's moves: an order has to be over in seconds, and the next home
-# widens nothing before its predecessor's lease has ended.
+# Duration of the lease on a pool's moves. An order has to finish within seconds, and a
+# new home widens nothing before its predecessor's lease has expired.
 LEASE_MS = 2_000
-_FINAL = frozenset({OrderState.COMPLETED, OrderState.ROLLED_BACK})
+_FINAL_STATES = frozenset({OrderState.COMPLETED, OrderState.ROLLED_BACK})
 
 
 def trial_bound(bounds):
-    """Return the bound on what an unproven version may get.
+    """Return the bound on the requests that an unproven version may get.
 
     Parameters
     ==========
@@ -66,48 +68,55 @@
 
 
 class OrderedMoveService(MoveService):
-    """Carries out the operators' orders at the pools' home.
+    """Executes the operators' orders at the home of each pool.
 
     Parameters
     ==========
     context : EntryContext
     rows : TypedRows
-        Holds the moves and the lease on them.
+        Stores the moves and the lease on them.
     send : callable
         ``send(host_id, message)``.
     """
 
     lease_ms = LEASE_MS
 
-    __slots__ = ("_halted", "_orders", "_received_ms", "_retry_ms", "_task", "_told")
+    __slots__ = (
+        "_halted",
+        "_orders",
+        "_received_ms",
+        "_reported",
+        "_retry_due_ms",
+        "_task",
+    )
 
     def __init__(self, context, rows, send):
         super().__init__(context, rows, send)
         self._orders = {}
         self._received_ms = {}
         self._halted = HaltedVersions()
-        self._told = {}
-        self._retry_ms = 0
-        self._task = PeriodicTask(self._follow_ms, self._follow_orders)
+        self._reported = {}
+        self._retry_due_ms = 0
+        self._task = PeriodicTask(self._check_interval_ms, self._follow_orders)
 
     async def start(self):
-        """Begin to carry orders out."""
+        """Start executing orders."""
         await super().start()
         await self._task.start()
 
     async def close(self):
-        """Stop, and give leases up."""
+        """Stop, and release the leases."""
         await self._task.close()
         await super().close()
 
     def receive_order(self, order):
-        """Take an operator's order, or its repetition by a reading."""
-        former = self._orders.get(order.pool)
-        if former is not None and former.order_id == order.order_id:
+        """Accept an operator's order; ignore one that is already known."""
+        previous = self._orders.get(order.pool)
+        if previous is not None and previous.order_id == order.order_id:
             return
         self._orders[order.pool] = order
         self._received_ms[order.pool] = self._context.clock.now_ms()
-        # A version that was halted in an earlier move is tried again by a new order.
+        # A new order retries a version that was halted in an earlier move.
         self._halted.keep_only(order.pool, order.to_version, order.order_id)
         _log.info(
             "move_ordered",
@@ -124,31 +133,31 @@
         ======
         Refused
         """
-        if self._halted.has(pool, version, self._order_id(pool)):
+        if self._halted.has(pool, version, self._current_order_id(pool)):
             raise Refused(f"{version} is halted", ResultCode.GRANT_EXPIRED)
 
-    # What differs from a fleet with declared versions.
+    # Overrides for a platform on which versions are not declared but ordered.
 
     def open_pool(self, pool):
-        """Return the version policy for a pool that this host is now home of."""
-        return self._held_back(super().open_pool(pool), pool.name)
+        """Return the version policy of a pool whose home is now this host."""
+        return self._withhold_until_moved(super().open_pool(pool), pool.name)
 
     def open_standby(self, pool):
-        """Return the version policy of a pool for which this host decides alone."""
-        return self._held_back(super().open_standby(pool), pool.name)
+        """Return the version policy of a pool that this host schedules alone."""
+        return self._withhold_until_moved(super().open_standby(pool), pool.name)
 
-    def _held_back(self, controller, pool):
+    def _withhold_until_moved(self, controller, pool):
         if isinstance(controller, WithheldVersionPolicy):
             return controller
         return WithheldVersionPolicy(controller, lambda: self._pending_order(pool))
 
     def _pending_order(self, pool):
         order = self._orders.get(pool)
-        if order is None or not source_version(order, self._versions(pool)):
+        if order is None or not source_version(order, self._live_versions(pool)):
             return None
         return order
 
-    def _versions(self, pool):
+    def _live_versions(self, pool):
         return live_versions(self._context.homes.upstreams(), pool)
 
     def _new_controller(self, pool, row, now_ms):
@@ -159,7 +168,7 @@
             self._fleet_time_ms(),
             self._context.invariants,
             trial_bound(self._context.settings.bounds),
-            # The old version's upstreams stop with the end of the move.
+            # The old version's upstreams stop when the move ends.
             watch_ms=0,
         )
 
@@ -170,11 +179,11 @@
         order = self._orders.get(pool)
         if order is None:
             return False
-        told_id, told_state = self._told.get(pool, ("", None))
-        return told_id != order.order_id or told_state not in _FINAL
+        reported_id, reported_state = self._reported.get(pool, ("", None))
+        return reported_id != order.order_id or reported_state not in _FINAL_STATES
 
     def _recipients(self, pool):
-        # Each host may have to decide alone.
+        # Any host may have to schedule alone.
         return self._context.fleet.live_hosts()
 
     def _publish_halt(self, pool, move_id, version):
@@ -186,98 +195,101 @@
     def _revoke(self, message):
         self._halted.record(message.pool, message.version, message.move_id)
 
-    def _order_id(self, pool):
+    def _current_order_id(self, pool):
         order = self._orders.get(pool)
         return order.order_id if order is not None else None
 
     # Orders.
 
-    def _follow_ms(self):
-        is_open = any(self._may_have_move(pool) for pool in self._orders)
-        return ORDERS_MS if is_open else IDLE_TICK_MS
+    def _check_interval_ms(self):
+        is_pending = any(self._may_have_move(pool) for pool in self._orders)
+        return ORDER_CHECK_INTERVAL_MS if is_pending else IDLE_TICK_MS
 
     async def _follow_orders(self):
-        if self._context.clock.now_ms() < self._retry_ms:
+        if self._context.clock.now_ms() < self._retry_due_ms:
             return
         for pool, order in list(self._orders.items()):
             controller = self._controllers.get(pool)
             if controller is None:
                 continue
             try:
-                await self._follow(order, controller)
+                await self._follow_order(order, controller)
             except (PlatformError, MoveError) as error:
-                _log.warning("move_not_followed", pool=pool, reason=error.message)
-                self._retry_ms = self._context.clock.now_ms() + RETRY_MS
+                _log.warning("move_order_failed", pool=pool, reason=error.message)
+                self._retry_due_ms = self._context.clock.now_ms() + RETRY_DELAY_MS
 
-    async def _follow(self, order, controller):
-        """Begin an order's move, or tell the operators where it stands.
+    async def _follow_order(self, order, controller):
+        """Start an order's move, or report its state to the operators.
 
-        Failure: a host becomes home just after the end of a move, and knows what the
-        home before announced a moment earlier. Operators who were told of the end are
-        told that the move is under way. So the store is read before the first telling.
+        Failure prevented: a host becomes home just after the end of a move, and knows
+        only an earlier announcement of the preceding home. Operators to whom the end
+        was reported would then be told that the move is in progress. The store is
+        therefore read before the first report.
         """
-        if not self._has_told(order) and not await self._read(order.pool, controller):
+        if not self._has_reported(order) and not await self._read(
+            order.pool, controller
+        ):
             return
         row = controller.row
         if row is None or row.move_id != order.order_id:
-            row = await self._begin(order)
+            row = await self._begin_move(order)
         if row is None:
             return
         in_flight = 0
         home = self._context.homes.find(order.pool)
         if home is not None:
             in_flight = home.scheduler.in_flight_at(row.from_version)
-        await self._tell(order, order_state(row, in_flight))
+        await self._report_state(order, order_state(row, in_flight))
 
-    def _has_told(self, order):
-        told_id, _ = self._told.get(order.pool, ("", None))
-        return told_id == order.order_id
+    def _has_reported(self, order):
+        reported_id, _ = self._reported.get(order.pool, ("", None))
+        return reported_id == order.order_id
 
-    async def _begin(self, order):
-        """Begin the move of an order; return its row, or None while it has to wait."""
-        versions = self._versions(order.pool)
-        former = source_version(order, versions)
+    async def _begin_move(self, order):
+        """Start the move of an order; return its row, or None while it has to wait."""
+        versions = self._live_versions(order.pool)
+        previous = source_version(order, versions)
         if not versions[order.to_version]:
             return None
-        if not former:
-            await self._tell(order, OrderState.COMPLETED)
+        if not previous:
+            await self._report_state(order, OrderState.COMPLETED)
             return None
         return await self._update_row(
-            order.pool, lambda row: self._started(row, order, former)
+            order.pool, lambda row: self._started_row(row, order, previous)
         )
 
-    def _started(self, row, order, former):
-        """Return the row of an order's move, in the place of the row there is."""
+    def _started_row(self, row, order, previous):
+        """Return the row of an order's move, which replaces the current row."""
         if row is not None and row.move_id != order.order_id:
             if row.state is MoveState.RUNNING:
                 reason = f"replaced by order {order.order_id}"
                 row = cancel_move(row, row.move_id, reason, AUTHOR)
-            if row.serving_version != former:
-                # Upstreams were replaced without a move since.
+            if row.serving_version != previous:
+                # The upstreams have been replaced without a move since then.
                 row = None
         now_ms = self._fleet_time_ms()
         waited_ms = self._context.clock.now_ms() - self._received_ms[order.pool]
-        left_ms = max(1, int(MOVED_FRACTION * order.duration_ms) - waited_ms)
+        remaining_ms = max(1, int(MOVED_FRACTION * order.duration_ms) - waited_ms)
         request = MoveRequest(
             move_id=order.order_id,
             pool=order.pool,
-            from_version=former,
+            from_version=previous,
             to_version=order.to_version,
-            moved_by_unix_ms=now_ms + left_ms,
+            moved_by_unix_ms=now_ms + remaining_ms,
             reason="ordered by an operator",
             author=AUTHOR,
         )
         return start_move(row, request, now_ms)
 
-    async def _tell(self, order, state):
-        """Tell the operators where an order stands, once for each state."""
-        told = (order.order_id, state)
-        if self._told.get(order.pool) == told:
+    async def _report_state(self, order, state):
+        """Report an order's state to the operators, once for each state."""
+        reported = (order.order_id, state)
+        if self._reported.get(order.pool) == reported:
             return
         platform = self._context.platform
         try:
             await platform.store.commit((platform.order_status(order, state),))
         except StoreConflict as error:
             raise PlatformError(error.message) from error
-        self._told[order.pool] = told
+        self._reported[order.pool] = reported
         _log.info("move_told", pool=order.pool, order=order.order_id, state=state.value)
--- a/libs/entry/src/hemlockhoist/entry/platform.py
+++ b/libs/entry/src/hemlockhoist/entry/platform.py
@@ -1,10 +1,10 @@
-"""What an entry host asks of the platform that it runs on."""
+"""The interface between an entry host and the platform that it runs on."""
 
 import abc
 
 
 class Platform(abc.ABC):
-    """The adapter to a platform: names, formats and calls.
+    """The adapter to a platform: its names, formats and calls.
 
     Attributes
     ==========
@@ -12,18 +12,18 @@
     store : RowStore
         Started and closed by the host.
     config_table, config_key : str
-        The row of the declared routes.
+        Table and key of the declared routes.
     upstream_table : str
     host_table : str
-        Where hosts enter themselves; their own.
+        The hosts' own table, in which they register.
     usage_table : str
-        Where homes keep what customers have spent; their own.
+        The hosts' own table, in which homes record the usage of customers.
     readiness_path, directory_path : str
     """
 
     @abc.abstractmethod
     def decode_routes(self, value):
-        """Return the ``RouteTable`` of the declared routes' row.
+        """Return the ``RouteTable`` encoded in the row of the declared routes.
 
         Raises
         ======
@@ -32,26 +32,26 @@
 
     @abc.abstractmethod
     def decode_upstream(self, row, now_ms):
-        """Return the ``Upstream`` of a row, or None where it names none.
+        """Return the ``Upstream`` of a row, or None if the row describes none.
 
         Parameters
         ==========
         row : StoreRow
         now_ms : int
-            When it was read.
+            Time at which the row was read.
         """
 
     @abc.abstractmethod
     def decode_order(self, row):
-        """Return the ``MoveOrder`` of a row beside the declared routes, or None."""
+        """Return the ``MoveOrder`` of a row of the routes' table, or None."""
 
     @abc.abstractmethod
     def decode_domain_order(self, row):
-        """Return the ``DomainOrder`` of such a row, dropped ones included, or None."""
+        """Return the ``DomainOrder`` of such a row, also if it is removed, or None."""
 
     @abc.abstractmethod
     def order_status(self, order, state):
-        """Return the ``RowChange`` that tells the operators where an order stands.
+        """Return the ``RowChange`` that reports an order's state to the operators.
 
         Parameters
         ==========
@@ -61,8 +61,8 @@
 
     @abc.abstractmethod
     def parse_directory_query(self, query):
-        """Return the ``DirectoryQuery`` of a question's query."""
+        """Return the ``DirectoryQuery`` of a URL query."""
 
     @abc.abstractmethod
     def directory_body(self, addresses, ttl_ms):
-        """Return the body that tells callers which hosts to use."""
+        """Return the body of a directory response with the hosts to use."""
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -1,4 +1,4 @@
-"""One entry host: its parts, started, drained and closed."""
+"""The process of one entry host: starting, draining and closing its components."""
 
 import asyncio
 import contextlib
@@ -45,7 +45,7 @@
 from hemlockhoist.entry.host_registry import HostRegistry
 from hemlockhoist.entry.moves import OrderedMoveService
 from hemlockhoist.entry.servers import (
-    LEAVING_RETRY_MS,
+    LEAVING_RETRY_AFTER_MS,
     CallerServer,
     StatusServer,
 )
@@ -62,31 +62,33 @@
 
 _log = get_logger("entry.process")
 
-# Each reading of the routes proves that no key was taken away. The next one is due
-# before the proof is too old to serve under, with time left to ask once more.
+# Each reading of the routes proves that no key was revoked. The next one is due before
+# the proof becomes too old to serve under, with time left for one retry.
 ROUTES_WAIT_MS = 2_400
-# Entries of upstreams come by themselves when they change. A connection that has gone
-# silent ends by its probes, and a store that was silent shows in the routes' calls.
+# Changed rows of upstreams are returned at once. A dead connection is ended by its
+# probes, and an unresponsive store is detected by the reads of the routes.
 UPSTREAMS_WAIT_MS = 20_000
 HOME_TICK_INTERVAL_MS = 50
-# While this host decides for no pool: in a fleet of 59 hosts the wake-ups of idle ones
-# were a sixth of all processor time.
-IDLE_TICK_MS = 250
-# The part of the bounds that a host gives out follows the fleet: it is in touch or not
-# for ``RESPONSIVE_WINDOW_MS``, and counting that takes longer the more hosts there are.
+# Used while this host schedules no pool: in a fleet of 59 hosts, the wake-ups of idle
+# hosts were a sixth of all processor time.
+IDLE_TICK_INTERVAL_MS = 250
+# The share of the bounds that a host may use follows the fleet. Whether another host
+# is responsive is determined over ``RESPONSIVE_WINDOW_MS``, and counting the responsive
+# hosts takes longer the more hosts there are.
 SHARE_UPDATE_INTERVAL_MS = 250
 HELD_REPORT_INTERVAL_MS = 10_000
 GAUGE_INTERVAL_MS = 1_000
-# Of an upstream that is well, a connection is there within a few milliseconds.
+# A healthy upstream accepts a connection within a few milliseconds.
 CONNECT_TIMEOUT_MS = 250
-# Callers hold an address for its time to live, some of them for three times that. The
-# leaving host takes requests for as long as the longest usual answer, of 5 s, still ends
-# before the process is killed at the end of the declared stop, 8 s on today's sites;
-# who comes later is sent elsewhere at once.
+# Callers hold an address for its time to live, some of them for three times as long.
+# The leaving host accepts requests as long as an ordinary response, which takes 5 s at
+# most, still ends before the process is killed at the end of the declared stop, 8 s at
+# current sites. Later requests are refused at once, to be sent to another host.
 LISTEN_AFTER_STOP_MS = 2_700
 STOP_RESERVE_MS = 700
-# Part of the declared stop after which requests that still wait for a place are sent
-# elsewhere: an answer that begins later may not end before the process does.
+# Fraction of the declared stop after which requests still waiting for a slot are
+# refused, to be sent to another host: a response that starts later may not end before
+# the process does.
 QUEUE_DRAIN_FRACTION = 0.6
 DRAIN_CHECK_INTERVAL_MS = 50
 FLUSH_TIMEOUT_MS = 300
@@ -94,23 +96,23 @@
 DROPPED_REPORT_INTERVAL_MS = 1_000
 PEER_KEY_VARIABLE = "HEMLOCKHOIST_PEER_KEY"
 TEST_VARIABLE = "HEMLOCKHOIST_TEST"
-# All pools of today's fleets have one home, so that a customer's allowance and the
-# bound on retries are exact in one place.
+# All pools of current fleets share one home, so that a customer's quota and the limit
+# on retries are enforced exactly in one place.
 SINGLE_HOME_KEY = "cell"
-# Orders on the platform are to be over in some ten seconds: a share of a few in a
-# hundred would not give the answers that prove a version. What an unproven version may
-# get over all routes is bounded besides, see ``OrderedMoveService``.
+# Moves ordered on the platform have to finish within about ten seconds: a first share
+# of a few percent would not yield the responses that prove a version. The requests of
+# an unproven version over all routes are bounded as well, see ``OrderedMoveService``.
 MOVE_RULES = VersionRules(first_share_permille=100, unproven_share_permille=300)
-# A host that was lost may be cut off and go on serving for this long; after it, its
-# proof of the routes is long too old.
-LOST_HOST_MS = 15_000
-# Under a load at which allowances bind, a host that is in touch is heard from several
-# times in this time.
+# A lost host may be partitioned and go on serving for this long. After that, its proof
+# of the routes is far too old.
+LOST_HOST_TIMEOUT_MS = 15_000
+# Under a load high enough for quotas to apply, messages of a responsive host arrive
+# several times within this window.
 RESPONSIVE_WINDOW_MS = 1_000
 
 
 class EntryProcess:
-    """An entry host on a platform.
+    """An entry host that runs on a platform.
 
     Parameters
     ==========
@@ -118,7 +120,7 @@
     platform : Platform
     boot_clock : SuspendAwareClock
     listener : socket.socket, optional
-        Listens for callers already.
+        Already listens for callers.
     """
 
     def __init__(self, settings, platform, boot_clock, listener=None):
@@ -130,15 +132,15 @@
         self._platform = platform
         self._boot_clock = boot_clock
         self._closers = contextlib.AsyncExitStack()
-        self._callers = None
+        self._caller_server = None
         self._drain_task = None
         self._host_registry = None
         self._watches = ()
         self._store_failed = False
-        self._share_due_ms = 0
+        self._share_update_due_ms = 0
 
     async def start(self):
-        """Start all parts; the host serves when this returns."""
+        """Start all components; the host serves when this returns."""
         clock = Clock.from_running_loop()
         invariants = InvariantLog(fatal=TEST_VARIABLE in os.environ)
         context = EntryContext(
@@ -160,7 +162,7 @@
         await self._open(context.moves)
         await self._open(UsageRecorder(context))
         self.status = await self._open(StatusServer(context))
-        self._callers = await self._open(CallerServer(context, self._listener))
+        self._caller_server = await self._open(CallerServer(context, self._listener))
         await self._open(PeriodicTask(self._tick_ms, self._tick))
         await self._open(PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held))
         await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
@@ -217,7 +219,7 @@
             context.clock,
             context.bus.send,
             context.homes.home_of,
-            self._on_silent,
+            self._on_unresponsive,
             context.bus.reconnect,
             lambda: context.identity.host_id,
             UsageLog(self.settings.bounds.quota_window_ms),
@@ -253,16 +255,16 @@
         )
         self._host_registry = HostRegistry(context)
         self._watches = (upstreams, self._host_registry)
-        for part in (routes, upstreams, self._host_registry):
-            await self._open(part)
+        for component in (routes, upstreams, self._host_registry):
+            await self._open(component)
 
-    async def _open(self, part):
-        await part.start()
-        self._closers.push_async_callback(part.close)
-        return part
+    async def _open(self, component):
+        await component.start()
+        self._closers.push_async_callback(component.close)
+        return component
 
     async def close(self):
-        """Stop all parts, the last started first."""
+        """Stop all components in the reverse order of their start."""
         await self._closers.aclose()
 
     def _on_reading(self, reading):
@@ -281,12 +283,12 @@
     def _on_routes(self, table):
         """Put newer routes in force."""
         context = self.context
-        context.declarations = declarations_of(table)
+        context.declarations = declarations_from_table(table)
         context.gate.quotas.declare(table.customers)
         context.homes.redeclare()
 
     def _new_tracker(self, name):
-        """Return what is kept of the upstreams of a pool."""
+        """Return the tracker of a pool's upstreams."""
         routes = self.context.store_view.routes
         pool = routes.pool(name) if routes is not None else None
         experiments = self.settings.experiments
@@ -297,7 +299,7 @@
         return experiments.declared_slots_tracker(cache_tokens, warmup)
 
     def _cold_start_limit(self, name):
-        """Return what is declared at present of the cold upstreams of a pool."""
+        """Return the declared limits of a pool's cold upstreams."""
         routes, bounds = self.context.store_view.routes, self.settings.bounds
         pool = routes.pool(name) if routes is not None else None
         if pool is None:
@@ -312,31 +314,37 @@
         context = self.context
         context.homes.set_upstreams(context.store_view.usable())
 
-    def _on_silent(self, host_id):
+    def _on_unresponsive(self, host_id):
         self.context.fleet.on_unresponsive(host_id)
 
     def _tick_ms(self):
         return (
-            HOME_TICK_INTERVAL_MS if self.context.homes.is_scheduling else IDLE_TICK_MS
+            HOME_TICK_INTERVAL_MS
+            if self.context.homes.is_scheduling
+            else IDLE_TICK_INTERVAL_MS
         )
 
     def _tick(self):
         context = self.context
-        if context.clock.now_ms() >= self._share_due_ms:
-            self._share_due_ms = context.clock.now_ms() + SHARE_UPDATE_INTERVAL_MS
-            self._share_allowances()
+        if context.clock.now_ms() >= self._share_update_due_ms:
+            self._share_update_due_ms = (
+                context.clock.now_ms() + SHARE_UPDATE_INTERVAL_MS
+            )
+            self._update_share()
         due_ms = context.store_view.listing.next_change_ms()
         if due_ms is not None and due_ms <= context.clock.now_ms():
             self._on_upstreams()
         context.homes.tick()
 
-    def _share_allowances(self):
-        """Give out this host's part of what is bounded over all hosts."""
+    def _update_share(self):
+        """Set this host's share of the bounds that hold over all hosts."""
         context = self.context
         is_home = context.homes.home_of("") == context.identity.host_id
-        known = context.fleet.count_known(LOST_HOST_MS)
-        heard = context.fleet.count_responsive(RESPONSIVE_WINDOW_MS) if is_home else 1
-        share = partition_share(heard, known, is_home)
+        known_count = context.fleet.count_known(LOST_HOST_TIMEOUT_MS)
+        responsive_count = (
+            context.fleet.count_responsive(RESPONSIVE_WINDOW_MS) if is_home else 1
+        )
+        share = partition_share(responsive_count, known_count, is_home)
         context.gate.set_share(share)
         context.homes.set_share(share)
 
@@ -374,27 +382,29 @@
         context = self.context
         _log.info("drain_begun", open_requests=context.open_requests)
         stop_ms = self.settings.bounds.stop_ms
-        begun_ms = context.clock.now_ms()
-        end_ms = begun_ms + stop_ms - STOP_RESERVE_MS
-        queue_end_ms = begun_ms + int(QUEUE_DRAIN_FRACTION * stop_ms)
+        started_ms = context.clock.now_ms()
+        end_ms = started_ms + stop_ms - STOP_RESERVE_MS
+        queue_end_ms = started_ms + int(QUEUE_DRAIN_FRACTION * stop_ms)
         context.leaving = True
         context.fleet.leave()
         context.homes.close()
         await self._host_registry.leave()
         await asyncio.sleep(LISTEN_AFTER_STOP_MS / MS_PER_S)
-        await self._callers.stop_listening()
+        await self._caller_server.stop_listening()
         context.refuses_requests = True
         while context.open_requests and context.clock.now_ms() < end_ms:
             if context.clock.now_ms() >= queue_end_ms:
-                context.grants.refuse_waiting(ResultCode.LEAVING, LEAVING_RETRY_MS)
+                context.grants.refuse_waiting(
+                    ResultCode.LEAVING, LEAVING_RETRY_AFTER_MS
+                )
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_MS / MS_PER_S)
         await context.bus.flush(FLUSH_TIMEOUT_MS)
         _log.info("drain_ended", open_requests=context.open_requests)
         self.finished.set()
 
 
-def declarations_of(table):
-    """Return the pools of a route table, as homes and schedulers see them."""
+def declarations_from_table(table):
+    """Return the declarations of a route table's pools for homes and schedulers."""
     pools = tuple(
         Pool(
             name=pool.name,
@@ -414,14 +424,14 @@
     platform = make_platform(settings, boot_clock)
     host = EntryProcess(settings, platform, boot_clock, listener)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, host.begin_drain)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, host.begin_drain)
     loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("reload_asked"))
     try:
         await host.start()
         report = PeriodicTask(
             DROPPED_REPORT_INTERVAL_MS,
-            lambda: _tell_left_out(limit, writer, host.context.metrics),
+            lambda: _report_dropped_lines(limit, writer, host.context.metrics),
         )
         await report.start()
         await host.finished.wait()
@@ -430,8 +440,8 @@
         await host.close()
 
 
-def _tell_left_out(limit, writer, metrics):
-    """Say how many lines were left out, so that a gap does not pass for quiet."""
+def _report_dropped_lines(limit, writer, metrics):
+    """Report the number of dropped log lines, so that a gap is visible as such."""
     left_out, dropped = limit.take_left_out(), writer.take_dropped()
     if left_out or dropped:
         metrics.count(LINES_LEFT_OUT, value=sum(left_out.values()) + dropped)
@@ -445,9 +455,9 @@
     ==========
     settings : EntrySettings
     make_platform : callable
-        ``make_platform(settings, boot_clock)`` gives the ``Platform``.
+        ``make_platform(settings, boot_clock)`` returns the ``Platform``.
     listener : socket.socket, optional
-        Listens for callers already.
+        Already listens for callers.
     """
     writer = LineWriter(sys.stdout)
     writer.start()
--- a/libs/entry/src/hemlockhoist/entry/responses.py
+++ b/libs/entry/src/hemlockhoist/entry/responses.py
@@ -1,4 +1,4 @@
-"""Answers to callers: an upstream's own, and the system's."""
+"""Responses to callers: those of upstreams, and error responses of this system."""
 
 from aiohttp import web
 
@@ -6,20 +6,20 @@
 
 CODE_HEADER = "X-Result-Code"
 _NOT_RUN_STATUS = 503
-# Callers take these for "not run".
-_PROMISING_STATUSES = frozenset({429, 503})
+# Callers conclude from these statuses that the request did not run.
+_NOT_RUN_STATUSES = frozenset({429, 503})
 _UNKNOWN_STATUS = 502
-_KEPT_NOT_RUN_STATUSES = frozenset({400, 401, 403, 404, 408, 413, 429, 431})
-# What a caller is told where a refusal gives no time of its own.
+_UNCHANGED_STATUSES = frozenset({400, 401, 403, 404, 408, 413, 429, 431})
+# Retry-After of a refusal that gives none.
 DEFAULT_RETRY_AFTER_MS = 500
 
 
 def upstream_response(head, body):
-    """Return an upstream's whole answer as it came.
+    """Return the response that passes an upstream's full response on unchanged.
 
     Parameters
     ==========
-    head : AnswerHead
+    head : ResponseHead
     body : bytes
     """
     response = web.Response(status=head.status, body=body)
@@ -28,7 +28,7 @@
 
 
 def add_headers(response, headers):
-    """Put an upstream's headers into the answer to the caller."""
+    """Copy an upstream's headers into the response to the caller."""
     for name, value in headers:
         if name.lower() == "content-type":
             response.headers[name] = value
@@ -37,10 +37,10 @@
 
 
 def error_response(wire, call, error):
-    """Return the system's own answer to a request.
+    """Return the response to a request that this system refused or failed.
 
-    A status that promises "not run" (503, 429) is given where the code says so, and
-    never else: callers repeat bookings on it.
+    A status from which callers conclude that the request did not run (503, 429) is only
+    used if the result code says so, as callers then send a booking again.
 
     Parameters
     ==========
@@ -51,9 +51,9 @@
     row = error.info
     status = row.http_status
     retry_after_ms = None
-    if row.ran is Ran.NO and status not in _KEPT_NOT_RUN_STATUSES:
+    if row.ran is Ran.NO and status not in _UNCHANGED_STATUSES:
         status = _NOT_RUN_STATUS
-    if row.ran is not Ran.NO and status in _PROMISING_STATUSES:
+    if row.ran is not Ran.NO and status in _NOT_RUN_STATUSES:
         status = _UNKNOWN_STATUS
     if row.ran is Ran.NO and row.retryable:
         retry_after_ms = error.retry_after_ms or DEFAULT_RETRY_AFTER_MS
--- a/libs/entry/src/hemlockhoist/entry/servers.py
+++ b/libs/entry/src/hemlockhoist/entry/servers.py
@@ -1,4 +1,4 @@
-"""The HTTP surface of an entry host: callers, readiness, and which hosts to use."""
+"""HTTP servers of an entry host: callers, readiness, and the directory of hosts."""
 
 import asyncio
 
@@ -30,39 +30,40 @@
 
 _log = get_logger("entry.surface")
 
-# Callers are told to keep the answer on which hosts to use for this long: short, so
-# that a host which leaves or fails is asked by nobody new after a few seconds.
+# Time to live of a directory response: short, so that no new caller uses a host that
+# left or failed for longer than a few seconds.
 ADDRESS_TTL_MS = 2_000
 MAX_ADDRESSES = 64
 METRICS_PATH = "/metrics"
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# Longer than any declared idle time: the callers end idle connections, not the host. A
-# request that crosses a close on its way is lost, and its caller can not tell.
+# Longer than any declared idle time, so that callers close idle connections, not the
+# host. A request sent while the host closes the connection is lost, and its caller
+# cannot tell whether it ran.
 KEEP_ALIVE_S = 75.0
-# Open requests have been waited for before the surfaces close. Failure: waiting here
-# once more, with a stream still open, makes the process outlast its planned stop.
+# The servers close after open requests have been waited for. Failure prevented: waiting
+# again here, with a stream still open, makes the process outlast its planned stop.
 SHUTDOWN_TIMEOUT_S = 0.05
-# A host that has just started reads the routes and upstreams within some 20 ms where
-# the store answers. Its first callers are let wait for that: a refusal would use up one
-# of their few retries.
-START_WAIT_MS = 500
-# Told to callers that come to a host about to end: any other host takes them at once.
-LEAVING_RETRY_MS = 1
-# By custom, for a caller that closed its connection; never sent.
+# A host that has just started reads the routes and upstreams within about 20 ms if the
+# store answers. Its first callers wait for that, as a refusal would use up one of their
+# few retries.
+STARTUP_WAIT_MS = 500
+# Retry-After of a host about to stop: any other host accepts the request at once.
+LEAVING_RETRY_AFTER_MS = 1
+# Customary status for a connection closed by the caller; never sent.
 CLIENT_CLOSED_STATUS = 499
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# Until the declared ones are known.
+# In force until the declared ones are known.
 _DEFAULT_LIMITS = RequestLimits()
 
 
 class CallerServer:
-    """Answers callers' requests.
+    """Serves callers' requests.
 
     Parameters
     ==========
     context : EntryContext
     listener : socket.socket, optional
-        Listens for callers already.
+        Already listens for callers.
     """
 
     __slots__ = ("_admission", "_context", "_listener", "_runner")
@@ -94,7 +95,7 @@
             await self._runner.cleanup()
 
     async def stop_listening(self):
-        """Take no new connection; open ones go on."""
+        """Accept no new connections; open ones are served further."""
         for site in list(self._runner.sites):
             await site.stop()
 
@@ -104,7 +105,7 @@
         return routes.limits if routes is not None else _DEFAULT_LIMITS
 
     async def _handle(self, request):
-        """Answer one request of a caller."""
+        """Respond to one request of a caller."""
         context = self._context
         context.open_requests += 1
         parent = parent_of_headers(request.headers)
@@ -117,8 +118,8 @@
             context.open_requests -= 1
         context.metrics.count(REQUESTS_ENDED, code)
         if context.leaving and not response.prepared:
-            # A caller that keeps its connection would come back to a host that is
-            # about to close it, and lose the request that crosses the close.
+            # A caller that keeps its connection would reuse it while this host is
+            # about to close it, and lose the request.
             response.force_close()
         return response
 
@@ -132,15 +133,16 @@
             self._log_refused(call, request, error)
             return error_response(wire, call, error)
         except OSError as error:
-            # Failure: the caller closed its connection while its answer was written.
-            # Passed on, the server writes a traceback for each, past the bound on the
-            # volume of logs. Nobody reads what is returned.
+            # Failure prevented: the caller closes its connection while its response is
+            # written. If raised, the server logs a traceback for each, which bypasses
+            # the limit on log volume. The returned response is never sent.
             _log.info(
                 "caller_left", request=call and call.request_id, reason=repr(error)
             )
             return web.Response(status=CLIENT_CLOSED_STATUS)
         except Exception as error:
-            # A fault of this program: the caller must not read "not run" into it.
+            # An internal error: the response must not claim that the request did not
+            # run.
             _log.error(
                 "request_failed", request=call and call.request_id, exc_info=True
             )
@@ -149,8 +151,8 @@
 
     async def _serve(self, request, call):
         arrived_ms = self._context.clock.now_ms()
-        self._check_staying()
-        await self._context.store_view.wait_complete(START_WAIT_MS)
+        self._check_not_stopping()
+        await self._context.store_view.wait_complete(STARTUP_WAIT_MS)
         admitted = self._admission.admit(call, arrived_ms)
         self._context.metrics.count(REQUESTS_ARRIVED, admitted.tier)
         self._log_admitted(admitted)
@@ -161,13 +163,13 @@
             self._log_ended(exchange, response, arrived_ms)
             return response
         except asyncio.CancelledError:
-            self._note_left(exchange, admitted.tier, arrived_ms)
+            self._record_disconnect(exchange, admitted.tier, arrived_ms)
             raise
         except HemlockhoistError as error:
             check_not_run(self._context.invariants, exchange, error)
             raise
 
-    def _note_left(self, exchange, tier, arrived_ms):
+    def _record_disconnect(self, exchange, tier, arrived_ms):
         after_ms = self._context.clock.now_ms() - arrived_ms
         _log.info(
             "caller_left",
@@ -175,23 +177,23 @@
             after_ms=after_ms,
             attempts=exchange.attempts,
         )
-        if not exchange.has_begun:
+        if not exchange.response_started:
             self._context.metrics.count(CALLERS_LEFT, tier)
             self._context.metrics.time(CALLERS_LEFT_MS, after_ms, tier)
 
-    def _check_staying(self):
-        """Refuse a request that may not end before this host does.
+    def _check_not_stopping(self):
+        """Refuse a request that may not finish before this host stops.
 
-        Failure: a caller sends on a kept connection to a host that was told to stop
-        some seconds before. Its stream is cut when the process is killed at the end of
-        its time; refused, the caller has a whole answer of another host.
+        Failure prevented: a caller reuses a connection to a host that was ordered to
+        stop some seconds ago. Its stream is cut off when the process is killed at the
+        end of the stop; if refused, it gets a complete response from another host.
 
         Raises
         ======
         Refused
         """
         if self._context.refuses_requests:
-            raise Refused("", ResultCode.LEAVING, LEAVING_RETRY_MS)
+            raise Refused("", ResultCode.LEAVING, LEAVING_RETRY_AFTER_MS)
 
     async def _read_body(self, request):
         if request.headers.get("Expect", "").lower() == "100-continue":
@@ -236,7 +238,7 @@
 
 
 class StatusServer:
-    """Answers questions for readiness, and for which hosts to use.
+    """Serves readiness checks, the directory of hosts, and metrics.
 
     Parameters
     ==========
@@ -264,7 +266,7 @@
 
     @property
     def addresses(self):
-        """The addresses that are listened on, ports of the kernel's choice included."""
+        """The addresses listened on, with the actual ports chosen by the kernel."""
         found = (address for item in self._runners for address in item.addresses)
         return [f"{ip}:{port}" for ip, port in found]
 
@@ -286,20 +288,20 @@
         return error_response(platform.wire, None, error)
 
     def is_ready(self):
-        """Return whether this host serves callers."""
+        """Return whether this host can serve callers."""
         context = self._context
         if context.leaving or not context.store_view.is_complete:
             return False
         routes = context.store_view.routes
         return not routes.requires_keys or context.store_view.is_fresh()
 
-    def _directory(self, question):
+    def _directory(self, directory_query):
         context = self._context
         members = nearby_members(
             context.fleet.advertised_members(),
             context.settings.regions_by_domain,
-            question.region,
-            context.store_view.regions_of(question.host),
+            directory_query.region,
+            context.store_view.regions_of(directory_query.host),
         )
         addresses = [member.caller_address for member in members]
         own = self._context.identity.address
@@ -312,7 +314,7 @@
 
 
 async def listen(server, address, listener=None):
-    """Return the started runner of a server on ``IP:port``, or on an open socket."""
+    """Return the started runner of a server on ``IP:port`` or an open socket."""
     runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
     if listener is not None:
@@ -325,11 +327,11 @@
 
 
 def check_not_run(invariants, exchange, error):
-    """Assert that a refusal which says "not run" is true."""
+    """Check the invariant that a request refused as "not run" has not run."""
     if error.info.ran is not Ran.NO:
         return
     invariants.check(
         Property.NOT_RUN_IS_TRUE,
         not exchange.may_have_run,
-        f"{exchange.request_id} may have run and gets code {int(error.code)}",
+        f"{exchange.request_id} may have run but gets code {int(error.code)}",
     )
--- a/libs/entry/src/hemlockhoist/entry/settings.py
+++ b/libs/entry/src/hemlockhoist/entry/settings.py
@@ -1,4 +1,4 @@
-"""What an entry host is told at its start."""
+"""Settings of an entry host, fixed at its start."""
 
 import msgspec
 
@@ -6,31 +6,32 @@
 
 
 class FleetBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds that the operators of the platform declare for the whole fleet.
+    """Bounds declared for the whole fleet by the operators of the platform.
 
     Parameters
     ==========
     drain_ms : int
-        After an upstream said that it leaves, it gets nothing later than this.
+        Time after an upstream's notice of leaving until it is sent nothing more.
     stop_ms : int
-        From the signal to stop until the process is killed.
+        Time from the stop signal until the process is killed.
     revocation_ms : int
-        After a key was taken away, nothing sent with it later than this may run.
+        Time after a key's revocation until nothing newly sent with it may run.
     retry_ratio, retry_base : float
-        Sends beyond the first, over all hosts, in each window: for each request, and
-        beside that.
+        Retries allowed over all hosts in each window: per request, and in addition to
+        that.
     retry_window_ms : int
     quota_window_ms : int
-    allowance_overshoot, allowance_tolerance : float
-        By how much a customer may be over its allowance in a window: as a part, and
-        in its units.
+    quota_overshoot_ratio, quota_tolerance_units : float
+        By how much a customer may exceed its quota in a window: as a fraction of the
+        quota, and in units in addition to that.
     trial_share, trial_tolerance : float
-        Of the requests that an unproven version may get: as a part, and beside that.
+        Requests that an unproven version may get: as a fraction of all requests, and
+        in addition to that.
     cold_overshoot, cold_tolerance : float
-        By how much the requests that a cold upstream gets in a second may be over what
-        is declared for it: as a factor, and beside that.
+        By how much a cold upstream's requests per second may exceed the declared ones:
+        as a factor, and in addition to that.
     address_ttl_ms : int
-        The longest that callers may be told to keep an answer on which hosts to use.
+        The longest time to live of a response to callers on which hosts to use.
     """
 
     drain_ms: int = 2_000
@@ -50,34 +51,35 @@
 
 
 class EntrySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The settings of one entry host.
+    """Settings of one entry host.
 
     Addresses are ``IP:port``.
 
     Parameters
     ==========
     name : str
-        For people.
+        A name for people.
     failure_domain, region : str
     regions_by_domain : dict of str to str
-        Of all failure domains; empty where they are not told.
+        The region of each failure domain; empty where they are not configured.
     caller_address, readiness_address, directory_address : str
-        Where requests, questions for readiness, and questions for hosts are answered.
+        Addresses that serve requests, readiness checks and the directory of hosts.
     operator_address : str
-        Where the host says how it is; empty where it is not asked.
+        Address that serves the host's status; empty for none.
     metrics_address : str
-        Empty where no metrics are read.
+        Address that serves metrics; empty for none.
     peer_address : str
     seed_peer_addresses : tuple of str
-        Hosts that may be there; they may also be down, or gone.
+        Hosts that may exist; they may also be down or removed.
     store_address : str
     bounds : FleetBounds
     max_memory_mb, max_descriptors : int
-        0 where no limit is told.
+        0 where no limit is configured.
     processor_millicores : int
-        What the process may use, in thousandths of a core; 0 where it is not told.
+        Processor time available to the process, in thousandths of a core; 0 where it
+        is not configured.
     experiments : Experiments
-        Mechanisms of scheduling that are left out; for measurements only.
+        Scheduling mechanisms that are disabled; for measurements only.
     """
 
     name: str
--- a/libs/entry/src/hemlockhoist/entry/store_view.py
+++ b/libs/entry/src/hemlockhoist/entry/store_view.py
@@ -1,4 +1,4 @@
-"""What this host knows of the store: routes, upstreams, and since when."""
+"""A host's view of the store: routes, upstreams and the age of their proof."""
 
 import asyncio
 import collections
@@ -25,16 +25,16 @@
 
 _log = get_logger("entry.knowledge")
 
-# A key is honoured while the last proof is younger than the declared time for taking
-# keys away, less this: for the way of the request to its upstream, and for the clocks'
-# rates.
+# A key is accepted while the last proof is younger than the declared revocation time
+# minus this margin, which covers the request's transit to its upstream and differences
+# between the clocks' rates.
 PROOF_MARGIN_MS = 250
-STALE_RETRY_MS = 300
-NOT_READY_RETRY_MS = 300
+STALE_RETRY_AFTER_MS = 300
+NOT_READY_RETRY_AFTER_MS = 300
 
 
 class StoreView:
-    """The newest routes and upstreams, and the proof of their freshness.
+    """The newest known routes and upstreams, with the proof of their freshness.
 
     Parameters
     ==========
@@ -44,11 +44,11 @@
     boot_clock : SuspendAwareClock
     invariants : InvariantLog
     on_routes : callable
-        ``on_routes(table)`` after each newer version.
+        ``on_routes(table)`` is called after each newer version.
     on_upstreams : callable
-        ``on_upstreams()`` after each change of the listing.
+        ``on_upstreams()`` is called after each change of the listing.
     on_order : callable
-        ``on_order(order)`` for each order to move a pool to a version.
+        ``on_order(order)`` is called for each order to move a pool to a version.
     """
 
     __slots__ = (
@@ -96,41 +96,41 @@
 
     @property
     def is_complete(self):
-        """Whether routes and upstreams were read at all."""
+        """Whether routes and upstreams have been read at least once."""
         return self.routes is not None and self.has_upstreams
 
     async def wait_complete(self, limit_ms):
-        """Wait until routes and upstreams were read, at most ``limit_ms``."""
+        """Wait until routes and upstreams have been read, at most ``limit_ms``."""
         if self._completed.is_set():
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_ms / MS_PER_S):
                 await self._completed.wait()
 
-    def _note_complete(self):
+    def _update_completed(self):
         if self.is_complete:
             self._completed.set()
 
     def proof_age_ms(self):
-        """Return the age of the newest proof of the routes, or None."""
+        """Return the age of the newest proof of the routes, or None without one."""
         return self.freshness.age_ms(self._boot_clock.now_ms())
 
     def store_now_ms(self):
         """Return the time of the store's clock, which all hosts share.
 
-        It runs steadily where the time of day may jump; late by the time that the
-        quickest answer was under way.
+        The estimate advances steadily even if the time of day jumps. It lags by the
+        transit time of the fastest response so far.
         """
         return self.freshness.store_ms(self._boot_clock.now_ms())
 
     def is_fresh(self):
-        """Return whether keys may be honoured, and requests refused for good."""
+        """Return whether keys may be accepted and requests permanently refused."""
         age_ms = self.proof_age_ms()
         limit_ms = self._bounds.revocation_ms - PROOF_MARGIN_MS
         return age_ms is not None and age_ms < limit_ms
 
     def check_fresh(self):
-        """Refuse what must not be decided on old routes.
+        """Refuse a decision that must not be based on stale routes.
 
         Raises
         ======
@@ -140,46 +140,46 @@
             return
         age_ms = self.proof_age_ms()
         raise Refused(
-            f"the routes were last proven {age_ms} ms ago",
+            f"the routes were last confirmed by the store {age_ms} ms ago",
             ResultCode.CONFIGURATION_STALE,
-            STALE_RETRY_MS,
+            STALE_RETRY_AFTER_MS,
         )
 
     def check_complete(self):
-        """Refuse callers while nothing is known.
+        """Refuse callers until routes and upstreams have been read.
 
         Raises
         ======
         Refused
         """
         if not self.is_complete:
-            raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_MS)
+            raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_AFTER_MS)
 
     def apply_config_rows(self, reading, is_snapshot):
-        """Take rows of the table that holds the routes and the operators' orders."""
-        self._take_domain_orders(reading, is_snapshot)
+        """Apply rows of the table that holds the routes and the operators' orders."""
+        self._apply_domain_orders(reading, is_snapshot)
         for row in reading.rows:
             if row.value is None:
                 continue
             if row.key == self._platform.config_key:
-                self._take_routes(row)
+                self._apply_routes(row)
                 continue
             order = self._platform.decode_order(row)
             if order is not None:
                 self._on_order(order)
 
-    def _take_domain_orders(self, reading, is_snapshot):
+    def _apply_domain_orders(self, reading, is_snapshot):
         found = (self._platform.decode_domain_order(row) for row in reading.rows)
         orders = [order for order in found if order is not None]
         if is_snapshot:
             changed = self.evacuated.replace(orders, reading.version)
         else:
-            taken = [order for order in orders if self.evacuated.apply(order)]
-            changed = [order.failure_domain for order in taken]
-        self._on_domains(changed)
+            applied = [order for order in orders if self.evacuated.apply(order)]
+            changed = [order.failure_domain for order in applied]
+        self._on_domains_changed(changed)
 
-    def _on_domains(self, changed):
-        """Put evacuations, and their ends, in force."""
+    def _on_domains_changed(self, changed):
+        """Put evacuations, and the ends of evacuations, in force."""
         for name in changed:
             version = self.evacuated.version(name)
             event = "domain_taken_back" if version is None else "domain_evacuated"
@@ -188,39 +188,39 @@
             self._on_upstreams()
 
     def on_domain_evacuated(self, failure_domain, version):
-        """Take another host's word that a failure domain is evacuated."""
+        """Apply another host's report that a failure domain is evacuated."""
         order = DomainOrder(
             failure_domain=failure_domain, is_evacuated=True, version=version
         )
         if self.evacuated.apply(order):
-            self._on_domains((failure_domain,))
+            self._on_domains_changed((failure_domain,))
 
-    def _take_routes(self, row):
+    def _apply_routes(self, row):
         try:
             table = self._platform.decode_routes(row.value)
         except DeclarationError as error:
-            # What is in force stays so: half-read routes would send requests astray.
+            # The routes in force stay: partly decoded ones would misroute requests.
             _log.error("routes_unreadable", row=row.version, reason=error.message)
             return
-        former = self.routes
-        if former is not None and table.version <= former.version:
-            if table.version < former.version:
+        previous = self.routes
+        if previous is not None and table.version <= previous.version:
+            if table.version < previous.version:
                 _log.warning(
-                    "routes_older", version=table.version, known=former.version
+                    "routes_older", version=table.version, known=previous.version
                 )
             return
         self.routes = table
         self._invariants.check(
             Property.CONFIGURATION_NEVER_REVERTS,
-            former is None or former.version < table.version,
-            f"routes {table.version} after {former.version if former else 0}",
+            previous is None or previous.version < table.version,
+            f"routes {table.version} after {previous.version if previous else 0}",
         )
         _log.info("routes_in_force", version=table.version, routes=len(table.routes))
         self._on_routes(table)
-        self._note_complete()
+        self._update_completed()
 
     def record_reading(self, reading):
-        """Take a successful reading of the routes' table as proof."""
+        """Record a successful reading of the routes' table as proof of freshness."""
         sent_ms, store_ms = reading.sent_ms, reading.store_ms
         if reading.clock_ms is None:
             self.freshness.record(sent_ms, store_ms)
@@ -228,7 +228,7 @@
             self.freshness.record_relayed(sent_ms, store_ms, reading.clock_ms)
 
     def apply_upstream_rows(self, reading, is_snapshot):
-        """Take rows of the list of upstreams."""
+        """Apply rows of the table of upstreams."""
         now_ms = self._clock.now_ms()
         self.has_upstreams = True
         if is_snapshot:
@@ -237,11 +237,11 @@
             self.listing.replace([item for item in found if item], now_ms)
         else:
             for row in reading.rows:
-                self._take_upstream(row, now_ms)
+                self._apply_upstream(row, now_ms)
         self._on_upstreams()
-        self._note_complete()
+        self._update_completed()
 
-    def _take_upstream(self, row, now_ms):
+    def _apply_upstream(self, row, now_ms):
         upstream = None
         if row.value is not None:
             upstream = self._platform.decode_upstream(row, now_ms)
@@ -260,7 +260,7 @@
         )
 
     def usable(self):
-        """Return the upstreams, leaving and evacuated ones marked."""
+        """Return the upstreams, with leaving and evacuated ones marked."""
         upstreams = self.listing.usable(self._clock.now_ms())
         evacuated = frozenset(self.evacuated.names())
         if not evacuated:
@@ -271,18 +271,18 @@
         )
 
     def count_live(self):
-        """Return how many upstreams may be given work, by pool."""
+        """Return the number of upstreams that accept work, by pool."""
         live = (item for item in self.usable() if item.state is UpstreamState.LIVE)
         return collections.Counter(item.pool for item in live)
 
     def check_upstream(self, upstream_id, is_cold):
-        """Refuse to send to an upstream under a grant that is outdated.
+        """Refuse to send to an upstream under an outdated grant.
 
         Parameters
         ==========
         upstream_id : str
         is_cold : bool
-            Whether its home knew that it is cold.
+            Whether the home that granted it knew the upstream to be cold.
 
         Raises
         ======
@@ -297,15 +297,15 @@
         if evacuated_version is not None:
             raise UpstreamEvacuated(upstream_id, domain, evacuated_version)
         cold_ms = upstream.cold_until_ms - now_ms
-        if cold_ms > 0 and not is_cold and self._bounds_cold(upstream.pool):
+        if cold_ms > 0 and not is_cold and self._limits_cold_upstreams(upstream.pool):
             raise UpstreamCold(upstream_id, upstream.listed_version, cold_ms)
 
     def regions_of(self, host):
-        """Return the regions that the routes of a host name allow; empty for any."""
+        """Return the regions that the routes of a host name require; empty for any."""
         return self.routes.regions_of(host) if self.routes is not None else ()
 
     def check_region(self, upstream_id, regions):
-        """Refuse to send a body to where it may not be kept.
+        """Refuse to send a body to a region in which it may not be stored.
 
         Raises
         ======
@@ -313,21 +313,21 @@
         """
         upstream = self.listing.get(upstream_id, self._clock.now_ms())
         if regions and (upstream is None or upstream.region not in regions):
-            raise Refused(f"{upstream_id} is not in {','.join(regions)}")
+            raise Refused(f"{upstream_id} is not in regions {','.join(regions)}")
 
-    def _bounds_cold(self, pool):
+    def _limits_cold_upstreams(self, pool):
         declared = self.routes.pool(pool) if self.routes is not None else None
         return declared is not None and declared.cold_requests_per_s > 0
 
     def on_upstream_cold(self, upstream_id, version, cold_ms):
-        """Take another host's word that an upstream is cold, where it is newer."""
+        """Apply another host's report that an upstream is cold, if it is newer."""
         cold_until_ms = self._clock.now_ms() + cold_ms
         if self.listing.mark_cold(upstream_id, version, cold_until_ms):
             _log.info("upstream_cold", upstream=upstream_id, cold_ms=cold_ms, told=True)
             self._on_upstreams()
 
     def on_upstream_left(self, upstream_id, version):
-        """Take another host's word that an upstream left, where it is newer."""
+        """Apply another host's report that an upstream left, if it is newer."""
         if self.listing.mark_removed(upstream_id, version, self._clock.now_ms()):
             _log.info("upstream_gone", upstream=upstream_id, version=version, told=True)
             self._on_upstreams()
--- a/libs/entry/src/hemlockhoist/entry/tests/builders.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/builders.py
@@ -1,4 +1,4 @@
-"""Routes, calls and readings for the tests of an entry host's parts."""
+"""Builders of routes, requests, readings and a store view for tests."""
 
 from hemlockhoist.base import Clock, InvariantLog, SuspendAwareClock
 from hemlockhoist.decisions.entry import DomainOrder
@@ -34,7 +34,7 @@
 
 
 def customer(name="aulas", key=KEY, units_per_s=0, **fields):
-    """Return a customer, with an allowance where ``units_per_s`` is given."""
+    """Return a customer, with a quota if ``units_per_s`` is given."""
     quota = None
     if units_per_s:
         quota = Quota(units_per_s=units_per_s, burst_units=units_per_s)
@@ -58,27 +58,27 @@
 
 
 def reading(rows, version, at_ms=0):
-    """Return a reading of some rows."""
+    """Return a reading of the given rows."""
     return Reading(rows=tuple(rows), version=version, store_ms=at_ms, sent_ms=at_ms)
 
 
-class TablePlatform:
-    """Rows whose values are the decoded things themselves."""
+class FakePlatform:
+    """A platform whose rows hold decoded values."""
 
     config_key = "config"
 
     def decode_routes(self, value):
-        """Return the table, or raise what stands in its place."""
+        """Return the table, or raise the exception that stands in its place."""
         if isinstance(value, Exception):
             raise value
         return value
 
     def decode_upstream(self, row, now_ms):
-        """Return the upstream."""
+        """Return the row's upstream."""
         return row.value
 
     def decode_domain_order(self, row):
-        """Return the order that stands in a row, or that a dropped row ends."""
+        """Return the order of a row, or the end of the order of a removed row."""
         if not row.key.startswith("evacuate/"):
             return None
         return DomainOrder(
@@ -88,16 +88,16 @@
         )
 
     def decode_order(self, row):
-        """Return the order."""
+        """Return the row's move order."""
         return None if row.key.startswith("evacuate/") else row.value
 
 
 class HostFixture:
-    """A host's knowledge on clocks that tests set.
+    """A host's store view, on clocks that tests set.
 
     Attributes
     ==========
-    store_view : Knowledge
+    store_view : StoreView
     boot_ms : int
         The clock that counts suspensions.
     """
@@ -108,7 +108,7 @@
         self.tables = []
         self.orders = []
         self.store_view = StoreView(
-            TablePlatform(),
+            FakePlatform(),
             FleetBounds(),
             self.clock,
             SuspendAwareClock(lambda: self.boot_ms * 1_000_000),
@@ -118,28 +118,28 @@
             self.orders.append,
         )
 
-    def take_routes(self, routes, version=1):
-        """Give the knowledge a row of routes."""
+    def apply_routes(self, routes, version=1):
+        """Apply a row of routes to the store view."""
         row = StoreRow(key="config", value=routes, version=version)
         self.store_view.apply_config_rows(reading([row], version), False)
 
-    def take_evacuation(self, domain, version, is_evacuated=True):
-        """Give the knowledge an operator's order on a failure domain, or its end."""
+    def apply_evacuation(self, domain, version, is_evacuated=True):
+        """Apply an operator's evacuation order, or its end, to the store view."""
         value = "evacuated" if is_evacuated else None
         row = StoreRow(key=f"evacuate/{domain}", value=value, version=version)
         self.store_view.apply_config_rows(reading([row], version), False)
 
-    def take_proof(self):
-        """Give the knowledge a reading of now."""
+    def record_proof(self):
+        """Record a reading of the current time as proof."""
         self.store_view.record_reading(reading((), 1, self.boot_ms))
 
-    def take_upstreams(self, *upstreams):
-        """Give the knowledge a whole list."""
+    def apply_upstreams(self, *upstreams):
+        """Apply a full reading of the list of upstreams."""
         rows = [StoreRow(key=u.upstream_id, value=u, version=1) for u in upstreams]
         self.store_view.apply_upstream_rows(reading(rows, 1), True)
 
-    def know_all(self, routes=None):
-        """Read routes and upstreams once."""
-        self.take_routes(routes or table())
-        self.take_proof()
-        self.take_upstreams()
+    def apply_all(self, routes=None):
+        """Apply routes and upstreams once."""
+        self.apply_routes(routes or table())
+        self.record_proof()
+        self.apply_upstreams()
--- a/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
@@ -21,51 +21,51 @@
             self.admission.admit(made, 0)
         return caught.exception.code
 
-    async def test_nothing_is_known_yet(self):
+    async def test_not_ready_before_the_first_reading(self):
         self.assertIs(self.refused(call(), Refused), ResultCode.NOT_READY)
 
-    async def test_times_of_an_admitted_request(self):
-        self.host.know_all(table(routes=[route(timeout_ms=1_000, target_ms=300)]))
-        patient = self.admission.admit(call(max_wait_ms=5_000), 50)
-        self.assertEqual(patient.deadline_ms, 1_050)
-        self.assertEqual(patient.target_by_ms, 350)
-        hasty = self.admission.admit(call(max_wait_ms=200), 50)
-        self.assertEqual(hasty.deadline_ms, 250)
+    async def test_deadline_and_target_of_an_admitted_request(self):
+        self.host.apply_all(table(routes=[route(timeout_ms=1_000, target_ms=300)]))
+        long_wait = self.admission.admit(call(max_wait_ms=5_000), 50)
+        self.assertEqual(long_wait.deadline_ms, 1_050)
+        self.assertEqual(long_wait.target_by_ms, 350)
+        short_wait = self.admission.admit(call(max_wait_ms=200), 50)
+        self.assertEqual(short_wait.deadline_ms, 250)
 
-    async def test_customers_rank_goes_before_the_routes(self):
+    async def test_customer_rank_precedes_route_rank(self):
         low = customer("low", "k2", rank=2)
         high = customer("high", "k1", rank=1)
         routes = [route("urgent", rank=0), route("idle", rank=9)]
-        self.host.know_all(table(routes=routes, customers=[low, high]))
+        self.host.apply_all(table(routes=routes, customers=[low, high]))
         first = self.admission.admit(call("/idle/1", key="k1"), 0)
         second = self.admission.admit(call("/urgent/1", key="k2"), 0)
         self.assertLess(first.rank, second.rank)
 
-    async def test_unknown_key_and_unknown_route_on_fresh_routes(self):
-        self.host.know_all()
+    async def test_unknown_key_or_route_is_refused_permanently_on_fresh_routes(self):
+        self.host.apply_all()
         code = self.refused(call(key="other"), BadRequest)
         self.assertIs(code, ResultCode.UNKNOWN_KEY)
         code = self.refused(call("/nothing/1"), BadRequest)
         self.assertIs(code, ResultCode.NOT_FOUND)
 
-    async def test_host_that_missed_a_new_key_sends_nobody_away_for_good(self):
-        """A new customer's callers are told that their key does not exist.
+    async def test_unknown_key_or_route_is_refused_as_stale_on_old_routes(self):
+        """Permanent refusal of a new customer's valid key.
 
-        Their key was added while one host was cut off from the store. That host knows
-        only the routes before it; it has to say "come back" and not "go away".
+        The key was added while one host was cut off from the store. That host only
+        knows the previous routes, so it has to tell callers to retry.
         """
-        self.host.know_all()
+        self.host.apply_all()
         self.host.boot_ms += 6_000
         for made in (call(key="new"), call("/new/1")):
             code = self.refused(made, Refused)
             self.assertIs(code, ResultCode.CONFIGURATION_STALE)
 
-    async def test_open_route_is_served_on_old_routes(self):
-        self.host.know_all(table(routes=[route(allows_anonymous=True)]))
+    async def test_anonymous_route_is_served_on_stale_routes(self):
+        self.host.apply_all(table(routes=[route(allows_anonymous=True)]))
         self.host.boot_ms += 60_000
         admitted = self.admission.admit(call(key=""), 0)
         self.assertIsNone(admitted.customer)
 
     async def test_units_of_a_request(self):
-        self.host.know_all(table(customers=[customer(units_per_s=10)]))
+        self.host.apply_all(table(customers=[customer(units_per_s=10)]))
         self.assertEqual(self.admission.admit(call(), 0).units, 1)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_events.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_events.py
@@ -12,27 +12,27 @@
     return f"id: {number}\ndata: {text}\n\n".encode()
 
 
-def cut(raw, places):
-    """Return the bytes in chunks that end at the places given."""
-    ends = sorted({place % (len(raw) + 1) for place in places} | {0, len(raw)})
+def split(raw, offsets):
+    """Return the bytes split into chunks at the given offsets."""
+    ends = sorted({offset % (len(raw) + 1) for offset in offsets} | {0, len(raw)})
     return [raw[start:end] for start, end in zip(ends, ends[1:], strict=False)]
 
 
 class EventReaderTests(unittest.TestCase):
     @given(st.integers(1, 12), st.lists(st.integers(0, 500), max_size=20))
-    def test_events_come_once_and_in_order_however_they_are_cut(self, count, places):
+    def test_events_are_returned_once_and_in_order_for_any_chunks(self, count, offsets):
         raw = b"".join(event(number) for number in range(1, count + 1))
         reader = EventReader()
-        given_out = [e for chunk in cut(raw, places) for e in reader.feed(chunk)]
-        self.assertEqual(b"".join(e.raw for e in given_out), raw)
+        returned = [e for chunk in split(raw, offsets) for e in reader.feed(chunk)]
+        self.assertEqual(b"".join(e.raw for e in returned), raw)
         self.assertTrue(reader.is_between_events)
         self.assertIsNone(reader.error)
 
-    def test_other_upstream_that_begins_anew_repeats_nothing(self):
-        """A report has the same paragraph twice.
+    def test_events_repeated_by_another_upstream_are_dropped(self):
+        """A report contains the same paragraph twice.
 
-        Its engine crashed; the next one does not go on at the last event but begins
-        at the first.
+        Its engine crashes, and the next one starts at the first event instead of
+        resuming after the last event that the caller received.
         """
         reader = EventReader()
         reader.feed(event(1) + event(2) + b"id: 3\nda")
@@ -51,7 +51,7 @@
         self.assertEqual(reader.feed(b"data: x\n\n"), [])
         self.assertIsNotNone(reader.error)
 
-    def test_bytes_without_an_end_do_not_fill_the_memory(self):
+    def test_event_size_is_limited(self):
         reader = EventReader()
         reader.feed(b"x" * (MAX_EVENT_BYTES + 1))
         self.assertIsNotNone(reader.error)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
@@ -15,13 +15,13 @@
 
 
 class CountedStore(MemoryStore):
-    """Counts readings, and can be cut off from one host."""
+    """Counts calls, and can be partitioned from one host."""
 
     def __init__(self, rows):
         super().__init__()
         self.shared = rows
         self.calls = 0
-        self.is_cut = False
+        self.is_partitioned = False
 
     async def read_table(self, table):
         self._count()
@@ -38,19 +38,19 @@
 
     def _count(self):
         self.calls += 1
-        if self.is_cut:
-            raise PlatformError("no way to the store")
+        if self.is_partitioned:
+            raise PlatformError("the store is unreachable")
 
 
 class Network:
-    """Hands messages to the hosts' feeds after a millisecond."""
+    """Delivers messages to the hosts' feed stores after a millisecond."""
 
     def __init__(self):
         self.feeds = {}
-        self.silent = set()
+        self.disconnected = set()
 
     def send(self, sender, address, message):
-        if not self.silent & {sender, address}:
+        if not self.disconnected & {sender, address}:
             loop = asyncio.get_running_loop()
             loop.call_later(0.001, self._deliver, sender, address, message)
 
@@ -62,12 +62,12 @@
             feeds.on_answer(message)
 
 
-async def wait_nothing(limit_ms):
-    """The list of hosts has been read."""
+async def return_at_once(limit_ms):
+    """Return at once, as if the list of hosts had been read."""
 
 
 class FeedHost:
-    """One host that follows the routes' table."""
+    """One host that watches the routes' table."""
 
     def __init__(self, member, members, store, network):
         self.member = member
@@ -85,7 +85,7 @@
                 stable_members=lambda: (member, self.known),
                 live_hosts=lambda: [item.address for item in members],
                 is_high_capacity=False,
-                wait_introduced=wait_nothing,
+                wait_introduced=return_at_once,
             ),
             store_view=types.SimpleNamespace(
                 proof_age_ms=self.proof_age_ms,
@@ -101,13 +101,13 @@
         self.feeds = FeedStore(context, self.store, (TABLE,))
         network.feeds[member.address] = self.feeds
         self.watch = TableWatch(
-            self.feeds, TABLE, 2_400, self.take_rows, self.record_reading
+            self.feeds, TABLE, 2_400, self.apply_rows, self.record_reading
         )
 
     def proof_age_ms(self):
         return self.freshness.age_ms(self.boot_clock.now_ms())
 
-    def take_rows(self, reading, is_snapshot):
+    def apply_rows(self, reading, is_snapshot):
         self.rows.update({row.key: row.value for row in reading.rows})
 
     def record_reading(self, reading):
@@ -120,7 +120,7 @@
 
 
 class ClockedStore(MemoryStore):
-    """A store whose readings carry the time."""
+    """A store whose readings carry the time of the event loop."""
 
     def _reading(self, rows):
         reading = super()._reading(rows)
@@ -155,21 +155,21 @@
         change = RowChange(table=TABLE, key="config", value=value)
         await self.store.commit((change,))
 
-    def check_known(self, value):
+    def check_all_know(self, value):
         for host in self.hosts:
             self.assertEqual(host.rows["config"], value)
 
-    async def test_one_host_reads_and_all_know(self):
+    async def test_one_host_reads_the_store_for_all(self):
         await asyncio.sleep(10)
         await self.write("v2")
         await asyncio.sleep(0.1)
-        self.check_known("v2")
+        self.check_all_know("v2")
         self.assertEqual({host.store.calls for host in self.others}, {0})
         for host in self.hosts:
             self.assertLess(host.proof_age_ms(), 2 * RELAYED_WAIT_MS)
 
     async def start_one(self, is_known_after_ms):
-        """Start a host that hears of the others after a time; return its calls."""
+        """Start a host that learns of the others later; return its store calls."""
         member = Member(address="late", incarnation="r1", failure_domain="a")
         members = [*self.others[0].known, member]
         host = FeedHost(member, members, self.store, self.network)
@@ -182,26 +182,26 @@
         self.assertEqual(host.rows["config"], "v1")
         return host.store.calls
 
-    async def test_host_that_starts_beside_others_asks_a_reader(self):
-        """Each restart of a host reads all tables, of a store that is paid by call."""
+    async def test_starting_host_queries_a_reader(self):
+        """Each restarted host reads all tables from a store that charges per call."""
         self.assertEqual(await self.start_one(is_known_after_ms=20), 0)
 
-    async def test_host_that_starts_alone_does_not_wait_for_long(self):
-        """Callers wait for routes as all hosts start, and no reader is up."""
+    async def test_starting_host_without_a_reader_reads_the_store(self):
+        """When all hosts start at once, no reader is up and callers wait for routes."""
         self.assertGreater(await self.start_one(is_known_after_ms=1_000), 0)
 
-    async def test_reader_that_falls_silent_costs_no_news(self):
-        """A leaving upstream goes on getting requests while the reader is frozen."""
-        self.network.silent.add(self.reader.member.address)
+    async def test_changes_arrive_despite_an_unresponsive_reader(self):
+        """A leaving upstream still gets requests while the reader is frozen."""
+        self.network.disconnected.add(self.reader.member.address)
         await self.write("v2")
         await asyncio.sleep(1.6)
         for host in self.others:
             self.assertEqual(host.rows["config"], "v2")
             self.assertLess(host.proof_age_ms(), 2_000)
 
-    async def test_reader_that_loses_the_store_says_so(self):
-        """Hosts refuse callers though they could reach the store themselves."""
-        self.reader.store.is_cut = True
+    async def test_reader_that_loses_the_store_reports_it(self):
+        """Hosts refuse callers although they could reach the store themselves."""
+        self.reader.store.is_partitioned = True
         await self.write("v2")
         for _ in range(40):
             await asyncio.sleep(0.1)
@@ -210,23 +210,23 @@
         for host in self.others:
             self.assertEqual(host.rows["config"], "v2")
 
-    async def test_host_without_a_way_to_the_store_is_told_by_the_reader(self):
-        lost = self.others[0]
-        lost.store.is_cut = True
+    async def test_reader_serves_a_host_partitioned_from_the_store(self):
+        partitioned = self.others[0]
+        partitioned.store.is_partitioned = True
         await self.write("v2")
         await asyncio.sleep(10)
-        self.check_known("v2")
-        self.assertLess(lost.proof_age_ms(), 2 * RELAYED_WAIT_MS)
+        self.check_all_know("v2")
+        self.assertLess(partitioned.proof_age_ms(), 2 * RELAYED_WAIT_MS)
 
-    async def test_outage_is_no_storm_of_calls(self):
-        """The store is met by each host several times a second as it comes back."""
+    async def test_calls_to_the_store_are_limited_in_an_outage(self):
+        """All hosts call a recovering store several times a second."""
         for host in self.hosts:
-            host.store.is_cut = True
+            host.store.is_partitioned = True
         await asyncio.sleep(10)
         calls = sum(host.store.calls for host in self.others)
         self.assertLess(calls, 3 * 10 * len(self.others))
         for host in self.hosts:
-            host.store.is_cut = False
+            host.store.is_partitioned = False
         await self.write("v2")
         await asyncio.sleep(2.5)
-        self.check_known("v2")
+        self.check_all_know("v2")
--- a/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
@@ -13,8 +13,8 @@
     quota_window_ms=1_000,
     quota_overshoot_ratio=0.0,
 )
-# Ten in the window's second and ten at once, of which a part is given out.
-WHOLE_WINDOW = int(quotas.USED_FRACTION * 20)
+# Ten units for the window's second and a burst of ten, of which a fraction is granted.
+FULL_WINDOW = int(quotas.USED_FRACTION * 20)
 
 
 def request(**fields):
@@ -28,49 +28,49 @@
     )
 
 
-class GateTests(unittest.TestCase):
+class QuotaGateTests(unittest.TestCase):
     def setUp(self):
         self.gate = QuotaGate(BOUNDS)
 
-    def refuse_count(self, count, **fields):
+    def refusal_codes(self, count, **fields):
         found = [self.gate.refusal("halls", request(**fields), 0) for _ in range(count)]
         return [item.code for item in found if item]
 
-    def test_customer_is_held_to_its_allowance_and_told_when_to_come_back(self):
+    def test_customer_quota_is_enforced_with_retry_after(self):
         self.gate.quotas.declare([customer(units_per_s=10)])
         found = [self.gate.refusal("halls", request(), 0) for _ in range(40)]
         refused = [item for item in found if item]
-        self.assertEqual(len(refused), 40 - WHOLE_WINDOW)
+        self.assertEqual(len(refused), 40 - FULL_WINDOW)
         self.assertIs(refused[0].code, ResultCode.ALLOWANCE_SPENT)
         self.assertGreater(refused[0].retry_after_ms, 0)
         self.assertEqual(refused[0].reason, "aulas asks for 1 units of 0 left")
 
-    def test_refused_request_gives_its_units_back(self):
+    def test_request_that_did_not_run_is_refunded(self):
         self.gate.quotas.declare([customer(units_per_s=10)])
-        self.assertEqual(self.refuse_count(WHOLE_WINDOW), [])
+        self.assertEqual(self.refusal_codes(FULL_WINDOW), [])
         self.gate.on_not_run(request(), 0)
         self.assertIsNone(self.gate.refusal("halls", request(), 0))
 
-    def test_retries_are_bound_to_the_requests_for_the_pool(self):
-        """A bad minute of one pool turns into an outage of all.
+    def test_retries_are_limited_by_the_requests_of_the_pool(self):
+        """An overload of one pool turns into an outage of all pools.
 
-        Each failing request is sent twice, the pool gets double its load as it is
-        weakest, and more requests fail.
+        Each failing request is sent twice. The pool gets twice its load while its
+        capacity is lowest, and more requests fail.
         """
-        self.assertEqual(self.refuse_count(100), [])
-        refused = self.refuse_count(60, attempt=2, is_new=False)
-        # A fifth of 100 requests and two beside.
+        self.assertEqual(self.refusal_codes(100), [])
+        refused = self.refusal_codes(60, attempt=2, is_new=False)
+        # A fifth of 100 requests, and two in addition.
         allowed = int(retry_limiter.USED_FRACTION * 22)
         self.assertEqual(len(refused), 60 - allowed)
         self.assertIs(refused[0], ResultCode.RETRIES_EXHAUSTED)
 
-    def test_request_that_asks_again_unsent_is_counted_once(self):
-        self.refuse_count(100, is_new=False)
+    def test_repeated_request_that_is_not_new_is_not_counted(self):
+        self.refusal_codes(100, is_new=False)
         allowed = int(retry_limiter.USED_FRACTION * 2)
-        refused = self.refuse_count(10, attempt=2, is_new=False)
+        refused = self.refusal_codes(10, attempt=2, is_new=False)
         self.assertEqual(len(refused), 10 - allowed)
 
-    def test_host_alone_gives_out_its_part_only(self):
+    def test_host_grants_only_its_share(self):
         self.gate.quotas.declare([customer(units_per_s=10)])
         self.gate.set_share(0.5)
-        self.assertEqual(len(self.refuse_count(40)), 40 - WHOLE_WINDOW // 2)
+        self.assertEqual(len(self.refusal_codes(40)), 40 - FULL_WINDOW // 2)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_host_registry.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_host_registry.py
@@ -10,7 +10,7 @@
 
 
 class MemoryStore(RowStore):
-    """One table of rows, with versions and a feed."""
+    """One table of rows with versions, whose changes can be waited for."""
 
     def __init__(self):
         self.rows = {}
@@ -36,7 +36,7 @@
 
     async def commit(self, changes):
         if self.fails:
-            raise PlatformError("the store is away")
+            raise PlatformError("the store is unreachable")
         for change in changes:
             row = self.rows.get(change.key)
             if change.if_version not in (None, row.version if row else 0):
@@ -58,7 +58,7 @@
 
 
 class FakeFleet:
-    """Knows who is live because it is told."""
+    """A fleet whose live hosts are set by the test."""
 
     def __init__(self, own):
         self.live = {own}
@@ -75,7 +75,7 @@
         return tuple(self.live)
 
 
-class RosterTests(PausedTestCase):
+class HostRegistryTests(PausedTestCase):
     async def asyncSetUp(self):
         self.store = MemoryStore()
 
@@ -101,21 +101,21 @@
         await asyncio.sleep(0.1)
         return host_registry, context
 
-    async def test_host_enters_itself_and_finds_others_and_seeds(self):
+    async def test_host_registers_and_finds_others_and_seeds(self):
         await self.start("h1")
         _, context = await self.start("h2", seeds=("h1", "h9"))
         self.assertEqual(context.fleet.listed, ["h1", "h2", "h9"])
         self.assertEqual(self.store.names(), ["h1", "h2"])
 
-    async def test_store_that_fails_is_asked_again(self):
+    async def test_registration_is_retried_while_the_store_fails(self):
         self.store.fails = True
         await self.start("h1")
         self.store.fails = False
         await asyncio.sleep(3)
         self.assertEqual(self.store.names(), ["h1"])
 
-    async def test_entry_of_a_host_lost_long_ago_is_dropped(self):
-        """The list grows by each host that was killed, and all probe dead addresses."""
+    async def test_row_of_a_host_lost_long_ago_is_removed(self):
+        """Rows of killed hosts accumulate, and all hosts probe dead addresses."""
         lost, _ = await self.start("h2")
         _, context = await self.start("h1")
         await lost.close()
@@ -125,7 +125,7 @@
         self.assertEqual(self.store.names(), ["h1"])
         self.assertEqual(context.fleet.listed, ["h1"])
 
-    async def test_host_that_was_taken_for_lost_enters_itself_anew(self):
+    async def test_host_whose_row_was_removed_registers_again(self):
         _, first = await self.start("h1")
         _, second = await self.start("h2")
         await asyncio.sleep(2 * HOUR_S)
@@ -135,7 +135,7 @@
         version = self.store.rows["h2"].version
         self.assertGreater(version, 2)
 
-    async def test_leaving_host_drops_its_entry_for_good(self):
+    async def test_leaving_host_removes_its_row_permanently(self):
         host_registry, context = await self.start("h1")
         context.leaving = True
         await host_registry.leave()
--- a/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
@@ -1,4 +1,4 @@
-"""What a version gets between an operator's order and the end of its time."""
+"""Simulation of the requests that a new version gets during an ordered move."""
 
 import heapq
 import itertools
@@ -21,24 +21,24 @@
 BOUNDS = FleetBounds()
 TICK_MS = 200
 ORDER_MS = 60_000
-# Routes of an engine pool with requests a second, as on the smaller of today's sites.
+# Routes of a model pool with their requests per second, as on a small current site.
 ROUTES = {"conflict-report": 8.65, "access-summary": 6.2, "hall-faq": 10.4}
-USUAL_MS = 900
+MEDIAN_MS = 900
 SEEDS = range(4)
 
 
-class Answers:
-    """How the versions answer; the new one may be bad."""
+class SimulatedVersions:
+    """Simulated responses of the versions; the new version may be bad."""
 
-    def __init__(self, rng, is_bad=lambda route, now_ms: False, bad_part=0.4):
+    def __init__(self, rng, is_bad=lambda route, now_ms: False, failure_fraction=0.4):
         self._rng = rng
         self._is_bad = is_bad
-        self._bad_part = bad_part
+        self._failure_fraction = failure_fraction
 
     def outcome(self, route, version, now_ms):
-        total_ms = int(self._rng.lognormvariate(0, 0.5) * USUAL_MS)
+        total_ms = int(self._rng.lognormvariate(0, 0.5) * MEDIAN_MS)
         is_bad = version == "v2" and self._is_bad(route, now_ms)
-        fails = is_bad and self._rng.random() < self._bad_part
+        fails = is_bad and self._rng.random() < self._failure_fraction
         kind = OutcomeKind.FAILED if fails else OutcomeKind.SUCCESS
         return Outcome(
             kind=kind,
@@ -48,21 +48,21 @@
         )
 
 
-class Trial:
-    """One order, played on a virtual clock.
+class MoveSimulation:
+    """Simulation of one ordered move on a virtual clock.
 
     Attributes
     ==========
-    new, total : int
-        Requests that the new version got, and all.
+    new_count, total_count : int
+        Number of requests sent to the new version, and of all requests.
     """
 
-    def __init__(self, responses, seed):
-        self._answers = responses
+    def __init__(self, simulated_versions, seed):
+        self._versions = simulated_versions
         self._rng = random.Random(seed)
         self._events = []
         self._numbers = itertools.count()
-        self.new = self.total = 0
+        self.new_count = self.total_count = 0
         pool = Pool(
             name="engines",
             kind=PoolKind.MODEL,
@@ -88,15 +88,15 @@
             watch_ms=0,
         )
 
-    def _at(self, now_ms, step, *args):
+    def _schedule(self, now_ms, step, *args):
         heapq.heappush(self._events, (now_ms, next(self._numbers), step, args))
 
-    def play(self):
-        """Play the order's whole time."""
+    def simulate(self):
+        """Simulate the whole duration of the order."""
         for route in ROUTES:
-            self._at(0, self._arrive, route)
+            self._schedule(0, self._arrive, route)
         for at_ms in range(0, ORDER_MS, TICK_MS):
-            self._at(at_ms, self._tick)
+            self._schedule(at_ms, self._tick)
         while self._events:
             now_ms, _, step, args = heapq.heappop(self._events)
             if now_ms <= ORDER_MS:
@@ -110,11 +110,11 @@
             self.controller.observe_row(wanted, now_ms)
 
     def _arrive(self, now_ms, route):
-        pause_ms = 1_000 * self._rng.expovariate(ROUTES[route])
-        self._at(now_ms + pause_ms, self._arrive, route)
-        self.total += 1
+        interval_ms = 1_000 * self._rng.expovariate(ROUTES[route])
+        self._schedule(now_ms + interval_ms, self._arrive, route)
+        self.total_count += 1
         request = WorkRequest(
-            request_id=f"r{self.total}",
+            request_id=f"r{self.total_count}",
             route=route,
             customer="c",
             tier_rank=0,
@@ -123,48 +123,53 @@
             idempotent=True,
         )
         version = self.controller.candidates(request, ("v1", "v2"), now_ms)[0]
-        self.new += version == "v2"
+        self.new_count += version == "v2"
         self.controller.on_grant(request, version, now_ms, "u-" + version)
-        outcome = self._answers.outcome(route, version, now_ms)
-        self._at(now_ms + outcome.total_ms, self._end, request, version, outcome)
+        outcome = self._versions.outcome(route, version, now_ms)
+        self._schedule(now_ms + outcome.total_ms, self._end, request, version, outcome)
 
     def _end(self, now_ms, request, version, outcome):
         self.controller.on_outcome(request, version, outcome, now_ms, "u-" + version)
 
     @property
     def state(self):
-        """Where the move stands."""
+        """The state of the move."""
         return self.controller.row.state
 
 
 class MoveTrialTests(unittest.TestCase):
-    def play(self, is_bad, seed):
-        return Trial(Answers(random.Random(seed), is_bad), seed).play()
+    def simulate(self, is_bad, seed):
+        return MoveSimulation(
+            SimulatedVersions(random.Random(seed), is_bad), seed
+        ).simulate()
 
-    def check_bad(self, is_bad):
+    def check_rolled_back(self, is_bad):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                trial = self.play(is_bad, seed)
+                trial = self.simulate(is_bad, seed)
                 self.assertIs(trial.state, MoveState.ROLLED_BACK)
-                allowed = BOUNDS.trial_share * trial.total + BOUNDS.trial_tolerance
-                self.assertLessEqual(trial.new, allowed)
+                allowed = (
+                    BOUNDS.trial_share * trial.total_count + BOUNDS.trial_tolerance
+                )
+                self.assertLessEqual(trial.new_count, allowed)
 
-    def test_version_that_is_bad_from_the_start(self):
-        self.check_bad(lambda route, now_ms: True)
+    def test_version_bad_from_the_start_is_rolled_back(self):
+        self.check_rolled_back(lambda route, now_ms: True)
 
-    def test_version_that_is_bad_on_one_route(self):
-        self.check_bad(lambda route, now_ms: route == "conflict-report")
+    def test_version_bad_on_one_route_is_rolled_back(self):
+        self.check_rolled_back(lambda route, now_ms: route == "conflict-report")
 
-    def test_version_that_turns_bad_after_it_was_proven(self):
-        """Half of a customer's requests fail on a version that looked well.
+    def test_version_that_turns_bad_after_widening_is_rolled_back(self):
+        """A customer's requests fail on a version that seemed good at first.
 
-        All its requests count, those before it turned bad too: a share that had been
-        widened by then is over the bound before the first failure.
+        Half of them fail. All requests of the version count, including those before it
+        turned bad: a share that was widened by then exceeds the bound before the first
+        failure.
         """
-        self.check_bad(lambda route, now_ms: now_ms > 0.4 * ORDER_MS)
+        self.check_rolled_back(lambda route, now_ms: now_ms > 0.4 * ORDER_MS)
 
-    def test_good_version_is_moved_in_its_time(self):
+    def test_move_to_a_good_version_finishes_in_time(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                trial = self.play(lambda route, now_ms: False, seed)
+                trial = self.simulate(lambda route, now_ms: False, seed)
                 self.assertIs(trial.state, MoveState.FINISHED)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
@@ -9,14 +9,14 @@
 
 
 def order(number):
-    """Return the order with that number, always of the same version."""
+    """Return the order with the given number, always for the same version."""
     return MoveOrder(
         order_id=f"halls@{number}", pool="halls", to_version="v2", duration_ms=8_000
     )
 
 
 def halt(number):
-    """Return what a home tells of a halt under that order."""
+    """Return a home's report of a halt under the order with the given number."""
     return VersionHalted(
         pool="halls", move_id=f"halls@{number}", version="v2", reason="failed"
     )
@@ -27,15 +27,15 @@
         context = types.SimpleNamespace(clock=SuspendAwareClock(lambda: 0))
         self.moves = OrderedMoveService(context, rows=None, send=None)
 
-    def test_old_halt_shared_after_the_next_order_does_not_stop_it(self):
-        """A mended version, ordered again at once, is rolled back untried."""
+    def test_halt_of_an_earlier_order_does_not_apply_to_the_next(self):
+        """A corrected version that is ordered again at once is rolled back untried."""
         self.moves.receive_order(order(8))
         self.moves.receive_order(order(14))
         self.moves._publish_halt("halls", "halls@8", "v2")
         self.moves.check_version("halls", "v2")
 
-    def test_halt_of_an_order_not_heard_of_yet_stops_it(self):
-        """A host goes on to send to a halted version until the next halt."""
+    def test_halt_received_before_its_order_applies(self):
+        """A host continues to send to a halted version until the next halt."""
         self.moves.receive_order(order(8))
         self.moves._revoke(halt(14))
         self.moves.receive_order(order(14))
@@ -44,7 +44,7 @@
 
 
 def move(state):
-    """Return the row of the move of the first order."""
+    """Return the row of the first order's move in the given state."""
     return Move(
         move_id="halls@1",
         pool="halls",
@@ -58,39 +58,39 @@
     )
 
 
-class KnowingController:
-    """Knows a row until it is told of another."""
+class FakeController:
+    """Holds a row until another one is observed."""
 
     def __init__(self, row):
         self.row = row
 
     def record_unix_ms(self, now_ms, unix_ms):
-        """Nothing here depends on dates."""
+        """Ignored, as nothing here depends on the time of day."""
 
     def observe_row(self, row, now_ms):
         self.row = row
 
 
-class Rows:
-    """A store with one move, and what was written to it for the operators."""
+class FakeStore:
+    """A store with one move, which records the states reported to the operators."""
 
     def __init__(self, row):
         self.row = row
-        self.told = []
+        self.reported = []
         self.fails = False
 
     async def read(self, table, key, kind):
         if self.fails:
-            raise PlatformError("the store is away")
+            raise PlatformError("the store is unreachable")
         return types.SimpleNamespace(value=self.row, version=3)
 
     async def commit(self, changes):
-        self.told += changes
+        self.reported += changes
 
 
-class TellingTests(unittest.IsolatedAsyncioTestCase):
+class ReportTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.rows = Rows(move(MoveState.FINISHED))
+        self.rows = FakeStore(move(MoveState.FINISHED))
         platform = types.SimpleNamespace(
             store=self.rows, order_status=lambda order, state: state
         )
@@ -102,17 +102,17 @@
         )
         self.moves = OrderedMoveService(context, self.rows, send=None)
         self.moves.receive_order(order(1))
-        self.heir = KnowingController(move(MoveState.RUNNING))
+        self.new_home = FakeController(move(MoveState.RUNNING))
 
-    async def test_heir_of_a_home_does_not_take_the_end_of_a_move_back(self):
-        """Operators read "in progress" of a move that they were told is completed."""
-        await self.moves._follow(order(1), self.heir)
-        self.assertEqual(self.rows.told, [OrderState.COMPLETED])
+    async def test_new_home_does_not_reopen_a_completed_move(self):
+        """Operators read "in progress" of a move already reported as completed."""
+        await self.moves._follow_order(order(1), self.new_home)
+        self.assertEqual(self.rows.reported, [OrderState.COMPLETED])
 
-    async def test_heir_tells_nothing_while_the_store_is_away(self):
+    async def test_new_home_reports_nothing_while_the_store_is_unreachable(self):
         self.rows.fails = True
-        await self.moves._follow(order(1), self.heir)
-        self.assertEqual(self.rows.told, [])
+        await self.moves._follow_order(order(1), self.new_home)
+        self.assertEqual(self.rows.reported, [])
 
 
 if __name__ == "__main__":
--- a/libs/entry/src/hemlockhoist/entry/tests/test_store_view.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_store_view.py
@@ -48,36 +48,36 @@
         self.host = HostFixture()
         self.store_view = self.host.store_view
 
-    async def test_older_routes_never_come_back_in_force(self):
-        """A key that was taken away opens halls again.
+    async def test_older_routes_are_never_applied(self):
+        """A revoked key is accepted again.
 
-        The store reads behind for a while, and gives an older version of the routes
-        to a host that has the newer one.
+        The store lags behind for a while, and returns an older version of the routes to
+        a host that has the newer one.
         """
-        self.host.take_routes(table(version=9))
-        self.host.take_routes(table(version=6))
+        self.host.apply_routes(table(version=9))
+        self.host.apply_routes(table(version=6))
         self.assertEqual(self.store_view.routes.version, 9)
         self.assertEqual(len(self.host.tables), 1)
 
-    async def test_unreadable_routes_leave_the_others_in_force(self):
-        self.host.take_routes(table(version=9))
-        self.host.take_routes(DeclarationError("half a row"))
+    async def test_unreadable_routes_are_ignored(self):
+        self.host.apply_routes(table(version=9))
+        self.host.apply_routes(DeclarationError("half a row"))
         self.assertEqual(self.store_view.routes.version, 9)
 
-    async def test_same_version_again_changes_nothing(self):
-        self.host.take_routes(table(version=9))
+    async def test_repeated_version_changes_nothing(self):
+        self.host.apply_routes(table(version=9))
         try:
-            self.host.take_routes(table(version=9))
+            self.host.apply_routes(table(version=9))
         except PropertyViolation:
-            self.fail("a repeated reading is no step back")
+            self.fail("a repeated reading was treated as an older version")
         self.assertEqual(len(self.host.tables), 1)
 
 
 class FreshnessTests(PausedTestCase):
-    async def test_suspension_makes_the_proof_old(self):
-        """A host wakes after a minute and serves a key taken away meanwhile."""
+    async def test_suspension_ages_the_proof(self):
+        """A host resumes after a minute and accepts a key revoked meanwhile."""
         host = HostFixture()
-        host.know_all()
+        host.apply_all()
         host.boot_ms += LIMIT_MS - 1
         self.assertTrue(host.store_view.is_fresh())
         host.boot_ms += 60_000
@@ -86,13 +86,13 @@
             host.store_view.check_fresh()
 
 
-class UpstreamsTests(PausedTestCase):
-    async def test_upstream_that_leaves_between_grant_and_send_gets_nothing(self):
-        """A replica that drains gets a booking and stops before it answers."""
+class CheckUpstreamTests(PausedTestCase):
+    async def test_upstream_that_leaves_after_the_grant_is_refused(self):
+        """A leaving replica gets a booking, and stops before it responds."""
         host = HostFixture()
-        host.take_upstreams(upstream("a"), upstream("b"))
+        host.apply_upstreams(upstream("a"), upstream("b"))
         host.store_view.check_upstream("a", False)
-        host.take_upstreams(upstream("a", UpstreamState.LEAVING), upstream("b"))
+        host.apply_upstreams(upstream("a", UpstreamState.LEAVING), upstream("b"))
         for name in ("a", "gone"):
             with self.assertRaises(Refused):
                 host.store_view.check_upstream(name, False)
@@ -103,42 +103,42 @@
     async def asyncSetUp(self):
         self.host = HostFixture()
         self.store_view = self.host.store_view
-        self.host.take_upstreams(in_domain("a1"), in_domain("b1"))
+        self.host.apply_upstreams(in_domain("a1"), in_domain("b1"))
 
     def states(self):
         return {item.upstream_id: item.state for item in self.store_view.usable()}
 
-    async def test_evacuated_domain_gets_nothing_until_it_is_taken_back(self):
-        """Requests reach a zone long after its operator has evacuated it."""
-        self.host.take_evacuation("a", version=5)
+    async def test_evacuated_domain_is_refused_until_the_evacuation_ends(self):
+        """Requests reach a zone long after its operator evacuated it."""
+        self.host.apply_evacuation("a", version=5)
         self.assertIs(self.states()["a1"], UpstreamState.EVACUATED)
         self.assertIs(self.states()["b1"], UpstreamState.LIVE)
         with self.assertRaises(UpstreamEvacuated) as caught:
             self.store_view.check_upstream("a1", False)
         self.assertEqual(caught.exception.version, 5)
         self.store_view.check_upstream("b1", False)
-        self.host.take_evacuation("a", version=7, is_evacuated=False)
+        self.host.apply_evacuation("a", version=7, is_evacuated=False)
         self.assertIs(self.states()["a1"], UpstreamState.LIVE)
         self.store_view.check_upstream("a1", False)
 
-    async def test_whole_reading_without_the_order_ends_it(self):
-        self.host.take_evacuation("a", version=5)
+    async def test_full_reading_without_the_order_ends_the_evacuation(self):
+        self.host.apply_evacuation("a", version=5)
         self.store_view.apply_config_rows(reading((), 4), True)
         self.assertIs(self.states()["a1"], UpstreamState.EVACUATED)
         self.store_view.apply_config_rows(reading((), 8), True)
         self.assertIs(self.states()["a1"], UpstreamState.LIVE)
 
-    async def test_another_hosts_word_counts_where_it_is_newer(self):
-        """A home that reads late goes on granting an evacuated zone."""
+    async def test_report_of_another_host_applies_if_newer(self):
+        """A home that reads late continues to grant an evacuated zone."""
         self.store_view.on_domain_evacuated("a", 5)
         self.assertIs(self.states()["a1"], UpstreamState.EVACUATED)
-        self.host.take_evacuation("a", version=7, is_evacuated=False)
+        self.host.apply_evacuation("a", version=7, is_evacuated=False)
         self.store_view.on_domain_evacuated("a", 5)
         self.assertIs(self.states()["a1"], UpstreamState.LIVE)
 
-    async def test_upstream_that_leaves_from_an_evacuated_domain_leaves(self):
-        self.host.take_evacuation("a", version=5)
-        self.host.take_upstreams(in_domain("a1", UpstreamState.LEAVING))
+    async def test_leaving_upstream_of_an_evacuated_domain_stays_leaving(self):
+        self.host.apply_evacuation("a", version=5)
+        self.host.apply_upstreams(in_domain("a1", UpstreamState.LEAVING))
         self.assertIs(self.states()["a1"], UpstreamState.LEAVING)
 
 
@@ -147,11 +147,11 @@
         self.host = HostFixture()
         self.store_view = self.host.store_view
         pool = RoutedPool(name="halls", max_connections=9, cold_requests_per_s=4.0)
-        self.host.take_routes(RouteTable(3, [route()], [pool], [customer()]))
+        self.host.apply_routes(RouteTable(3, [route()], [pool], [customer()]))
 
-    async def test_grant_of_a_home_that_does_not_know_is_not_used(self):
-        """A cold engine gets a warm one's load from a home that reads late."""
-        self.host.take_upstreams(cold("a1", self.host.clock.now_ms() + 900))
+    async def test_grant_of_a_home_unaware_of_a_cold_upstream_is_refused(self):
+        """A home that reads late grants a cold engine the load of a warm one."""
+        self.host.apply_upstreams(cold("a1", self.host.clock.now_ms() + 900))
         with self.assertRaises(UpstreamCold) as caught:
             self.store_view.check_upstream("a1", False)
         self.assertEqual(caught.exception.cold_ms, 900)
@@ -159,15 +159,15 @@
         await asyncio.sleep(0.95)
         self.store_view.check_upstream("a1", False)
 
-    async def test_home_believes_a_host_that_has_read_a_newer_entry(self):
-        self.host.take_upstreams(cold("a1", 0, version=4))
+    async def test_report_of_a_cold_upstream_applies_if_newer(self):
+        self.host.apply_upstreams(cold("a1", 0, version=4))
         self.store_view.on_upstream_cold("a1", 4, 900)
         self.assertEqual(self.store_view.usable()[0].cold_until_ms, 0)
         self.store_view.on_upstream_cold("a1", 5, 900)
         until_ms = self.host.clock.now_ms() + 900
         self.assertEqual(self.store_view.usable()[0].cold_until_ms, until_ms)
 
-    async def test_entry_that_is_read_again_is_not_cold_for_longer(self):
-        self.host.take_upstreams(cold("a1", 900, version=4))
-        self.host.take_upstreams(cold("a1", 1_500, version=4))
+    async def test_repeated_row_does_not_extend_the_cold_period(self):
+        self.host.apply_upstreams(cold("a1", 900, version=4))
+        self.host.apply_upstreams(cold("a1", 1_500, version=4))
         self.assertEqual(self.store_view.usable()[0].cold_until_ms, 900)
--- a/libs/entry/src/hemlockhoist/entry/usage_recorder.py
+++ b/libs/entry/src/hemlockhoist/entry/usage_recorder.py
@@ -1,4 +1,4 @@
-"""What customers have spent, kept in the store for the case that all hosts are lost."""
+"""Customers' quota usage, recorded in the store in case all hosts are lost."""
 
 import asyncio
 
@@ -9,34 +9,34 @@
 
 _log = get_logger("entry.spending")
 
-# A customer that sends several times its usual spends a twenty-fourth of its bound in
-# this time.
-LOOK_MS = 125
-# Of a customer's bound, what it has spent since it was put on record: written anew
-# beyond it. With what is spent between two looks, less than what is held back from what
-# is given out.
-RECORD_STEP = 0.06
-# After a takeover, hosts tell what they know within a round trip or two; where that is
-# too little, the record is read then.
-ASKED_MS = 30
-# What was read at the start is used by a home that takes over this soon after it; what
-# was written since, only a home beside it can have.
-FRESH_MS = 1_000
-# The list of hosts is read within some tens of milliseconds where the store answers.
-LISTED_MS = 500
-# While this host decides for nobody there is nothing to write or to read.
-IDLE_MS = 500
+# A customer that sends several times its usual load uses up a twenty-fourth of its
+# bound in this time.
+CHECK_INTERVAL_MS = 125
+# Usage since the last record that makes a new one due, as a fraction of the customer's
+# bound. Together with the usage between two checks, it is less than the part of the
+# bound that is withheld from granting.
+RECORD_STEP_FRACTION = 0.06
+# Hosts report their usage within a round trip or two of a takeover. If some usage is
+# still unknown after this time, the record is read.
+REPORT_WAIT_MS = 30
+# Age up to which a home that takes over uses the record read at its start. What was
+# written since can only be of another home that is active beside it.
+START_READING_MAX_AGE_MS = 1_000
+# The list of hosts is read within some tens of milliseconds if the store answers.
+INTRODUCED_WAIT_MS = 500
+# A host that schedules no pool has nothing to write or to read.
+IDLE_INTERVAL_MS = 500
 
 
 class UsageRow(msgspec.Struct, frozen=True):
-    """The row of one home; its key is the home's address for peers.
+    """The row of one home; its key is the home's peer address.
 
     Parameters
     ==========
     store_ms : int
-        When it was written, on the store's clock.
+        When the row was written, on the store's clock.
     spent : tuple
-        Of ``(customer, ((age_ms, units), …))`` by then.
+        Usage by then, as ``(customer, ((age_ms, units), …))``.
     """
 
     store_ms: int
@@ -44,11 +44,12 @@
 
 
 class UsageRecorder:
-    """Writes down which customers are near their bounds, and reads it after a loss.
+    """Records the usage of customers near their bounds, and reads it after a loss.
 
-    Failure: all hosts are killed or lose their power while a customer is at its bound.
-    The hosts that come back can ask nobody what was spent, and give the whole window's
-    allowance once more. Nothing is written while all customers send the usual.
+    Failure prevented: all hosts are killed or lose power while a customer is at its
+    bound. The restarted hosts cannot query any host for the usage, and grant the quota
+    of a whole window again. Nothing is written while all customers send their usual
+    load.
 
     Parameters
     ==========
@@ -56,89 +57,89 @@
     """
 
     __slots__ = (
-        "_at_start",
-        "_at_start_ms",
         "_context",
         "_failed",
-        "_counted",
-        "_read_for",
+        "_read_takeover",
+        "_recorded",
+        "_start_reading",
+        "_start_reading_ms",
         "_task",
         "_written",
     )
 
     def __init__(self, context):
         self._context = context
-        self._task = PeriodicTask(self._pause_ms, self._keep)
-        self._read_for = None
+        self._task = PeriodicTask(self._interval_ms, self._run_once)
+        self._read_takeover = None
         self._written = ()
-        # By customer, as parts of their bounds: what was counted by the last writing.
-        self._counted = {}
+        # By customer, as fractions of their bounds: the usage in the last record.
+        self._recorded = {}
         self._failed = False
-        self._at_start = None
-        self._at_start_ms = None
+        self._start_reading = None
+        self._start_reading_ms = None
 
     async def start(self):
-        """Begin to write and to read; the record is read once at the start."""
+        """Start recording; the record is read once at the start."""
         self._context.gate.on_takeover_begun = self._on_takeover
         await self._task.start()
 
     def _on_takeover(self):
-        """Count what was on record at the start; read the record where that is old.
+        """Count the usage read at the start; schedule a new read if that is old.
 
-        Failure: a home that takes over after a loss of all hosts looks at the record
-        when the first callers have been served, and has given out to them what
-        customers at their bounds had spent.
+        Failure prevented: a home that takes over after a loss of all hosts reads the
+        record only after it has served the first callers, and has granted them what
+        customers at their bounds had already used.
         """
-        if self._at_start is not None:
-            passed_ms = self._context.clock.now_ms() - self._at_start_ms
-            if passed_ms < FRESH_MS:
-                self._read_for = self._context.gate.takeover
-                self._count(self._at_start, passed_ms)
+        if self._start_reading is not None:
+            elapsed_ms = self._context.clock.now_ms() - self._start_reading_ms
+            if elapsed_ms < START_READING_MAX_AGE_MS:
+                self._read_takeover = self._context.gate.takeover
+                self._count(self._start_reading, elapsed_ms)
                 return
         loop = asyncio.get_running_loop()
-        loop.call_later(ASKED_MS / MS_PER_S, self._task.wake)
+        loop.call_later(REPORT_WAIT_MS / MS_PER_S, self._task.wake)
 
     async def close(self):
-        """Stop."""
+        """Stop recording."""
         await self._task.close()
 
-    def _pause_ms(self):
-        return LOOK_MS if self._context.homes.active() else IDLE_MS
+    def _interval_ms(self):
+        return CHECK_INTERVAL_MS if self._context.homes.active() else IDLE_INTERVAL_MS
 
-    async def _keep(self):
+    async def _run_once(self):
         try:
             await self._read_at_start()
             if not self._context.homes.active():
                 return
-            await self._read_once()
+            await self._read_after_takeover()
             await self._write()
             self._failed = False
         except PlatformError as error:
             if not self._failed:
-                _log.warning("spending_not_kept", reason=error.message)
+                _log.warning("usage_not_recorded", reason=error.message)
             self._failed = True
 
     async def _read_at_start(self):
-        """Read the record once, for the case that this host becomes home at once.
+        """Read the record once, in case this host becomes home at once.
 
-        Load: a fleet of which few hosts are strong enough to be home; each call of the
-        others would be paid for in vain.
+        Load: in a fleet with few high-capacity hosts, the other hosts cannot become
+        home, and each of their calls to the store would be paid for in vain.
         """
-        if self._at_start_ms is not None:
+        if self._start_reading_ms is not None:
             return
-        await self._context.fleet.wait_introduced(LISTED_MS)
-        self._at_start_ms = self._context.clock.now_ms()
+        await self._context.fleet.wait_introduced(INTRODUCED_WAIT_MS)
+        self._start_reading_ms = self._context.clock.now_ms()
         if self._context.fleet.is_high_capacity:
-            self._at_start = await self._read()
+            self._start_reading = await self._read()
 
-    async def _read_once(self):
-        """Read the record once after each takeover that knows too little."""
+    async def _read_after_takeover(self):
+        """Read the record once after each takeover that left usage unknown."""
         gate = self._context.gate
         takeover = gate.takeover
-        if takeover is self._read_for or not gate.has_unknown_usage:
+        if takeover is self._read_takeover or not gate.has_unknown_usage:
             return
         reading = await self._read()
-        self._read_for = takeover
+        self._read_takeover = takeover
         self._count(reading, 0)
 
     async def _read(self):
@@ -152,12 +153,12 @@
             record = _decode(row)
             if record is None:
                 continue
-            passed_ms = max(0, reading.store_ms - record.store_ms) + read_ago_ms
-            gate.quotas.add_recorded(row.key, record.spent, now_ms - passed_ms, now_ms)
+            elapsed_ms = max(0, reading.store_ms - record.store_ms) + read_ago_ms
+            gate.quotas.add_recorded(row.key, record.spent, now_ms - elapsed_ms, now_ms)
             _log.info(
-                "spending_read",
+                "usage_read",
                 home=row.key,
-                age_ms=passed_ms,
+                age_ms=elapsed_ms,
                 customers=len(record.spent),
             )
 
@@ -166,7 +167,7 @@
         quotas = self._context.gate.quotas
         spent = quotas.usage_to_record(now_ms)
         counted = {name: quotas.counted(name) for name, _ in spent}
-        if not self._is_due(counted):
+        if not self._is_write_due(counted):
             return
         platform = self._context.platform
         record = UsageRow(self._context.store_view.store_now_ms(), spent)
@@ -178,20 +179,20 @@
         )
         await platform.store.commit((change,))
         self._written = spent
-        self._counted = counted
+        self._recorded = counted
 
-    def _is_due(self, counted):
-        """Return whether the record is too far behind, or of nobody any more.
+    def _is_write_due(self, counted):
+        """Return whether the record is too far behind, or no longer of any customer.
 
-        Load: usual customers are near their bounds in each burst, and each writing is a
-        call of the store. What a customer has spent does not grow once it is at its
-        bound, so what was given out since the last writing is looked at.
+        Load: ordinary customers are near their bounds in each burst, and each write is
+        a call to the store. The usage of a customer does not grow once it is at its
+        bound, so the check considers what was granted since the last write.
         """
         if not counted:
             return bool(self._written)
         return any(
-            part - self._counted.get(name, 0.0) > RECORD_STEP
-            for name, part in counted.items()
+            fraction - self._recorded.get(name, 0.0) > RECORD_STEP_FRACTION
+            for name, fraction in counted.items()
         )
 
 
@@ -201,5 +202,5 @@
     try:
         return msgspec.json.decode(row.value, type=UsageRow)
     except msgspec.MsgspecError as error:
-        _log.warning("spending_unreadable", row=row.key, reason=str(error))
+        _log.warning("usage_unreadable", row=row.key, reason=str(error))
         return None
--- a/libs/entry/src/hemlockhoist/entry/wire.py
+++ b/libs/entry/src/hemlockhoist/entry/wire.py
@@ -1,4 +1,4 @@
-"""What an entry host needs from the manner of speaking of callers and upstreams.
+"""The protocol of callers and upstreams, independent of header names and paths.
 
 A platform's adapter implements ``WireFormat``; nothing here names a header or a path.
 """
@@ -9,33 +9,33 @@
 
 
 class CallerCall(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's request, as read from its head.
+    """A caller's request, parsed from its head.
 
     Parameters
     ==========
     request_id : str
-        The caller's own id of this attempt; empty where it gives none.
+        The caller's id of this attempt; empty if it gives none.
     method : str
     target : str
-        Path and query, as the caller encoded them.
+        Path and query, in the caller's encoding.
     host : str
-        The name that the caller addressed.
+        The host name that the caller addressed.
     headers : tuple of (str, str)
-        What is passed on to the upstream.
+        Headers that are forwarded to the upstream.
     key : str
         The caller's key; empty for none.
     max_wait_ms : int or None
-        How long the caller will wait; None where it does not say.
+        How long the caller will wait; None if it does not say.
     prompt_tokens, max_output_tokens : int
-        0 where the request states none.
+        0 if the request does not state them.
     states_tokens : bool
-        Whether it states how many tokens it has.
+        Whether the request states its token counts.
     expected_output_tokens : int
         The caller's estimate; 0 for none.
     last_event_id : int or None
-        Where the caller goes on reading a stream.
+        The event after which the caller resumes a stream.
     prefix_blocks : tuple of (str, int)
-        The parts of its prompt in order, as it names them, and their tokens.
+        Names and token counts of its prompt's prefix blocks, in order.
     """
 
     request_id: str
@@ -54,19 +54,19 @@
 
     @property
     def path(self):
-        """The path without its query."""
+        """The path without the query."""
         return self.target.partition("?")[0]
 
 
 class DirectoryQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's question which hosts to use.
+    """A caller's query for the hosts to use.
 
     Parameters
     ==========
     host : str
-        The name under which its routes are declared; empty where it does not say.
+        The host name under which its routes are declared; empty if it does not say.
     region : str
-        Where it is; empty where it does not say.
+        The caller's region; empty if it does not say.
     """
 
     host: str = ""
@@ -74,18 +74,18 @@
 
 
 class UpstreamDirectives(msgspec.Struct, frozen=True, kw_only=True):
-    """What the system itself tells the upstream with a request.
+    """Information that this system adds to a request to an upstream.
 
     Parameters
     ==========
     upstream_id : str
-        The only run that may take the request.
+        The only upstream process that may accept the request.
     customer : str
-        Empty for none.
+        Name of the customer; empty for none.
     remaining_ms : int
-        How long the answer is still wanted.
+        Time until the response is no longer needed.
     last_event_id : int or None
-        The last event that the caller has.
+        The last event that the caller has received.
     """
 
     upstream_id: str
@@ -94,27 +94,27 @@
     last_event_id: int | None = None
 
 
-class AnswerHead(msgspec.Struct, frozen=True, kw_only=True):
-    """What the head of an upstream's answer says.
+class ResponseHead(msgspec.Struct, frozen=True, kw_only=True):
+    """The parsed head of an upstream's response.
 
     Parameters
     ==========
     status : int
     headers : tuple of (str, str)
-        What is passed on to the caller.
-    has_receipt : bool
-        Whether it carries the upstream's receipt for its answer.
+        Headers that are forwarded to the caller.
+    has_signature : bool
+        Whether the response carries the upstream's signature.
     is_not_run : bool
-        Whether the upstream says that it did not run the request.
+        Whether the upstream reports that it did not run the request.
     is_misdirected : bool
-        Whether it says that it is not the run that was asked for.
+        Whether the upstream reports that it is not the addressed process.
     running, waiting : int or None
-        Requests that the upstream has, where it says so.
+        Number of requests that the upstream runs and queues, if reported.
     """
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
-    has_receipt: bool = False
+    has_signature: bool = False
     is_not_run: bool = False
     is_misdirected: bool = False
     running: int | None = None
@@ -122,12 +122,12 @@
 
 
 class WireFormat(abc.ABC):
-    """Names and formats of requests and answers."""
+    """Names and formats of the headers of requests and responses."""
 
     @property
     @abc.abstractmethod
     def request_id_header(self):
-        """The header that carries a request's id, and that answers echo."""
+        """The header that carries a request's id, and is echoed in responses."""
 
     @abc.abstractmethod
     def read_call(self, method, target, headers):
@@ -136,7 +136,7 @@
         Raises
         ======
         BadRequest
-            When a header that governs the request can not be read.
+            If a header that governs the request cannot be parsed.
         """
 
     @abc.abstractmethod
@@ -146,16 +146,16 @@
         Parameters
         ==========
         call : CallerCall
-        directives : UpstreamOrder
+        directives : UpstreamDirectives
         """
 
     @abc.abstractmethod
-    def read_answer(self, status, headers):
-        """Return the ``AnswerHead`` of an upstream's answer."""
+    def read_response_head(self, status, headers):
+        """Return the ``ResponseHead`` of an upstream's response."""
 
     @abc.abstractmethod
     def refusal_headers(self, call, retry_after_ms):
-        """Return the headers of an answer of the system's own.
+        """Return the headers of a response generated by this system.
 
         Parameters
         ==========
