--- a/libs/base/src/hemlockhoist/base/__init__.py
+++ b/libs/base/src/hemlockhoist/base/__init__.py
@@ -21,11 +21,11 @@
     UpstreamLeft,
 )
 from hemlockhoist.base.invariants import InvariantLog, Property
-from hemlockhoist.base.log_volume import VolumeLimit
+from hemlockhoist.base.log_rate_limiter import LogRateLimiter
 from hemlockhoist.base.log_writer import LineWriter
 from hemlockhoist.base.logs import configure_logs, get_logger
 from hemlockhoist.base.periodic import PeriodicTask
-from hemlockhoist.base.results import RESULTS, Ran, ResultCode, ResultInfo, info
+from hemlockhoist.base.results import RESULTS, Ran, ResultCode, ResultInfo, result_info
 
 __all__ = [
     "MS_PER_S",
@@ -56,8 +56,8 @@
     "UpstreamCold",
     "UpstreamEvacuated",
     "UpstreamLeft",
-    "VolumeLimit",
+    "LogRateLimiter",
     "configure_logs",
     "get_logger",
-    "info",
+    "result_info",
 ]
--- a/libs/base/src/hemlockhoist/base/errors.py
+++ b/libs/base/src/hemlockhoist/base/errors.py
@@ -1,6 +1,6 @@
 """The exception tree: every error of the product carries a result code."""
 
-from hemlockhoist.base.results import ResultCode, info
+from hemlockhoist.base.results import ResultCode, result_info
 
 
 class HemlockhoistError(Exception):
@@ -21,14 +21,14 @@
     def __init__(self, message="", code=None, retry_after_ms=None):
         if code is not None:
             self.code = ResultCode(code)
-        self.message = message or info(self.code).meaning
+        self.message = message or result_info(self.code).meaning
         self.retry_after_ms = retry_after_ms
         super().__init__(self.message)
 
     @property
     def info(self):
         """The result code table's row."""
-        return info(self.code)
+        return result_info(self.code)
 
 
 class BadRequest(HemlockhoistError):
--- a/libs/base/src/hemlockhoist/base/log_volume.py
+++ b/libs/base/src/hemlockhoist/base/log_rate_limiter.py
@@ -9,12 +9,12 @@
 LINES_PER_S = 300
 BURST_LINES = 1_500
 # Of the burst, this part is kept for warnings and errors.
-KEPT_PART = 0.4
+RESERVED_FRACTION = 0.4
 _SERIOUS = frozenset({"warning", "error", "critical"})
 _MS_PER_S = 1_000
 
 
-class VolumeLimit:
+class LogRateLimiter:
     """Drops log lines beyond a rate; a processor for ``structlog``.
 
     Load: a burst, or an outage in which every request fails several times. Harm
@@ -44,14 +44,14 @@
         gained = (now_ms - self._at_ms) * self._rate / _MS_PER_S
         self._level = min(self._burst, self._level + max(0.0, gained))
         self._at_ms = now_ms
-        floor = 1.0 if method in _SERIOUS else 1.0 + KEPT_PART * self._burst
+        floor = 1.0 if method in _SERIOUS else 1.0 + RESERVED_FRACTION * self._burst
         if self._level < floor:
             self._left_out[event.get("event", "")] += 1
             raise structlog.DropEvent
         self._level -= 1.0
         return event
 
-    def take_left_out(self):
+    def take_dropped_by_event(self):
         """Return how many lines of each event were dropped since the last call."""
         left_out, self._left_out = self._left_out, collections.Counter()
         return dict(left_out)
--- a/libs/base/src/hemlockhoist/base/log_writer.py
+++ b/libs/base/src/hemlockhoist/base/log_writer.py
@@ -4,11 +4,11 @@
 import threading
 
 # Lines are written together: each hand-over to the thread costs a wake-up.
-COLLECT_S = 0.05
+BATCH_DELAY_S = 0.05
 # What a pipe takes as a whole: lines of several processes are not mixed.
-WRITE_BYTES = 4_096
-MAX_HELD_BYTES = 1_048_576
-CLOSE_WAIT_S = 0.3
+MAX_WRITE_BYTES = 4_096
+MAX_BUFFERED_BYTES = 1_048_576
+CLOSE_TIMEOUT_S = 0.3
 
 
 class LineWriter:
@@ -21,7 +21,7 @@
     Parameters
     ==========
     stream : text file
-    max_held_bytes : int, optional
+    max_buffered_bytes : int, optional
     """
 
     __slots__ = (
@@ -31,15 +31,15 @@
         "_held_bytes",
         "_lines",
         "_lock",
-        "_max_held_bytes",
+        "_max_buffered_bytes",
         "_stream",
         "_thread",
         "dropped",
     )
 
-    def __init__(self, stream, max_held_bytes=MAX_HELD_BYTES):
+    def __init__(self, stream, max_buffered_bytes=MAX_BUFFERED_BYTES):
         self._stream = stream
-        self._max_held_bytes = max_held_bytes
+        self._max_buffered_bytes = max_buffered_bytes
         self._lines = collections.deque()
         self._held_bytes = 0
         self._lock = threading.Lock()
@@ -58,7 +58,7 @@
         """Write what is held, as far as the reader takes it at once."""
         self._closing.set()
         self._filled.set()
-        self._thread.join(CLOSE_WAIT_S)
+        self._thread.join(CLOSE_TIMEOUT_S)
 
     def join(self):
         """Wait until the thread has ended, after ``close``."""
@@ -77,7 +77,7 @@
     def write(self, text):
         """Hold a text for the thread; never waits."""
         with self._lock:
-            if self._held_bytes + len(text) > self._max_held_bytes:
+            if self._held_bytes + len(text) > self._max_buffered_bytes:
                 self.dropped += 1
                 return
             self._lines.append(text)
@@ -92,7 +92,7 @@
             self._filled.wait()
             # Not the runtime's clock: it belongs to the event loop, and tests that
             # pause it have no thread.
-            self._closing.wait(COLLECT_S)
+            self._closing.wait(BATCH_DELAY_S)
             self._filled.clear()
             self._write_held()
         # Failure: the line that says why a process ends is missing. It was written
@@ -112,7 +112,7 @@
         taken, size = [], 0
         with self._lock:
             while self._lines and (
-                not taken or size + len(self._lines[0]) <= WRITE_BYTES
+                not taken or size + len(self._lines[0]) <= MAX_WRITE_BYTES
             ):
                 taken.append(self._lines.popleft())
                 size += len(taken[-1])
--- a/libs/base/src/hemlockhoist/base/logs.py
+++ b/libs/base/src/hemlockhoist/base/logs.py
@@ -8,7 +8,9 @@
 from hemlockhoist.base.logfmt import LineRenderer
 
 
-def configure_logs(level="info", stream=None, limit=None, fields=None, for_good=False):
+def configure_logs(
+    level="info", stream=None, rate_limiter=None, fields=None, cache_loggers=False
+):
     """Set up structured logs for the process.
 
     Parameters
@@ -17,16 +19,16 @@
         ``debug``, ``info``, ``warning`` or ``error``.
     stream : file object, optional
         Where lines go; standard error by default.
-    limit : VolumeLimit, optional
+    rate_limiter : VolumeLimit, optional
         Drops lines beyond a rate.
     fields : mapping of str to str, optional
         That every line carries, such as the host's name.
-    for_good : bool, optional
+    cache_loggers : bool, optional
         Whether loggers may keep this set-up from their first line on, which spares
         each line a look at it. Tests set logs up anew.
     """
     number = logging.getLevelNamesMapping()[level.upper()]
-    limits = [limit] if limit is not None else []
+    limits = [rate_limiter] if rate_limiter is not None else []
     structlog.configure(
         processors=[
             *limits,
@@ -35,7 +37,7 @@
         ],
         wrapper_class=structlog.make_filtering_bound_logger(number),
         logger_factory=structlog.WriteLoggerFactory(stream or sys.stderr),
-        cache_logger_on_first_use=for_good,
+        cache_logger_on_first_use=cache_loggers,
     )
 
 
--- a/libs/base/src/hemlockhoist/base/metrics_table.py
+++ b/libs/base/src/hemlockhoist/base/metrics_table.py
@@ -119,7 +119,7 @@
     "Moves that finished after their time.",
     "Order moves with more time where a route has little traffic.",
 )
-MOVES_TAKEN_BACK = Metric(
+MOVES_ROLLED_BACK = Metric(
     "moves.taken_back",
     _C,
     "pool",
@@ -173,14 +173,14 @@
     "Grows without longer answers: the upstreams are slow; look at attempts.ended.",
     "milliseconds",
 )
-CALLERS_RETURNED = Metric(
+CALLERS_RETRIED = Metric(
     "callers.returned",
     _C,
     "pool",
     "Requests that were refused before and came back as told, at the pool's home.",
     "Far below the refusals with a time: callers give up, or come back elsewhere.",
 )
-CALLERS_LEFT = Metric(
+CALLERS_DISCONNECTED = Metric(
     "callers.left",
     _C,
     "tier",
@@ -188,7 +188,7 @@
     "Compare callers.left_ms with queue.wait_ms: a queue that holds requests for "
     "longer than their callers wait serves nobody.",
 )
-CALLERS_LEFT_MS = Metric(
+CALLERS_DISCONNECTED_MS = Metric(
     "callers.left_ms",
     _T,
     "tier",
@@ -196,7 +196,7 @@
     "Shorter than the routes declare: look for a time limit on the callers' side.",
     "milliseconds",
 )
-HOMES_ALONE = Metric(
+DECISIONS_ALONE = Metric(
     "homes.alone",
     _C,
     "pool",
@@ -267,14 +267,14 @@
     "Keys whose request has not ended on this host.",
     "Grows without load: upstreams are silent.",
 )
-VIOLATIONS = Metric(
+INVARIANT_VIOLATIONS = Metric(
     "invariants.violations",
     _G,
     "property",
     "Broken invariants since the start.",
     "Any value above 0 is a fault of the program: keep the logs and report it.",
 )
-LINES_LEFT_OUT = Metric(
+LOG_LINES_DROPPED = Metric(
     "logs.left_out",
     _C,
     "",
--- a/libs/base/src/hemlockhoist/base/tests/test_log_volume.py
+++ b/libs/base/src/hemlockhoist/base/tests/test_logs.py
@@ -9,7 +9,7 @@
 
 from hemlockhoist.base import (
     LineWriter,
-    VolumeLimit,
+    LogRateLimiter,
     configure_logs,
     get_logger,
     logfmt,
@@ -19,7 +19,7 @@
 class VolumeLimitTests(unittest.TestCase):
     def setUp(self):
         self.now_ms = 0
-        self.limit = VolumeLimit(lambda: self.now_ms, lines_per_s=10, burst_lines=20)
+        self.limit = LogRateLimiter(lambda: self.now_ms, lines_per_s=10, burst_lines=20)
 
     def pass_lines(self, count, method):
         passed = 0
@@ -47,8 +47,8 @@
 
     def test_what_was_left_out_is_told_once(self):
         self.pass_lines(30, "warning")
-        self.assertEqual(self.limit.take_left_out(), {"warning": 10})
-        self.assertEqual(self.limit.take_left_out(), {})
+        self.assertEqual(self.limit.take_dropped_by_event(), {"warning": 10})
+        self.assertEqual(self.limit.take_dropped_by_event(), {})
 
 
 class LineWriterTests(unittest.TestCase):
@@ -114,7 +114,7 @@
         """
         read_end, write_end = os.pipe()
         stream = os.fdopen(write_end, "w")
-        writer = LineWriter(stream, max_held_bytes=300_000)
+        writer = LineWriter(stream, max_buffered_bytes=300_000)
         writer.start()
         finished = threading.Event()
 
--- a/libs/base/src/hemlockhoist/base/tests/test_traces.py
+++ b/libs/base/src/hemlockhoist/base/tests/test_traces.py
@@ -9,10 +9,10 @@
     TRACEPARENT,
     Hop,
     Traces,
+    context_to_text,
     headers_with_context,
-    parent_of_headers,
-    parent_of_text,
-    text_of_context,
+    parent_from_headers,
+    parent_from_text,
 )
 
 
@@ -27,10 +27,10 @@
         """Caller, host, home and upstream are one trace, each the other's child."""
         entry, entry_spans = in_memory()
         home, home_spans = in_memory(sample_permille=0)
-        with entry.span(Hop.CALLER, parent_of_headers({}), pool="chat"):
+        with entry.span(Hop.CALLER, parent_from_headers({}), pool="chat"):
             with entry.span(Hop.GRANT):
-                text = text_of_context()
-                decision = home.start_span(Hop.HOME, parent_of_text(text))
+                text = context_to_text()
+                decision = home.start_span(Hop.HOME, parent_from_text(text))
                 await asyncio.sleep(0)
                 decision.end()
             with entry.span(Hop.UPSTREAM):
@@ -57,7 +57,7 @@
         """The caller's trace goes on, and its decision to record holds."""
         traces, exporter = in_memory(sample_permille=0)
         parent = "00-" + "ab" * 16 + "-" + "cd" * 8 + "-01"
-        with traces.span(Hop.CALLER, parent_of_headers({TRACEPARENT: parent})):
+        with traces.span(Hop.CALLER, parent_from_headers({TRACEPARENT: parent})):
             pass
         (span,) = exporter.get_finished_spans()
         self.assertEqual(f"{span.context.trace_id:032x}", "ab" * 16)
@@ -66,7 +66,7 @@
         """Whatever a caller or peer sends as context, the request goes on."""
         traces, exporter = in_memory()
         for text in ("", "x", "00-" + "0" * 32 + "-" + "0" * 16 + "-01", "\x00" * 99):
-            with traces.span(Hop.CALLER, parent_of_text(text)):
+            with traces.span(Hop.CALLER, parent_from_text(text)):
                 pass
         roots = [span.parent for span in exporter.get_finished_spans()]
         self.assertEqual(roots, [None] * 4)
@@ -77,8 +77,8 @@
         is current in the same task. Joining it would mix two requests in one trace.
         """
         traces, exporter = in_memory()
-        with traces.span(Hop.CALLER, parent_of_text("")):
-            traces.start_span(Hop.HOME, parent_of_text("")).end()
+        with traces.span(Hop.CALLER, parent_from_text("")):
+            traces.start_span(Hop.HOME, parent_from_text("")).end()
         ids = {span.context.trace_id for span in exporter.get_finished_spans()}
         self.assertEqual(len(ids), 2)
 
@@ -86,7 +86,7 @@
         """Nothing is recorded, and a caller's trace still reaches the upstream."""
         traces = Traces.from_config(None, 1_000, "a")
         parent = "00-" + "ab" * 16 + "-" + "cd" * 8 + "-00"
-        with traces.span(Hop.CALLER, parent_of_headers({TRACEPARENT: parent})):
+        with traces.span(Hop.CALLER, parent_from_headers({TRACEPARENT: parent})):
             headers = headers_with_context({})
         self.assertIn("ab" * 16, headers[TRACEPARENT])
         await traces.close()
@@ -97,7 +97,7 @@
         long would keep the process beyond its planned stop. Closing ends in time.
         """
         traces = Traces.from_config("http://127.0.0.1:1", 1_000, "a")
-        with traces.span(Hop.CALLER, parent_of_text("")):
+        with traces.span(Hop.CALLER, parent_from_text("")):
             pass
         started = time.perf_counter()
         await traces.close()
--- a/libs/base/src/hemlockhoist/base/traces.py
+++ b/libs/base/src/hemlockhoist/base/traces.py
@@ -131,7 +131,7 @@
         ==========
         hop : Hop
         parent : object, optional
-            From ``parent_of_headers`` or ``parent_of_text``; the current span by
+            From ``parent_from_headers`` or ``parent_from_text``; the current span by
             default.
         attributes
             Values that may be seen by anyone who sees traces: no keys, no bodies.
@@ -142,12 +142,12 @@
             hop.value, context=parent, kind=HOP_KINDS[hop], attributes=attributes
         )
 
-    def text_for_peer(self):
+    def context_for_peer(self):
         """Return the current context for a peer's message; empty where none is kept.
 
         A context is a quarter of a question for a place.
         """
-        return text_of_context() if self._records else ""
+        return context_to_text() if self._records else ""
 
     def start_span(self, hop, parent=None, **attributes):
         """Return a started span that its owner ends, for hops without a frame."""
@@ -189,23 +189,23 @@
     return carrier
 
 
-def parent_of_headers(headers):
+def parent_from_headers(headers):
     """Return the parent that a request's headers name, for ``Traces.span``.
 
     A malformed header names none, and a new trace begins.
     """
     text = headers.get(TRACEPARENT, "")
-    return parent_of_text(text)
+    return parent_from_text(text)
 
 
-def text_of_context(span=None):
+def context_to_text(span=None):
     """Return the context of a span as text for a peer's message."""
     carrier = {}
     _PROPAGATOR.inject(carrier, context=_context_of(span))
     return carrier.get(TRACEPARENT, "")
 
 
-def parent_of_text(text):
+def parent_from_text(text):
     """Return the parent that a peer's message names.
 
     The result is never None: a message without a context begins a trace of its own,
--- a/libs/cli/src/hemlockhoist/cli/codes.py
+++ b/libs/cli/src/hemlockhoist/cli/codes.py
@@ -4,7 +4,7 @@
 
 from hemlockhoist.base import RESULTS
 from hemlockhoist.cli.options import json_option
-from hemlockhoist.cli.output import show
+from hemlockhoist.cli.output import print_output
 
 
 @click.command()
@@ -27,4 +27,4 @@
     ]
     if not rows:
         raise click.BadParameter(f"{number} is no result code", param_hint="NUMBER")
-    show(rows, as_json)
+    print_output(rows, as_json)
--- a/libs/cli/src/hemlockhoist/cli/applying.py
+++ b/libs/cli/src/hemlockhoist/cli/declaration_changes.py
@@ -4,7 +4,12 @@
 import datetime
 
 from hemlockhoist.base import MS_PER_S, Clock, ResultCode
-from hemlockhoist.cli.errors import HostUnreachable, NotYet, OutcomeUnknown, RemoteError
+from hemlockhoist.cli.errors import (
+    HostUnreachable,
+    OutcomeUnknown,
+    RemoteError,
+    WaitTimedOut,
+)
 
 _POLL_MS = 300
 _MAX_SENDS = 4
@@ -83,11 +88,11 @@
         if view is not None and view.hosts and not view.lagging(version):
             return view
         if clock.now_ms() >= end_ms:
-            raise NotYet(_lag_text(view, version, failure))
+            raise WaitTimedOut(_lag_text(view, version, failure))
         await asyncio.sleep(_POLL_MS / MS_PER_S)
 
 
-def report(view, changed):
+def apply_result(view, changed):
     """Return what ``declare apply --json`` prints."""
     return {
         "changed": changed,
@@ -96,7 +101,7 @@
     }
 
 
-def date_text(unix_ms):
+def format_date(unix_ms):
     """Return a date for people, in UTC."""
     date = datetime.datetime.fromtimestamp(unix_ms / MS_PER_S, datetime.UTC)
     return date.strftime("%Y-%m-%d %H:%M:%S UTC")
--- a/libs/cli/src/hemlockhoist/cli/declared_text.py
+++ b/libs/cli/src/hemlockhoist/cli/declarations_format.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from hemlockhoist.cli.output import as_text, table
+from hemlockhoist.cli.output import format_table, format_text
 from hemlockhoist.declarations import PoolKind
 
 _DIGEST_CHARS = 12
@@ -20,18 +20,18 @@
     in_force = len(view.hosts) - len(view.lagging(view.version))
     parts = [
         f"version {view.version}, in force on {in_force} of {len(view.hosts)} hosts",
-        table([_host_row(item) for item in view.hosts]),
+        format_table([_host_row(item) for item in view.hosts]),
         _titled("tiers", [msgspec.structs.asdict(tier) for tier in found.tiers]),
         _titled("customers", [_customer_row(item) for item in found.customers]),
         _titled("pools", [_pool_row(pool) for pool in found.pools]),
         "exceptions:\n" + ("\n".join(map(_exception, found.exceptions)) or "none"),
-        "defaults:\n" + as_text(msgspec.to_builtins(found.defaults)),
+        "defaults:\n" + format_text(msgspec.to_builtins(found.defaults)),
     ]
     return "\n\n".join(parts)
 
 
 def _titled(title, rows):
-    return f"{title}:\n{table(rows) if rows else 'none'}"
+    return f"{title}:\n{format_table(rows) if rows else 'none'}"
 
 
 def _host_row(item):
@@ -58,5 +58,5 @@
 
 
 def _exception(item):
-    value = as_text(item.value)
+    value = format_text(item.value)
     return f"{item.kind} {item.name} {item.field}: {value}\n  reason: {item.reason}"
--- a/libs/cli/src/hemlockhoist/cli/declare.py
+++ b/libs/cli/src/hemlockhoist/cli/declare.py
@@ -5,16 +5,16 @@
 
 import click
 
-from hemlockhoist.cli import applying
-from hemlockhoist.cli.declared_text import declarations_text
-from hemlockhoist.cli.errors import reports_errors
+from hemlockhoist.cli import declaration_changes
+from hemlockhoist.cli.declarations_format import declarations_text
+from hemlockhoist.cli.errors import report_errors
 from hemlockhoist.cli.options import (
-    asks_a_host,
     author_option,
     host_options,
     json_option,
+    with_client,
 )
-from hemlockhoist.cli.output import as_text, show
+from hemlockhoist.cli.output import format_text, print_output
 from hemlockhoist.declarations import diff, diff_text, parse_declarations
 from hemlockhoist.host.operator_messages import DeclarationChange
 
@@ -31,7 +31,7 @@
 @declare.command()
 @_file_argument
 @json_option
-@reports_errors
+@report_errors
 def check(file, as_json):
     """Check FILE; name line and field of every fault at once."""
     found = _parse(file)
@@ -43,15 +43,15 @@
         "exceptions": len(found.exceptions),
     }
     text = ", ".join(f"{count} {name}" for name, count in list(counts.items())[1:])
-    show(counts, as_json, f"{file}: no fault ({text})")
+    print_output(counts, as_json, f"{file}: no fault ({text})")
 
 
 @declare.command(name="diff")
 @_file_argument
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def compare(client, file, as_json):
     """Show what applying FILE would change in the fleet."""
     wanted = _parse(file)
@@ -59,7 +59,7 @@
     changes = diff(view.declarations, wanted)
     result = {"read_version": view.version, "changes": changes}
     text = f"read version {view.version}\n{diff_text(changes)}"
-    show(result, as_json, text)
+    print_output(result, as_json, text)
 
 
 @declare.command()
@@ -81,8 +81,8 @@
 @author_option
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def apply(client, file, read_version, change_id, wait_ms, author, as_json):
     """Apply FILE, and wait until it is in force on every host."""
     wanted = _parse(file)
@@ -91,8 +91,12 @@
     if not changes and change_id is None:
         # An exit code 0 says that the file is in force on every host, also when
         # an earlier command has accepted it and could not wait.
-        view = await applying.wait_in_force(client, view.version, wait_ms)
-        show(applying.report(view, False), as_json, _in_force(view, "no difference"))
+        view = await declaration_changes.wait_in_force(client, view.version, wait_ms)
+        print_output(
+            declaration_changes.apply_result(view, False),
+            as_json,
+            _in_force(view, "no difference"),
+        )
         return
     if not as_json:
         click.echo(diff_text(changes))
@@ -102,37 +106,37 @@
         change_id=change_id or secrets.token_hex(12),
         author=author,
     )
-    result = await applying.send_change(client, change)
-    view = await applying.wait_in_force(client, result.version, wait_ms)
+    result = await declaration_changes.send_change(client, change)
+    view = await declaration_changes.wait_in_force(client, result.version, wait_ms)
     text = _in_force(view, f"version {result.version} accepted")
-    show(applying.report(view, True), as_json, text)
+    print_output(declaration_changes.apply_result(view, True), as_json, text)
 
 
 @declare.command(name="show")
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def show_declarations(client, as_json):
     """Show the declarations, each exception's reason, and each host's version."""
     view = await client.declarations()
-    show(view, as_json, declarations_text(view))
+    print_output(view, as_json, declarations_text(view))
 
 
 @declare.command()
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def history(client, as_json):
     """Show the accepted changes, newest first."""
     view = await client.history()
     lines = []
     for entry in view.entries:
-        date = applying.date_text(entry.unix_ms)
+        date = declaration_changes.format_date(entry.unix_ms)
         lines.append(f"version {entry.version}  {date}  {entry.author}")
         lines += [f"  {change}" for change in entry.changes]
-    show(view, as_json, "\n".join(lines) or "no change yet")
+    print_output(view, as_json, "\n".join(lines) or "no change yet")
 
 
 def _parse(file):
@@ -141,5 +145,5 @@
 
 def _in_force(view, what):
     hosts = ", ".join(item.host_id for item in view.hosts)
-    count = as_text(len(view.hosts))
+    count = format_text(len(view.hosts))
     return f"{what}; in force on all {count} hosts: {hosts}"
--- a/libs/cli/src/hemlockhoist/cli/errors.py
+++ b/libs/cli/src/hemlockhoist/cli/errors.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from hemlockhoist.base import HemlockhoistError, ResultCode
-from hemlockhoist.cli.exit_codes import ExitCode, exit_code_of
+from hemlockhoist.cli.exit_codes import ExitCode, exit_code_for
 
 
 class HostUnreachable(HemlockhoistError):
@@ -42,7 +42,7 @@
         self.remedy = remedy
 
 
-class NotYet(HemlockhoistError):
+class WaitTimedOut(HemlockhoistError):
     """What was waited for has not come about within the time."""
 
     code = ResultCode.NOT_YET_IN_FORCE
@@ -73,7 +73,7 @@
     exit_code: int
 
 
-def reports_errors(command):
+def report_errors(command):
     """Decorate a command: tell an error on standard error, and exit by its code."""
 
     @functools.wraps(command)
@@ -91,7 +91,7 @@
 def _exit_code(error):
     if isinstance(error, HostUnreachable):
         return ExitCode.OUTCOME_UNKNOWN if error.sent else ExitCode.UNREACHABLE
-    return exit_code_of(error.code)
+    return exit_code_for(error.code)
 
 
 def _told(error, exit_code, as_json):
--- a/libs/cli/src/hemlockhoist/cli/exit_codes.py
+++ b/libs/cli/src/hemlockhoist/cli/exit_codes.py
@@ -36,6 +36,6 @@
 }
 
 
-def exit_code_of(result_code):
+def exit_code_for(result_code):
     """Return the exit code for a result code; ``REFUSED`` for those not listed."""
     return _BY_RESULT.get(result_code, ExitCode.REFUSED)
--- a/libs/cli/src/hemlockhoist/cli/explain.py
+++ b/libs/cli/src/hemlockhoist/cli/explain.py
@@ -4,10 +4,10 @@
 import msgspec
 
 from hemlockhoist.base import RESULTS, ResultCode
-from hemlockhoist.cli.errors import reports_errors
+from hemlockhoist.cli.errors import report_errors
 from hemlockhoist.cli.log_lines import read_lines
 from hemlockhoist.cli.options import json_option, log_option
-from hemlockhoist.cli.output import show
+from hemlockhoist.cli.output import print_output
 
 # Lines that are about a host, an upstream or a customer, and explain what became of the
 # requests of their time.
@@ -148,14 +148,14 @@
 @click.argument("request_id")
 @log_option
 @json_option
-@reports_errors
+@report_errors
 def explain_command(request_id, files, as_json):
     """Say what became of the request REQUEST_ID, from the logs of hosts."""
     try:
         explanation = explain(request_id, read_lines(files))
     except LookupError as error:
         raise click.ClickException(str(error.args[0])) from None
-    show(explanation, as_json, _page(explanation))
+    print_output(explanation, as_json, _page(explanation))
 
 
 def _page(explanation):
--- a/libs/cli/src/hemlockhoist/cli/host.py
+++ b/libs/cli/src/hemlockhoist/cli/host.py
@@ -7,9 +7,9 @@
 
 from hemlockhoist import host as host_library
 from hemlockhoist.base import MS_PER_S, Clock, SettingError
-from hemlockhoist.cli.errors import HostUnreachable, NotYet, reports_errors
-from hemlockhoist.cli.options import asks_a_host, host_options, json_option
-from hemlockhoist.cli.output import show
+from hemlockhoist.cli.errors import HostUnreachable, WaitTimedOut, report_errors
+from hemlockhoist.cli.options import host_options, json_option, with_client
+from hemlockhoist.cli.output import print_output
 from hemlockhoist.host.settings import Settings
 from hemlockhoist.host.settings_kinds import describe
 from hemlockhoist.host.settings_table import SETTINGS
@@ -35,7 +35,7 @@
 
 @host.command()
 @_setting_options
-@reports_errors
+@report_errors
 def run(**flags):
     """Run a host until it is told to stop (SIGTERM, SIGINT or 'host drain').
 
@@ -49,8 +49,8 @@
 @host_options
 @click.option("--wait-ms", type=click.IntRange(0), default=0, show_default=True)
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def drain(client, wait_ms, as_json):
     """Stop one host gracefully: no new work, and no request is cut."""
     if client.host_count != 1:
@@ -59,7 +59,7 @@
     if wait_ms:
         await _wait_until_stopped(client, wait_ms)
         answer = {**answer, "stopped": True}
-    show(answer, as_json)
+    print_output(answer, as_json)
 
 
 async def _wait_until_stopped(client, wait_ms):
@@ -71,4 +71,4 @@
         except HostUnreachable:
             return
         await asyncio.sleep(_POLL_MS / MS_PER_S)
-    raise NotYet(f"the host still has requests in progress after {wait_ms} ms")
+    raise WaitTimedOut(f"the host still has requests in progress after {wait_ms} ms")
--- a/libs/cli/src/hemlockhoist/cli/load.py
+++ b/libs/cli/src/hemlockhoist/cli/load.py
@@ -8,12 +8,12 @@
 
 # A caller that was refused comes back about when it was told to: so much sooner or
 # later still counts as the same caller. The homes allow the same.
-EARLY_S = 0.1
-LATE_S = 2.0
+EARLY_TOLERANCE_S = 0.1
+LATE_TOLERANCE_S = 2.0
 _MS_PER_S = 1_000
 
 
-class Spread(msgspec.Struct, frozen=True, kw_only=True):
+class Percentiles(msgspec.Struct, frozen=True, kw_only=True):
     """A count of durations, and their percentiles in milliseconds; None of none."""
 
     count: int = 0
@@ -48,8 +48,8 @@
     cut: int
     left: int
     left_waiting: int
-    wait: Spread
-    left_after: Spread
+    wait: Percentiles
+    left_after: Percentiles
     returned: int
     returned_answered: int
     returned_refused: int
@@ -72,8 +72,8 @@
     upstream: str
     sent: int
     outcomes: dict[str, int]
-    first: Spread
-    hold: Spread
+    first: Percentiles
+    hold: Percentiles
 
 
 class RefusalRow(msgspec.Struct, frozen=True, kw_only=True):
@@ -82,7 +82,7 @@
     rank: int
     code: int
     count: int
-    retry_after: Spread
+    retry_after: Percentiles
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
@@ -219,7 +219,7 @@
     for request in sorted(known, key=lambda item: item.admitted_s):
         times = due[request.key]
         for due_s in times:
-            if -EARLY_S <= request.admitted_s - due_s <= LATE_S:
+            if -EARLY_TOLERANCE_S <= request.admitted_s - due_s <= LATE_TOLERANCE_S:
                 request.is_returned = True
                 times.remove(due_s)
                 break
@@ -255,8 +255,8 @@
         cut=sum(item.is_cut for item in items),
         left=len(left),
         left_waiting=len(waiting),
-        wait=spread(waited),
-        left_after=spread(item.left_ms for item in waiting),
+        wait=percentiles(waited),
+        left_after=percentiles(item.left_ms for item in waiting),
         returned=len(returned),
         returned_answered=sum(item.was_answered for item in returned),
         returned_refused=sum(item.is_refused for item in returned),
@@ -269,8 +269,8 @@
         upstream=name,
         sent=len(sent),
         outcomes=dict(collections.Counter(line.get("outcome") for line in lines)),
-        first=spread(_number(line, "first_ms") for line in sent),
-        hold=spread(_number(line, "total_ms") for line in sent),
+        first=percentiles(_number(line, "first_ms") for line in sent),
+        hold=percentiles(_number(line, "total_ms") for line in sent),
     )
 
 
@@ -281,13 +281,15 @@
             rank = -1 if request.rank is None else request.rank
             found[rank, request.refused_code].append(request.retry_after_ms)
     return [
-        RefusalRow(rank=rank, code=code, count=len(times), retry_after=spread(times))
+        RefusalRow(
+            rank=rank, code=code, count=len(times), retry_after=percentiles(times)
+        )
         for (rank, code), times in sorted(found.items())
     ]
 
 
-def spread(values):
-    """Return the ``Spread`` of durations in milliseconds.
+def percentiles(values):
+    """Return the ``Percentiles`` of durations in milliseconds.
 
     Parameters
     ==========
@@ -296,18 +298,18 @@
 
     Examples
     ========
-    >>> from hemlockhoist.cli.load import spread
-    >>> found = spread([10, 20, 30, None, -1])
+    >>> from hemlockhoist.cli.load import percentiles
+    >>> found = percentiles([10, 20, 30, None, -1])
     >>> found.count, found.p50_ms, found.p99_ms
     (3, 20, 30)
     """
     known = sorted(value for value in values if value is not None and value >= 0)
     if not known:
-        return Spread()
+        return Percentiles()
     p50_ms, p90_ms, p99_ms = (
         known[max(0, math.ceil(part * len(known)) - 1)] for part in (0.5, 0.9, 0.99)
     )
-    return Spread(count=len(known), p50_ms=p50_ms, p90_ms=p90_ms, p99_ms=p99_ms)
+    return Percentiles(count=len(known), p50_ms=p50_ms, p90_ms=p90_ms, p99_ms=p99_ms)
 
 
 def _number(line, name):
--- a/libs/cli/src/hemlockhoist/cli/load_command.py
+++ b/libs/cli/src/hemlockhoist/cli/load_command.py
@@ -3,21 +3,21 @@
 import click
 import msgspec
 
-from hemlockhoist.cli.errors import reports_errors
-from hemlockhoist.cli.load import Spread, read_load
+from hemlockhoist.cli.errors import report_errors
+from hemlockhoist.cli.load import Percentiles, read_load
 from hemlockhoist.cli.log_lines import read_lines
 from hemlockhoist.cli.options import json_option, log_option
-from hemlockhoist.cli.output import as_text, show, table
+from hemlockhoist.cli.output import format_table, format_text, print_output
 
 
 @click.command("load")
 @log_option
 @json_option
-@reports_errors
+@report_errors
 def load_command(files, as_json):
     """Say what callers of each rank and each upstream met, from the logs of hosts."""
     load = read_load(read_lines(files))
-    show(load, as_json, _page(load))
+    print_output(load, as_json, _page(load))
 
 
 def _page(load):
@@ -27,7 +27,7 @@
         ("Refused:", load.refusals),
         ("By upstream:", load.upstreams),
     ):
-        text = table([_shown(row) for row in rows]) if rows else "none"
+        text = format_table([_shown(row) for row in rows]) if rows else "none"
         parts += [title, text, ""]
     return "\n".join(parts).rstrip()
 
@@ -38,9 +38,9 @@
 
 
 def _cell(value):
-    if not isinstance(value, Spread):
+    if not isinstance(value, Percentiles):
         return msgspec.to_builtins(value)
     if not value.count:
         return "-"
     times = (value.p50_ms, value.p90_ms, value.p99_ms)
-    return f"{value.count}x " + "/".join(as_text(item) for item in times)
+    return f"{value.count}x " + "/".join(format_text(item) for item in times)
--- a/libs/cli/src/hemlockhoist/cli/move.py
+++ b/libs/cli/src/hemlockhoist/cli/move.py
@@ -7,22 +7,22 @@
 import click
 
 from hemlockhoist.base import MS_PER_S, Clock, MoveError, ResultCode, SettingError
-from hemlockhoist.cli.applying import date_text
+from hemlockhoist.cli.declaration_changes import format_date
 from hemlockhoist.cli.errors import (
     HostUnreachable,
-    NotYet,
     OutcomeUnknown,
-    reports_errors,
+    WaitTimedOut,
+    report_errors,
 )
 from hemlockhoist.cli.exit_codes import ExitCode
 from hemlockhoist.cli.options import (
-    asks_a_host,
     author_option,
     duration_ms,
     host_options,
     json_option,
+    with_client,
 )
-from hemlockhoist.cli.output import show
+from hemlockhoist.cli.output import print_output
 from hemlockhoist.decisions.versions import MoveRequest
 
 _POLL_MS = 500
@@ -56,8 +56,8 @@
 @author_option
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def start(
     client, pool, to_version, moved_by, from_version, reason, move_id, author, as_json
 ):
@@ -79,7 +79,7 @@
         # The order may have been taken: the same id finds out, a new one would not.
         again = f"Run the same command again with --move-id {order.move_id}"
         raise OutcomeUnknown(f"the move may have started: {error}", again) from error
-    show(found, as_json, describe_move(found))
+    print_output(found, as_json, describe_move(found))
 
 
 @move.command()
@@ -92,8 +92,8 @@
 )
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def status(client, name, wait_ms, as_json):
     """Show the move with id NAME, or the latest move of pool NAME."""
     clock = Clock(asyncio.get_running_loop())
@@ -101,10 +101,10 @@
     found = await _find(client, name)
     while wait_ms and found.state == _RUNNING:
         if clock.now_ms() >= end_ms:
-            raise NotYet(f"after {wait_ms} ms: {describe_move(found)}")
+            raise WaitTimedOut(f"after {wait_ms} ms: {describe_move(found)}")
         await asyncio.sleep(_POLL_MS / MS_PER_S)
         found = await _find(client, name)
-    show(found, as_json, describe_move(found))
+    print_output(found, as_json, describe_move(found))
     if wait_ms and found.state != _FINISHED:
         raise SystemExit(int(ExitCode.NOT_MOVED))
 
@@ -115,24 +115,24 @@
 @author_option
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def cancel(client, move_id, reason, author, as_json):
     """Cancel the move with MOVE_ID: all traffic goes back."""
     found = await client.cancel_move(move_id, reason, author)
-    show(found, as_json, describe_move(found))
+    print_output(found, as_json, describe_move(found))
 
 
 @move.command(name="list")
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def list_moves(client, as_json):
     """Show the latest move of each pool."""
     view = await client.moves()
     text = "\n".join(describe_move(item) for item in view.moves)
-    show(view, as_json, text or "no move yet")
+    print_output(view, as_json, text or "no move yet")
 
 
 def describe_move(found):
@@ -146,7 +146,7 @@
     head += f"{found.from_version} -> {found.to_version}, "
     if found.state == _RUNNING:
         share = found.share_permille / 10
-        by = date_text(found.moved_by_unix_ms)
+        by = format_date(found.moved_by_unix_ms)
         return head + f"running: {share:g}% on {found.to_version}, to be moved by {by}"
     ended = _ENDED.get(found.state, found.state)
     text = ended.format(to=found.to_version, origin=found.from_version)
--- a/libs/cli/src/hemlockhoist/cli/options.py
+++ b/libs/cli/src/hemlockhoist/cli/options.py
@@ -59,7 +59,7 @@
     return command
 
 
-def asks_a_host(function):
+def with_client(function):
     """Decorate ``async def command(client, ...)`` to get a started client.
 
     The options of ``host_options`` are taken out of its arguments.
@@ -69,12 +69,12 @@
     def wrapper(*args, hosts, operator_key, ca_file, **kwargs):
         key = _checked_key(hosts, operator_key)
         client = OperatorClient(hosts, key, ca_file)
-        return asyncio.run(_with_client(client, function, args, kwargs))
+        return asyncio.run(_run_with_client(client, function, args, kwargs))
 
     return wrapper
 
 
-async def _with_client(client, function, args, kwargs):
+async def _run_with_client(client, function, args, kwargs):
     await client.start()
     try:
         return await function(client, *args, **kwargs)
--- a/libs/cli/src/hemlockhoist/cli/output.py
+++ b/libs/cli/src/hemlockhoist/cli/output.py
@@ -8,7 +8,7 @@
 import msgspec
 
 
-def show(value, as_json, text=None):
+def print_output(value, as_json, text=None):
     """Print a result.
 
     Parameters
@@ -23,56 +23,57 @@
         plain = msgspec.to_builtins(value)
         click.echo(json.dumps(plain, indent=2, sort_keys=True))
     else:
-        click.echo(as_text(msgspec.to_builtins(value)) if text is None else text)
+        click.echo(format_text(msgspec.to_builtins(value)) if text is None else text)
 
 
 @functools.singledispatch
-def as_text(value):
+def format_text(value):
     """Return plain data as text: mappings line by line, lists of them as a table."""
     return "-" if value in (None, "") else str(value)
 
 
-@as_text.register
+@format_text.register
 def _(value: bool):
     return "yes" if value else "no"
 
 
-@as_text.register
+@format_text.register
 def _(value: enum.Enum):
     return str(value.value)
 
 
-@as_text.register(list)
-@as_text.register(tuple)
+@format_text.register(list)
+@format_text.register(tuple)
 def _(value):
     if not value:
         return "none"
     if all(isinstance(item, dict) for item in value):
-        return table(value)
-    return ", ".join(as_text(item) for item in value)
+        return format_table(value)
+    return ", ".join(format_text(item) for item in value)
 
 
-@as_text.register
+@format_text.register
 def _(value: dict):
     lines = []
     for name, item in value.items():
         if isinstance(item, dict) and item:
-            inner = as_text(item).replace("\n", "\n  ")
+            inner = format_text(item).replace("\n", "\n  ")
             lines.append(f"{name}:\n  {inner}")
         elif isinstance(item, list | tuple) and item and isinstance(item[0], dict):
-            lines.append(f"{name}:\n{table(item)}")
+            lines.append(f"{name}:\n{format_table(item)}")
         else:
-            lines.append(f"{name}: {as_text(item)}")
+            lines.append(f"{name}: {format_text(item)}")
     return "\n".join(lines) or "none"
 
 
-def table(rows):
+def format_table(rows):
     """Return mappings as a table with one column for each name.
 
     Examples
     ========
-    >>> from hemlockhoist.cli.output import table
-    >>> print(table([{"host": "a", "version": 3}, {"host": "b", "version": None}]))
+    >>> from hemlockhoist.cli.output import format_table
+    >>> rows = [{"host": "a", "version": 3}, {"host": "b", "version": None}]
+    >>> print(format_table(rows))
     host  version
     a     3
     b     -
@@ -95,4 +96,4 @@
         return " ".join(f"{name}={_cell(item)}" for name, item in value.items())
     if isinstance(value, list | tuple):
         return "; ".join(_cell(item) for item in value) or "-"
-    return as_text(value)
+    return format_text(value)
--- a/libs/cli/src/hemlockhoist/cli/status.py
+++ b/libs/cli/src/hemlockhoist/cli/status.py
@@ -2,16 +2,16 @@
 
 import click
 
-from hemlockhoist.cli.errors import reports_errors
-from hemlockhoist.cli.options import asks_a_host, host_options, json_option
-from hemlockhoist.cli.output import show
+from hemlockhoist.cli.errors import report_errors
+from hemlockhoist.cli.options import host_options, json_option, with_client
+from hemlockhoist.cli.output import print_output
 
 
 @click.command()
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def status(client, as_json):
     """Show hosts, upstreams, pools, tiers and leases, as one host sees them."""
-    show(await client.status(), as_json)
+    print_output(await client.status(), as_json)
--- a/libs/cli/src/hemlockhoist/cli/tests/test_load.py
+++ b/libs/cli/src/hemlockhoist/cli/tests/test_load.py
@@ -5,7 +5,7 @@
 from click.testing import CliRunner
 
 from hemlockhoist.cli import load
-from hemlockhoist.cli.load import Spread, read_load
+from hemlockhoist.cli.load import Percentiles, read_load
 from hemlockhoist.cli.log_lines import parse_line
 from hemlockhoist.cli.main import main
 
@@ -38,11 +38,13 @@
         )
         (rank,) = found.ranks
         self.assertEqual((rank.rank, rank.asked, rank.answered), (2, 1, 1))
-        self.assertEqual(rank.wait, Spread(count=2, p50_ms=10, p90_ms=200, p99_ms=200))
+        self.assertEqual(
+            rank.wait, Percentiles(count=2, p50_ms=10, p90_ms=200, p99_ms=200)
+        )
         first, second = found.upstreams
         self.assertEqual((first.upstream, first.sent), ("u1", 0))
         self.assertEqual(first.outcomes, {"not_sent": 1})
-        self.assertEqual(first.hold, Spread())
+        self.assertEqual(first.hold, Percentiles())
         self.assertEqual((second.first.p50_ms, second.hold.p50_ms), (80, 600))
 
     def test_caller_that_comes_back_as_told(self):
@@ -100,7 +102,7 @@
         text = "timestamp=yesterday event=attempt_ended request=a upstream=u "
         text += "sent=true total_ms=long outcome=success"
         found = read_load([parse_line(text)])
-        self.assertEqual(found.upstreams[0].hold, Spread())
+        self.assertEqual(found.upstreams[0].hold, Percentiles())
 
     def test_command(self):
         """The command prints tables, and JSON for scripts, also of an empty log."""
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -178,7 +178,7 @@
             max_wait_ms=admitted.waits_until_ms - now_ms,
             max_gap_ms=admitted.route.max_gap_ms,
             failure_domain=self._context.identity.failure_domain,
-            trace=self._context.traces.text_for_peer(),
+            trace=self._context.traces.context_for_peer(),
             attempt=1 + self._arrivals,
             # Taken once: a request whose upstream could not be reached asks again.
             units=admitted.units if self._attempts == 1 else 0,
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -13,10 +13,10 @@
     Clock,
     InvariantLog,
     LineWriter,
+    LogRateLimiter,
     PeriodicTask,
     ResultCode,
     SuspendAwareClock,
-    VolumeLimit,
     configure_logs,
     get_logger,
 )
@@ -26,14 +26,14 @@
     DOMAINS_EVACUATED,
     GRANTS_IN_FLIGHT,
     HOSTS_LIVE,
-    LINES_LEFT_OUT,
+    INVARIANT_VIOLATIONS,
+    LOG_LINES_DROPPED,
     PROOF_AGE_MS,
     QUEUE_LENGTH,
     REQUESTS_OPEN,
     STORE_CALLS,
     STORE_FAILURES,
     UPSTREAMS_LISTED,
-    VIOLATIONS,
 )
 from hemlockhoist.base.traces import Traces
 from hemlockhoist.decisions.limits import UsageLog, partition_share
@@ -357,7 +357,7 @@
         for pool, count in context.store_view.count_live().items():
             metrics.gauge(UPSTREAMS_LISTED, count, pool)
         for prop, count in context.invariants.violations.items():
-            metrics.gauge(VIOLATIONS, count, prop.name)
+            metrics.gauge(INVARIANT_VIOLATIONS, count, prop.name)
         for pool, home in context.homes.active().items():
             queued, granted = home.counts()
             metrics.gauge(QUEUE_LENGTH, queued, pool)
@@ -408,8 +408,8 @@
 
 
 async def _main(settings, make_platform, listener, writer):
-    limit = VolumeLimit(Clock.from_running_loop().now_ms)
-    configure_logs("info", writer, limit, {"host": settings.name}, for_good=True)
+    limit = LogRateLimiter(Clock.from_running_loop().now_ms)
+    configure_logs("info", writer, limit, {"host": settings.name}, cache_loggers=True)
     boot_clock = SuspendAwareClock.from_system()
     platform = make_platform(settings, boot_clock)
     host = EntryProcess(settings, platform, boot_clock, listener)
@@ -432,9 +432,9 @@
 
 def _tell_left_out(limit, writer, metrics):
     """Say how many lines were left out, so that a gap does not pass for quiet."""
-    left_out, dropped = limit.take_left_out(), writer.take_dropped()
+    left_out, dropped = limit.take_dropped_by_event(), writer.take_dropped()
     if left_out or dropped:
-        metrics.count(LINES_LEFT_OUT, value=sum(left_out.values()) + dropped)
+        metrics.count(LOG_LINES_DROPPED, value=sum(left_out.values()) + dropped)
         _log.warning("lines_left_out", **left_out, unread=dropped)
 
 
--- a/libs/entry/src/hemlockhoist/entry/servers.py
+++ b/libs/entry/src/hemlockhoist/entry/servers.py
@@ -15,12 +15,12 @@
 )
 from hemlockhoist.base.exposition import exposition
 from hemlockhoist.base.metrics_table import (
-    CALLERS_LEFT,
-    CALLERS_LEFT_MS,
+    CALLERS_DISCONNECTED,
+    CALLERS_DISCONNECTED_MS,
     REQUESTS_ARRIVED,
     REQUESTS_ENDED,
 )
-from hemlockhoist.base.traces import Hop, parent_of_headers
+from hemlockhoist.base.traces import Hop, parent_from_headers
 from hemlockhoist.decisions.entry import PoolChooser, nearby_members
 from hemlockhoist.declarations import RequestLimits
 from hemlockhoist.entry.admission import Admission
@@ -107,7 +107,7 @@
         """Answer one request of a caller."""
         context = self._context
         context.open_requests += 1
-        parent = parent_of_headers(request.headers)
+        parent = parent_from_headers(request.headers)
         try:
             with context.traces.span(Hop.CALLER, parent, path=request.path) as span:
                 response = await self._answer(request)
@@ -176,8 +176,8 @@
             attempts=exchange.attempts,
         )
         if not exchange.has_begun:
-            self._context.metrics.count(CALLERS_LEFT, tier)
-            self._context.metrics.time(CALLERS_LEFT_MS, after_ms, tier)
+            self._context.metrics.count(CALLERS_DISCONNECTED, tier)
+            self._context.metrics.time(CALLERS_DISCONNECTED_MS, after_ms, tier)
 
     def _check_staying(self):
         """Refuse a request that may not end before this host does.
--- a/libs/host/src/hemlockhoist/host/chat.py
+++ b/libs/host/src/hemlockhoist/host/chat.py
@@ -11,7 +11,7 @@
     HemlockhoistError,
     ResultCode,
     get_logger,
-    info,
+    result_info,
 )
 from hemlockhoist.base.traces import Hop
 from hemlockhoist.decisions import OutcomeKind
@@ -137,7 +137,7 @@
             return await sink.finish()
         except CallerDisconnected:
             self._begin_grace(exchange.hold, work.request_id)
-            return web.Response(status=info(ResultCode.CANCELLED).http_status)
+            return web.Response(status=result_info(ResultCode.CANCELLED).http_status)
         except HemlockhoistError as error:
             if not sink.started:
                 raise
@@ -189,7 +189,7 @@
         except StreamHandedOver:
             return await sink.finish()
         except CallerDisconnected:
-            return web.Response(status=info(ResultCode.CANCELLED).http_status)
+            return web.Response(status=result_info(ResultCode.CANCELLED).http_status)
         except HemlockhoistError as error:
             if not sink.started:
                 raise
--- a/libs/host/src/hemlockhoist/host/dispatcher.py
+++ b/libs/host/src/hemlockhoist/host/dispatcher.py
@@ -13,7 +13,7 @@
     REQUESTS_WHOLE,
     WASTED_TOKENS,
 )
-from hemlockhoist.base.traces import Hop, text_of_context
+from hemlockhoist.base.traces import Hop, context_to_text
 from hemlockhoist.decisions import Outcome, OutcomeKind
 from hemlockhoist.decisions.scheduling import RetryBudget
 from hemlockhoist.messages import RequestBrief
@@ -80,7 +80,7 @@
             deadline_in_ms=self.deadline_ms - now_ms,
             first_token_in_ms=self.first_token_by_ms - now_ms,
             failure_domain=self.failure_domain,
-            trace=text_of_context(),
+            trace=context_to_text(),
         )
 
 
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -4,8 +4,8 @@
 
 from hemlockhoist.base import ResultCode, get_logger
 from hemlockhoist.base.metrics import Metrics
-from hemlockhoist.base.metrics_table import CALLERS_RETURNED, WASTED_TOKENS
-from hemlockhoist.base.traces import Hop, parent_of_text
+from hemlockhoist.base.metrics_table import CALLERS_RETRIED, WASTED_TOKENS
+from hemlockhoist.base.traces import Hop, parent_from_text
 from hemlockhoist.decisions import (
     Grant,
     Granted,
@@ -263,7 +263,7 @@
         retries_before = self.scheduler.client_retry_count
         decisions = self.scheduler.submit(request, now_ms)
         if self.scheduler.client_retry_count > retries_before:
-            self._metrics.count(CALLERS_RETURNED, self.pool)
+            self._metrics.count(CALLERS_RETRIED, self.pool)
         request_id = request.request_id
         is_decided = any(item.request.request_id == request_id for item in decisions)
         if not is_decided:
@@ -284,7 +284,7 @@
         self._send(request.entry_host, self._queued_message(request.request_id))
 
     def _begin_span(self, brief):
-        parent = parent_of_text(brief.trace)
+        parent = parent_from_text(brief.trace)
         self._spans[brief.request_id] = self._traces.start_span(
             Hop.HOME, parent, pool=self.pool, tier=brief.tier_rank
         )
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -1,7 +1,7 @@
 """Starts and closes the homes of pools at this host as the fleet changes."""
 
 from hemlockhoist.base import get_logger
-from hemlockhoist.base.metrics_table import HOMES_ALONE
+from hemlockhoist.base.metrics_table import DECISIONS_ALONE
 from hemlockhoist.decisions.scheduling import Experiments, PoolScheduler
 from hemlockhoist.declarations import PoolKind
 from hemlockhoist.host.home import PoolHome
@@ -120,7 +120,7 @@
         pool = self._context.declarations.pool(name)
         if pool is not None and name not in self._standbys:
             _log.warning("deciding_alone", pool=name)
-            self._context.metrics.count(HOMES_ALONE, name)
+            self._context.metrics.count(DECISIONS_ALONE, name)
             policy = self._context.moves.open_standby(pool)
             self._standbys[name] = home = self._new_home(pool, policy)
             home.start((self._context.identity.host_id,))
--- a/libs/host/src/hemlockhoist/host/ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/ledger_service.py
@@ -12,7 +12,7 @@
     HemlockhoistError,
     Refused,
     get_logger,
-    info,
+    result_info,
 )
 from hemlockhoist.decisions.ledger import (
     Attempt,
@@ -272,7 +272,7 @@
 @functools.singledispatch
 def _claim_from_result(result):
     """Return the claim for a result of the ledger, or raise the result's error."""
-    row = info(result.code)
+    row = result_info(result.code)
     raise _ERROR_BY_RAN[row.ran.value](
         "", result.code, RETRY_AFTER_MS if row.retryable else None
     )
--- a/libs/host/src/hemlockhoist/host/moves.py
+++ b/libs/host/src/hemlockhoist/host/moves.py
@@ -14,8 +14,8 @@
 from hemlockhoist.base.metrics_table import (
     MOVES_IN_TIME,
     MOVES_LATE,
+    MOVES_ROLLED_BACK,
     MOVES_STARTED,
-    MOVES_TAKEN_BACK,
 )
 from hemlockhoist.decisions.versions import (
     Finished,
@@ -205,7 +205,7 @@
         self.events.append({"event": kind, **fields})
         _log.info(f"move_{kind.lower()}", **fields)
         if isinstance(event, TakenBack):
-            self._context.metrics.count(MOVES_TAKEN_BACK, event.pool)
+            self._context.metrics.count(MOVES_ROLLED_BACK, event.pool)
         elif isinstance(event, Finished):
             metric = MOVES_LATE if event.late_ms else MOVES_IN_TIME
             self._context.metrics.count(metric, event.pool)
--- a/libs/host/src/hemlockhoist/host/process.py
+++ b/libs/host/src/hemlockhoist/host/process.py
@@ -20,10 +20,10 @@
     DECLARATIONS_VERSION,
     GRANTS_IN_FLIGHT,
     HOSTS_LIVE,
+    INVARIANT_VIOLATIONS,
     LEDGER_IN_PROGRESS,
     QUEUE_LENGTH,
     REQUESTS_OPEN,
-    VIOLATIONS,
 )
 from hemlockhoist.base.traces import Traces
 from hemlockhoist.declarations import Declarations
@@ -263,7 +263,7 @@
         context.metrics.gauge(DECLARATIONS_VERSION, context.declarations.version)
         context.metrics.gauge(LEDGER_IN_PROGRESS, context.ledger.in_progress)
         for prop, count in context.invariants.violations.items():
-            context.metrics.gauge(VIOLATIONS, count, prop.name)
+            context.metrics.gauge(INVARIANT_VIOLATIONS, count, prop.name)
         for pool, home in context.homes.active().items():
             queued, granted = home.counts()
             context.metrics.gauge(QUEUE_LENGTH, queued, pool)
@@ -346,7 +346,7 @@
         ``announce(identity)`` is called when the host serves; by default one line
         with its addresses goes to standard output.
     """
-    configure_logs(settings.log_level, for_good=True)
+    configure_logs(settings.log_level, cache_loggers=True)
     with aiomisc.entrypoint(pool_size=THREAD_POOL_SIZE, log_config=False) as loop:
         loop.run_until_complete(_main(settings, announce or _print_addresses))
 
--- a/libs/host/src/hemlockhoist/host/responses.py
+++ b/libs/host/src/hemlockhoist/host/responses.py
@@ -5,8 +5,8 @@
 
 from aiohttp import web
 
-from hemlockhoist.base import MS_PER_S, ResultCode, info
-from hemlockhoist.base.traces import TRACEPARENT, text_of_context
+from hemlockhoist.base import MS_PER_S, ResultCode, result_info
+from hemlockhoist.base.traces import TRACEPARENT, context_to_text
 
 CODE_HEADER = "X-Result-Code"
 RAN_HEADER = "X-Request-Ran"
@@ -19,7 +19,7 @@
     """Return the headers that every answer carries."""
     headers = {
         CODE_HEADER: str(int(code)),
-        RAN_HEADER: info(code).ran.value,
+        RAN_HEADER: result_info(code).ran.value,
     }
     if request_id:
         headers[REQUEST_ID_HEADER] = request_id
@@ -28,7 +28,7 @@
 
 def error_body(code, message, request_id, retry_after_ms=None):
     """Return the JSON object of an error, in the shape that OpenAI's clients read."""
-    row = info(code)
+    row = result_info(code)
     error = {
         "message": message,
         "type": row.code.name.lower(),
@@ -80,5 +80,5 @@
     ==========
     headers : tuple of (str, str)
     """
-    text = text_of_context()
+    text = context_to_text()
     return (*headers, (TRACEPARENT, text)) if text else headers
--- a/libs/host/src/hemlockhoist/host/server.py
+++ b/libs/host/src/hemlockhoist/host/server.py
@@ -14,7 +14,7 @@
     get_logger,
 )
 from hemlockhoist.base.metrics_table import REQUESTS_ENDED
-from hemlockhoist.base.traces import Hop, parent_of_headers
+from hemlockhoist.base.traces import Hop, parent_from_headers
 from hemlockhoist.host.chat import CHAT_PATH
 from hemlockhoist.host.responses import CODE_HEADER, error_response
 from hemlockhoist.host.services import SERVICES_PREFIX
@@ -100,7 +100,7 @@
         request["request_id"] = context.identity.new_request_id()
         context.open_requests += 1
         self._bound_buffer(request.transport)
-        parent = parent_of_headers(request.headers)
+        parent = parent_from_headers(request.headers)
         try:
             with context.traces.span(Hop.CALLER, parent, path=request.path) as span:
                 response = await self._handle(request, handler)
--- a/libs/standins/src/hemlockhoist/standins/randomised/service.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/service.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from hemlockhoist.base import Property, Ran, info
+from hemlockhoist.base import Property, Ran, result_info
 from hemlockhoist.decisions.ledger import AnswerNotKept, Replay
 from hemlockhoist.messages.ledger import StoredAnswer
 
@@ -54,7 +54,7 @@
         self._tally.outcomes[type(result).__name__] += 1
         check = self._tally.invariants.check
         ran = self.runs[call.id] if self._bodies.get(call.id) == call.body else 0
-        if info(result.code).ran is Ran.NO:
+        if result_info(result.code).ran is Ran.NO:
             detail = f"{call.id} was told {result}, and ran {ran} times"
             check(Property.NOT_RUN_IS_TRUE, ran == 0, detail)
         if isinstance(result, Replay):
--- a/tools/binary_main.py
+++ b/tools/binary_main.py
@@ -16,7 +16,7 @@
 PYTHON_RELEASE = (3, 11)
 
 
-def file_system_of(path, mounts):
+def file_system_type(path, mounts):
     """Return the type of the file system that holds ``path``.
 
     Parameters
@@ -46,7 +46,7 @@
     """
     root = os.path.realpath(environment.get(ROOT_VARIABLE) or DEFAULT_ROOT)
     mounts = pathlib.Path("/proc/self/mounts").read_text()
-    kind = file_system_of(root, mounts)
+    kind = file_system_type(root, mounts)
     if kind not in MEMORY_FILE_SYSTEMS:
         fail(f"{root} is on a file system of type {kind or 'unknown'}")
     try:
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -23,7 +23,7 @@
 DIGEST = BUILD / "hemlockhoist.inputs"
 MAIN = ROOT / "tools" / "binary_main.py"
 # Tests and stand-ins are no part of the product.
-LEFT_OUT_LIBRARIES = {"standins"}
+EXCLUDED_LIBRARIES = {"standins"}
 PYTHON = "/usr/bin/env python3.11"
 _OWN_PREFIX = "hemlockhoist-"
 # Records of an installation name folders of the machine that built it.
@@ -35,7 +35,7 @@
 def product_libraries():
     """Return the folders of the workspace's libraries that are shipped."""
     folders = sorted((ROOT / "libs").iterdir())
-    return [item for item in folders if item.name not in LEFT_OUT_LIBRARIES]
+    return [item for item in folders if item.name not in EXCLUDED_LIBRARIES]
 
 
 def own_files():
@@ -90,7 +90,7 @@
     )
 
 
-def digest_of(files):
+def inputs_digest(files):
     """Return a digest of everything that goes into the binary."""
     digest = hashlib.sha256(MAIN.read_bytes() + pathlib.Path(__file__).read_bytes())
     for source, target in files:
@@ -137,7 +137,7 @@
 def build():
     """Build the binary unless it is up to date; return its path."""
     files = own_files() + library_files()
-    digest = digest_of(files)
+    digest = inputs_digest(files)
     if BINARY.exists() and DIGEST.exists() and DIGEST.read_text() == digest:
         return BINARY
     BUILD.mkdir(exist_ok=True)
