--- a/libs/base/src/hemlockhoist/base/errors.py
+++ b/libs/base/src/hemlockhoist/base/errors.py
@@ -133,7 +133,7 @@
 
 
 class MoveError(HemlockhoistError):
-    """A version move can not be started or found."""
+    """A version move cannot be started or found."""
 
     code = ResultCode.MOVE_CONFLICT
 
--- a/libs/base/src/hemlockhoist/base/log_writer.py
+++ b/libs/base/src/hemlockhoist/base/log_writer.py
@@ -57,7 +57,7 @@
         self._thread.start()
 
     def close(self):
-        """Write the buffered lines, and wait at most ``CLOSE_TIMEOUT_S`` for the reader."""
+        """Write the buffered lines, waiting at most ``CLOSE_TIMEOUT_S``."""
         self._closing.set()
         self._lines_added.set()
         self._thread.join(CLOSE_TIMEOUT_S)
--- a/libs/base/src/hemlockhoist/base/metrics.py
+++ b/libs/base/src/hemlockhoist/base/metrics.py
@@ -185,7 +185,9 @@
         values: a gauge that is sent as a counter grows without bound.
         """
         if metric.kind is not kind or bool(metric.label) != bool(label):
-            raise TypeError(f"{metric.name} is a {metric.kind.value} by {metric.label}")
+            raise TypeError(
+                f"{metric.name} is a {metric.kind.value} with label {metric.label}"
+            )
         if not label:
             self.series.setdefault(metric.name, (metric, ""))
             return metric.name
--- a/libs/base/src/hemlockhoist/base/metrics_doc.py
+++ b/libs/base/src/hemlockhoist/base/metrics_doc.py
@@ -18,9 +18,9 @@
 fleet.
 
 The metrics address serves the same values in the Prometheus text format: dots become
-underscores, names of counters end in `_total`, the label is named `label`, and timers are
-histograms: `{PREFIX}_queue_wait_ms_bucket`. On the users' platform it is port 9464 of the
-host, path `/metrics` (`deploy/system.toml`).
+underscores, names of counters end in `_total`, the label is named `label`, and timers
+are histograms: `{PREFIX}_queue_wait_ms_bucket`. On the users' platform it is port 9464
+of the host, path `/metrics` (`deploy/system.toml`).
 
 The four main measures of the service are `requests.good` (goodput by tier),
 `prefill.wasted_tokens`, `moves.finished_in_time` and `moves.taken_back`.
--- a/libs/base/src/hemlockhoist/base/results_doc.py
+++ b/libs/base/src/hemlockhoist/base/results_doc.py
@@ -9,8 +9,8 @@
 `hemlockhoist codes` prints the same table.
 
 Every answer has its code in the header `X-Result-Code` and in the body. The header
-`X-Request-Ran` states whether the request ran: `not run`, `run` or `outcome unknown`. If
-the same request may be sent again, the answer has a `Retry-After` header.
+`X-Request-Ran` states whether the request ran: `not run`, `run` or `outcome unknown`.
+If the same request may be sent again, the answer has a `Retry-After` header.
 
 | Hundreds | Group |
 |---|---|
--- a/libs/base/src/hemlockhoist/base/tests/test_testing.py
+++ b/libs/base/src/hemlockhoist/base/tests/test_testing.py
@@ -6,7 +6,7 @@
 
 class PausedLoopTests(PausedTestCase):
     async def test_sleep_advances_virtual_time(self):
-        """Sleeping for an hour advances the clock by exactly one hour, without delay."""
+        """Sleeping for an hour advances the clock by exactly one hour, at once."""
         clock = Clock(asyncio.get_running_loop())
         before_ms = clock.now_ms()
         await asyncio.sleep(3600)
--- a/libs/base/src/hemlockhoist/base/traces.py
+++ b/libs/base/src/hemlockhoist/base/traces.py
@@ -87,7 +87,7 @@
         if endpoint is None:
             return cls(TracerProvider(sampler=ParentBased(ALWAYS_OFF)), records=False)
         # Imported here because the exporter loads its own HTTP client and codec, which
-        # take 2 MB of a host's 54 MB, and a host without an endpoint does not need them.
+        # take 2 MB of a host's 54 MB, and are not needed without an endpoint.
         from opentelemetry.exporter.otlp.proto.http.trace_exporter import (
             OTLPSpanExporter,
         )
