--- a/libs/cli/src/hemlockhoist/cli/__init__.py
+++ b/libs/cli/src/hemlockhoist/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line interface."""
--- a/libs/cli/src/hemlockhoist/cli/__main__.py
+++ b/libs/cli/src/hemlockhoist/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m hemlockhoist.cli``."""
+"""Entry point of ``python -m hemlockhoist.cli``."""
 
 from hemlockhoist.cli.main import main
 
--- a/libs/cli/src/hemlockhoist/cli/client.py
+++ b/libs/cli/src/hemlockhoist/cli/client.py
@@ -1,4 +1,4 @@
-"""The operators' surface of a host, seen from a command."""
+"""A client of the operators' HTTP interface of hosts."""
 
 import ssl
 import urllib.parse
@@ -36,10 +36,10 @@
 
 
 class OperatorClient:
-    """Calls the first of several hosts that answers.
+    """Sends each call to several hosts in order, until one answers.
 
-    Every change carries an id of its own, so that sending it to the next host after
-    a connection broke can not apply it twice.
+    Every change has a unique id, so that sending it to the next host after a broken
+    connection cannot apply it twice.
 
     Parameters
     ==========
@@ -47,7 +47,8 @@
         ``IP:port``.
     operator_key : str
     ca_file : str, optional
-        Certificates (PEM) to check hosts by; plain HTTP without it.
+        Certificates (PEM) for the verification of hosts; without it, plain HTTP is
+        used.
     """
 
     __slots__ = ("_ca_file", "_hosts", "_key", "_session")
@@ -60,7 +61,7 @@
 
     @property
     def host_count(self):
-        """How many hosts the client may call."""
+        """The number of hosts that the client may call."""
         return len(self._hosts)
 
     async def start(self):
@@ -82,11 +83,11 @@
         await self._session.close()
 
     async def status(self):
-        """Return what a host tells of the fleet, as plain data."""
+        """Return the status of the fleet as reported by a host, as plain data."""
         return await self._call("GET", STATUS_PATH, dict)
 
     async def drain(self):
-        """Ask a host to stop gracefully; return what it answers."""
+        """Request a host to stop gracefully; return its answer as plain data."""
         return await self._call("POST", DRAIN_PATH, dict)
 
     async def declarations(self):
@@ -94,7 +95,7 @@
         return await self._call("GET", DECLARATIONS_PATH, DeclarationsView)
 
     async def history(self):
-        """Return the ``HistoryView``."""
+        """Return the ``HistoryView`` of the declarations."""
         return await self._call("GET", HISTORY_PATH, HistoryView)
 
     async def change_declarations(self, change):
@@ -102,7 +103,7 @@
         return await self._call("PUT", DECLARATIONS_PATH, ChangeResult, change)
 
     async def moves(self):
-        """Return the ``MovesView``."""
+        """Return the ``MovesView`` of the fleet."""
         return await self._call("GET", MOVES_PATH, MovesView)
 
     async def start_move(self, order):
@@ -142,9 +143,9 @@
             return msgspec.json.decode(body, type=result_type)
         except msgspec.DecodeError as error:
             raise RemoteError(
-                f"{host} answered {method} {path} with something else: {error}",
+                f"{host} answered {method} {path} with an unexpected body: {error}",
                 ResultCode.PEER_VERSION,
-                "Use the command of the hosts' release.",
+                "Use the command line of the same release as the hosts.",
             ) from error
 
 
--- a/libs/cli/src/hemlockhoist/cli/codes.py
+++ b/libs/cli/src/hemlockhoist/cli/codes.py
@@ -1,4 +1,4 @@
-"""``hemlockhoist codes``: the table of result codes."""
+"""The command ``hemlockhoist codes``, which shows the table of result codes."""
 
 import click
 
@@ -11,7 +11,7 @@
 @click.argument("number", type=int, required=False)
 @json_option
 def codes(number, as_json):
-    """Show the result codes, or the one with NUMBER."""
+    """Show all result codes, or the one with NUMBER."""
     rows = [
         {
             "code": int(row.code),
@@ -26,5 +26,5 @@
         if number is None or int(row.code) == number
     ]
     if not rows:
-        raise click.BadParameter(f"{number} is no result code", param_hint="NUMBER")
+        raise click.BadParameter(f"{number} is not a result code", param_hint="NUMBER")
     print_output(rows, as_json)
--- a/libs/cli/src/hemlockhoist/cli/declaration_changes.py
+++ b/libs/cli/src/hemlockhoist/cli/declaration_changes.py
@@ -1,4 +1,4 @@
-"""Sends a change of the declarations until it is settled, and waits for its effect."""
+"""Sends changes of the declarations and waits until they are in force."""
 
 import asyncio
 import datetime
@@ -11,20 +11,20 @@
     WaitTimedOut,
 )
 
-_POLL_MS = 300
-_MAX_SENDS = 4
-_SEND_PAUSE_MS = 500
-_MAY_STILL_ARRIVE = frozenset(
+_POLL_INTERVAL_MS = 300
+_MAX_ATTEMPTS = 4
+_RETRY_DELAY_MS = 500
+_UNKNOWN_OUTCOMES = frozenset(
     {ResultCode.STORE_ANSWER_LOST, ResultCode.OUTCOME_UNKNOWN}
 )
 
 
 async def send_change(client, change):
-    """Send a change until a host says what became of it.
+    """Send a change, and retry until a host reports its outcome.
 
     The answer of a host or of the table service may be lost after the change was
-    accepted. Sending the same change id again is safe: a host that finds it in the
-    history answers with the version that it made.
+    accepted. Retrying with the same change id is safe: a host that finds the id in the
+    history answers with the version that the change created.
 
     Parameters
     ==========
@@ -38,29 +38,32 @@
     Raises
     ======
     RemoteError
-        When the change was refused.
+        If the change was refused.
     OutcomeUnknown
-        When no answer settled it; the message has what to send again.
+        If the outcome is still unknown after all attempts; the remedy has the options
+        for sending the change again.
     HostUnreachable
-        When no host can have received it.
+        If no host can have received the change.
     """
-    unsettled = None
-    for _ in range(_MAX_SENDS):
+    last_error = None
+    for _ in range(_MAX_ATTEMPTS):
         try:
             return await client.change_declarations(change)
         except HostUnreachable as error:
-            if not error.sent and unsettled is None:
+            if not error.sent and last_error is None:
                 raise
-            unsettled = error
+            last_error = error
         except RemoteError as error:
-            if error.code not in _MAY_STILL_ARRIVE:
+            if error.code not in _UNKNOWN_OUTCOMES:
                 raise
-            unsettled = error
-        await asyncio.sleep(_SEND_PAUSE_MS / MS_PER_S)
-    again = f"--change-id {change.change_id} --read-version {change.read_version}"
+            last_error = error
+        await asyncio.sleep(_RETRY_DELAY_MS / MS_PER_S)
+    retry_options = (
+        f"--change-id {change.change_id} --read-version {change.read_version}"
+    )
     raise OutcomeUnknown(
-        f"the change may have been accepted: {unsettled.message}",
-        f"Run the same command again with {again}",
+        f"the change may have been accepted: {last_error.message}",
+        f"Run the same command again with {retry_options}",
     )
 
 
@@ -74,26 +77,26 @@
     Raises
     ======
     NotYet
-        With the hosts that lack it.
+        If the time is up; the message names the hosts that lack the version.
     """
     clock = Clock(asyncio.get_running_loop())
     end_ms = clock.now_ms() + wait_ms
-    view, failure = None, None
+    view, last_error = None, None
     while True:
         try:
             view = await client.declarations()
         except (HostUnreachable, RemoteError) as error:
-            # A host that restarts while the change spreads is no reason to give up.
-            failure = error
+            # A host may restart while the change is being distributed; keep polling.
+            last_error = error
         if view is not None and view.hosts and not view.lagging(version):
             return view
         if clock.now_ms() >= end_ms:
-            raise WaitTimedOut(_lag_text(view, version, failure))
-        await asyncio.sleep(_POLL_MS / MS_PER_S)
+            raise WaitTimedOut(_describe_lag(view, version, last_error))
+        await asyncio.sleep(_POLL_INTERVAL_MS / MS_PER_S)
 
 
 def apply_result(view, changed):
-    """Return what ``declare apply --json`` prints."""
+    """Return the result of ``declare apply`` as plain data, for ``--json``."""
     return {
         "changed": changed,
         "version": view.version,
@@ -102,14 +105,14 @@
 
 
 def format_date(unix_ms):
-    """Return a date for people, in UTC."""
+    """Return a Unix time as readable text, in UTC."""
     date = datetime.datetime.fromtimestamp(unix_ms / MS_PER_S, datetime.UTC)
     return date.strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
-def _lag_text(view, version, failure):
+def _describe_lag(view, version, last_error):
     if view is None:
-        return f"version {version} is accepted; its spread is not known: {failure}"
+        return f"version {version} is accepted; not known where in force: {last_error}"
     lagging = view.lagging(version)
     total = len(view.hosts)
     return (
--- a/libs/cli/src/hemlockhoist/cli/declarations_format.py
+++ b/libs/cli/src/hemlockhoist/cli/declarations_format.py
@@ -1,4 +1,4 @@
-"""The fleet's declarations as text for people."""
+"""Formats the declarations of the fleet as readable text."""
 
 import msgspec
 
@@ -10,27 +10,32 @@
 
 
 def declarations_text(view):
-    """Return what ``declare show`` prints.
+    """Return the output of ``declare show``.
 
     Parameters
     ==========
     view : DeclarationsView
     """
-    found = view.declarations
+    current = view.declarations
     in_force = len(view.hosts) - len(view.lagging(view.version))
     parts = [
         f"version {view.version}, in force on {in_force} of {len(view.hosts)} hosts",
         format_table([_host_row(item) for item in view.hosts]),
-        _titled("tiers", [msgspec.structs.asdict(tier) for tier in found.tiers]),
-        _titled("customers", [_customer_row(item) for item in found.customers]),
-        _titled("pools", [_pool_row(pool) for pool in found.pools]),
-        "exceptions:\n" + ("\n".join(map(_exception, found.exceptions)) or "none"),
-        "defaults:\n" + format_text(msgspec.to_builtins(found.defaults)),
+        _format_section(
+            "tiers", [msgspec.structs.asdict(tier) for tier in current.tiers]
+        ),
+        _format_section(
+            "customers", [_customer_row(item) for item in current.customers]
+        ),
+        _format_section("pools", [_pool_row(pool) for pool in current.pools]),
+        "exceptions:\n"
+        + ("\n".join(map(_format_exception, current.exceptions)) or "none"),
+        "defaults:\n" + format_text(msgspec.to_builtins(current.defaults)),
     ]
     return "\n\n".join(parts)
 
 
-def _titled(title, rows):
+def _format_section(title, rows):
     return f"{title}:\n{format_table(rows) if rows else 'none'}"
 
 
@@ -57,6 +62,6 @@
     }
 
 
-def _exception(item):
+def _format_exception(item):
     value = format_text(item.value)
     return f"{item.kind} {item.name} {item.field}: {value}\n  reason: {item.reason}"
--- a/libs/cli/src/hemlockhoist/cli/declare.py
+++ b/libs/cli/src/hemlockhoist/cli/declare.py
@@ -1,4 +1,4 @@
-"""``hemlockhoist declare``: the fleet's declarations."""
+"""The command ``hemlockhoist declare``, for the declarations of the fleet."""
 
 import pathlib
 import secrets
@@ -25,7 +25,7 @@
 
 @click.group()
 def declare():
-    """Check, compare, apply and show the fleet's declarations."""
+    """Check, compare, apply and show the declarations of the fleet."""
 
 
 @declare.command()
@@ -33,14 +33,14 @@
 @json_option
 @report_errors
 def check(file, as_json):
-    """Check FILE; name line and field of every fault at once."""
-    found = _parse(file)
+    """Check FILE, and report every fault with its line and field."""
+    declarations = _parse(file)
     counts = {
         "file": str(file),
-        "tiers": len(found.tiers),
-        "customers": len(found.customers),
-        "pools": len(found.pools),
-        "exceptions": len(found.exceptions),
+        "tiers": len(declarations.tiers),
+        "customers": len(declarations.customers),
+        "pools": len(declarations.pools),
+        "exceptions": len(declarations.exceptions),
     }
     text = ", ".join(f"{count} {name}" for name, count in list(counts.items())[1:])
     print_output(counts, as_json, f"{file}: no fault ({text})")
@@ -54,9 +54,9 @@
 @with_client
 async def compare(client, file, as_json):
     """Show what applying FILE would change in the fleet."""
-    wanted = _parse(file)
+    target = _parse(file)
     view = await client.declarations()
-    changes = diff(view.declarations, wanted)
+    changes = diff(view.declarations, target)
     result = {"read_version": view.version, "changes": changes}
     text = f"read version {view.version}\n{diff_text(changes)}"
     print_output(result, as_json, text)
@@ -67,16 +67,16 @@
 @click.option(
     "--read-version",
     type=click.IntRange(0),
-    help="Version that FILE was made from, as 'declare diff' shows it; by default "
-    "the present one.",
+    help="Version that FILE is based on, as shown by 'declare diff'; by default the "
+    "current one.",
 )
-@click.option("--change-id", help="Of a change whose outcome is unknown.")
+@click.option("--change-id", help="Id of an earlier change whose outcome is unknown.")
 @click.option(
     "--wait-ms",
     type=click.IntRange(0),
     default=30_000,
     show_default=True,
-    help="How long to wait until the change is in force on every host.",
+    help="Maximum wait until the change is in force on every host.",
 )
 @author_option
 @host_options
@@ -85,30 +85,30 @@
 @with_client
 async def apply(client, file, read_version, change_id, wait_ms, author, as_json):
     """Apply FILE, and wait until it is in force on every host."""
-    wanted = _parse(file)
+    target = _parse(file)
     view = await client.declarations()
-    changes = diff(view.declarations, wanted)
+    changes = diff(view.declarations, target)
     if not changes and change_id is None:
-        # An exit code 0 says that the file is in force on every host, also when
-        # an earlier command has accepted it and could not wait.
+        # Exit code 0 means that the file is in force on every host. This includes a
+        # change that was accepted by an earlier command, which stopped waiting.
         view = await declaration_changes.wait_in_force(client, view.version, wait_ms)
         print_output(
             declaration_changes.apply_result(view, False),
             as_json,
-            _in_force(view, "no difference"),
+            _in_force_text(view, "no difference"),
         )
         return
     if not as_json:
         click.echo(diff_text(changes))
     change = DeclarationChange(
-        declarations=wanted,
+        declarations=target,
         read_version=view.version if read_version is None else read_version,
         change_id=change_id or secrets.token_hex(12),
         author=author,
     )
     result = await declaration_changes.send_change(client, change)
     view = await declaration_changes.wait_in_force(client, result.version, wait_ms)
-    text = _in_force(view, f"version {result.version} accepted")
+    text = _in_force_text(view, f"version {result.version} accepted")
     print_output(declaration_changes.apply_result(view, True), as_json, text)
 
 
@@ -118,7 +118,7 @@
 @report_errors
 @with_client
 async def show_declarations(client, as_json):
-    """Show the declarations, each exception's reason, and each host's version."""
+    """Show the declarations, the reasons of exceptions, and each host's version."""
     view = await client.declarations()
     print_output(view, as_json, declarations_text(view))
 
@@ -143,7 +143,7 @@
     return parse_declarations(file.read_bytes(), str(file))
 
 
-def _in_force(view, what):
+def _in_force_text(view, what):
     hosts = ", ".join(item.host_id for item in view.hosts)
     count = format_text(len(view.hosts))
     return f"{what}; in force on all {count} hosts: {hosts}"
--- a/libs/cli/src/hemlockhoist/cli/errors.py
+++ b/libs/cli/src/hemlockhoist/cli/errors.py
@@ -1,4 +1,4 @@
-"""What goes wrong between a command and a host, and how it is told."""
+"""Errors of commands, and how they are reported."""
 
 import functools
 
@@ -10,7 +10,7 @@
 
 
 class HostUnreachable(HemlockhoistError):
-    """None of the given hosts answered.
+    """None of the configured hosts answered.
 
     Parameters
     ==========
@@ -34,7 +34,7 @@
     message : str
     code : ResultCode
     remedy : str
-        What to do next, as the host says.
+        The remedy given by the host.
     """
 
     def __init__(self, message, code, remedy):
@@ -43,7 +43,7 @@
 
 
 class WaitTimedOut(HemlockhoistError):
-    """What was waited for has not come about within the time."""
+    """The awaited state was not reached within the time limit."""
 
     code = ResultCode.NOT_YET_IN_FORCE
 
@@ -55,7 +55,7 @@
     ==========
     message : str
     remedy : str
-        The command that settles it.
+        The command that determines the outcome.
     """
 
     code = ResultCode.OUTCOME_UNKNOWN
@@ -74,7 +74,7 @@
 
 
 def report_errors(command):
-    """Decorate a command: tell an error on standard error, and exit by its code."""
+    """Decorate a command to print errors on standard error and set the exit code."""
 
     @functools.wraps(command)
     def wrapper(*args, **kwargs):
@@ -82,7 +82,9 @@
             return command(*args, **kwargs)
         except HemlockhoistError as error:
             code = _exit_code(error)
-            click.echo(_told(error, code, kwargs.get("as_json", False)), err=True)
+            click.echo(
+                _format_error(error, code, kwargs.get("as_json", False)), err=True
+            )
             raise SystemExit(int(code)) from None
 
     return wrapper
@@ -94,7 +96,7 @@
     return exit_code_for(error.code)
 
 
-def _told(error, exit_code, as_json):
+def _format_error(error, exit_code, as_json):
     remedy = _remedy(error)
     if as_json:
         line = _ErrorLine(
@@ -111,7 +113,7 @@
 def _remedy(error):
     if isinstance(error, HostUnreachable):
         return (
-            "Name a host that runs by --host IP:port or HEMLOCKHOIST_HOST; "
-            "one that serves HTTPS needs --ca-file."
+            "Name a running host with --host IP:port or HEMLOCKHOIST_HOST; "
+            "a host that serves HTTPS needs --ca-file."
         )
     return getattr(error, "remedy", error.info.remedy)
--- a/libs/cli/src/hemlockhoist/cli/exit_codes.py
+++ b/libs/cli/src/hemlockhoist/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command, for scripts."""
+"""The exit codes of the command line."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a script may act on; ``docs/operators/hosts.md`` has the table."""
+    """The exit codes, as documented in ``docs/operators/hosts.md``."""
 
     OK = 0
     UNEXPECTED = 1
@@ -37,5 +37,5 @@
 
 
 def exit_code_for(result_code):
-    """Return the exit code for a result code; ``REFUSED`` for those not listed."""
+    """Return the exit code for a result code; ``REFUSED`` if none is assigned to it."""
     return _BY_RESULT.get(result_code, ExitCode.REFUSED)
--- a/libs/cli/src/hemlockhoist/cli/explain.py
+++ b/libs/cli/src/hemlockhoist/cli/explain.py
@@ -1,4 +1,4 @@
-"""``hemlockhoist explain``: from a request's id to what became of it, and why."""
+"""The command ``hemlockhoist explain``, which traces a request in the hosts' logs."""
 
 import click
 import msgspec
@@ -9,8 +9,8 @@
 from hemlockhoist.cli.options import json_option, log_option
 from hemlockhoist.cli.output import print_output
 
-# Lines that are about a host, an upstream or a customer, and explain what became of the
-# requests of their time.
+# Events that concern a host, an upstream or a customer, and explain the results of
+# requests at about the same time.
 CONTEXT_EVENTS = frozenset(
     {
         "deciding_alone",
@@ -31,24 +31,26 @@
         "upstream_listed",
     }
 )
-# How far before a request's first line and after its last one the context reaches.
+# The context covers this time before a request's first line and after its last line.
 CONTEXT_S = 3
-_ENDS = frozenset({"request_refused", "request_ended", "stream_cut", "caller_left"})
-_LEFT_OUT = frozenset({"level", "component", "request"})
+_END_EVENTS = frozenset(
+    {"request_refused", "request_ended", "stream_cut", "caller_left"}
+)
+_HIDDEN_FIELDS = frozenset({"level", "component", "request"})
 
 
 class Explanation(msgspec.Struct, frozen=True, kw_only=True):
-    """What the logs say of one request.
+    """The log lines of one request and their context.
 
     Parameters
     ==========
     request : str
     verdict : str
-        One sentence: how it ended, and what the code means.
+        One sentence that states the result and the meaning of its code.
     lines : list of str
-        What was decided on it, in order.
+        The log lines of the request, in order of time.
     around : list of str
-        What happened to the hosts and upstreams concerned meanwhile.
+        The log lines about the hosts and upstreams concerned, in order of time.
     """
 
     request: str
@@ -63,29 +65,29 @@
     Parameters
     ==========
     request_id : str
-        As its caller sent it.
+        The id that the caller sent.
     lines : iterable of LogLine
-        Of all hosts, in any order.
+        The lines of all hosts, in any order.
 
     Raises
     ======
     LookupError
-        When no line is about it.
+        If no line names the request.
     """
     lines = sorted(lines, key=lambda line: line.timestamp)
-    own = [line for line in lines if line.request == request_id]
-    if not own:
+    request_lines = [line for line in lines if line.request == request_id]
+    if not request_lines:
         raise LookupError(f"no line names the request {request_id}")
     return Explanation(
         request=request_id,
-        verdict=_verdict(own),
-        lines=[_shown(line) for line in own],
-        around=[_shown(line) for line in _context(own, lines)],
+        verdict=_verdict(request_lines),
+        lines=[_format_line(line) for line in request_lines],
+        around=[_format_line(line) for line in _context(request_lines, lines)],
     )
 
 
-def _verdict(own):
-    for line in reversed([item for item in own if item.event in _ENDS]):
+def _verdict(request_lines):
+    for line in reversed([item for item in request_lines if item.event in _END_EVENTS]):
         if line.event == "request_refused":
             row = RESULTS[ResultCode(int(line.get("code")))]
             reason = line.get("reason")
@@ -93,7 +95,7 @@
             if reason and reason != row.meaning:
                 text += f" ({reason})"
             return f"{text} Ran: {row.ran.value}. Next: {row.remedy}"
-        if line.event == "request_ended" and not _was_cut(own):
+        if line.event == "request_ended" and not _was_cut(request_lines):
             return (
                 f"It was answered with status {line.get('status')} after "
                 f"{line.get('after_ms')} ms and {line.get('attempts')} attempt(s)."
@@ -101,47 +103,50 @@
         if line.event == "stream_cut":
             return f"Its stream was cut: {line.get('reason')}."
         if line.event == "caller_left":
-            return f"Its caller left after {line.get('after_ms')} ms."
-    return "No line tells its end: its host stopped, or lines were left out."
+            return f"Its caller disconnected after {line.get('after_ms')} ms."
+    return "No line reports its end: its host stopped, or lines were dropped."
 
 
-def _was_cut(own):
-    return any(line.event == "stream_cut" for line in own)
+def _was_cut(request_lines):
+    return any(line.event == "stream_cut" for line in request_lines)
 
 
-def _context(own, lines):
-    """Return the lines around that concern the request's hosts and upstreams."""
-    hosts = {line.host for line in own}
-    upstreams = {line.get("upstream") for line in own} - {""}
-    first, last = _seconds(own[0]), _seconds(own[-1])
+def _context(request_lines, lines):
+    """Return the context lines about the hosts and upstreams of the request."""
+    hosts = {line.host for line in request_lines}
+    upstreams = {line.get("upstream") for line in request_lines} - {""}
+    first, last = _time_of_day_s(request_lines[0]), _time_of_day_s(request_lines[-1])
     return [
         line
         for line in lines
         if line.event in CONTEXT_EVENTS
-        and first - CONTEXT_S <= _seconds(line) <= last + CONTEXT_S
-        and (line.get("upstream") in upstreams or _is_of_host(line, hosts))
+        and first - CONTEXT_S <= _time_of_day_s(line) <= last + CONTEXT_S
+        and (line.get("upstream") in upstreams or _concerns_hosts(line, hosts))
     ]
 
 
-def _is_of_host(line, hosts):
+def _concerns_hosts(line, hosts):
     return line.host in hosts and not line.event.startswith("upstream_")
 
 
-def _seconds(line):
-    """Return a line's time of day; days do not matter over some seconds."""
-    clock = line.timestamp.partition("T")[2].rstrip("Z")
-    hours, minutes, seconds = clock.split(":")
+def _time_of_day_s(line):
+    """Return the time of day of a line in seconds.
+
+    The date is ignored, as only differences of a few seconds are compared.
+    """
+    time = line.timestamp.partition("T")[2].rstrip("Z")
+    hours, minutes, seconds = time.split(":")
     return int(hours) * 3_600 + int(minutes) * 60 + float(seconds)
 
 
-def _shown(line):
-    clock = line.timestamp.partition("T")[2].rstrip("Z")[:12]
+def _format_line(line):
+    time = line.timestamp.partition("T")[2].rstrip("Z")[:12]
     pairs = " ".join(
         f"{key}={value}"
         for key, value in line.fields.items()
-        if key not in _LEFT_OUT and value != ""
+        if key not in _HIDDEN_FIELDS and value != ""
     )
-    return f"{clock} {line.host} {line.event} {pairs}".rstrip()
+    return f"{time} {line.host} {line.event} {pairs}".rstrip()
 
 
 @click.command("explain")
@@ -150,16 +155,16 @@
 @json_option
 @report_errors
 def explain_command(request_id, files, as_json):
-    """Say what became of the request REQUEST_ID, from the logs of hosts."""
+    """Explain the result of the request REQUEST_ID from the logs of hosts."""
     try:
         explanation = explain(request_id, read_lines(files))
     except LookupError as error:
         raise click.ClickException(str(error.args[0])) from None
-    print_output(explanation, as_json, _page(explanation))
+    print_output(explanation, as_json, _format_page(explanation))
 
 
-def _page(explanation):
-    parts = [explanation.verdict, "", "What was decided on it:", *explanation.lines]
+def _format_page(explanation):
+    parts = [explanation.verdict, "", "Log lines of the request:", *explanation.lines]
     if explanation.around:
-        parts += ["", "What happened around it:", *explanation.around]
+        parts += ["", "Related events at the time:", *explanation.around]
     return "\n".join(parts)
--- a/libs/cli/src/hemlockhoist/cli/host.py
+++ b/libs/cli/src/hemlockhoist/cli/host.py
@@ -1,4 +1,4 @@
-"""``hemlockhoist host``: run a host, and stop one gracefully."""
+"""The command ``hemlockhoist host``, which runs and stops hosts."""
 
 import asyncio
 import os
@@ -14,7 +14,7 @@
 from hemlockhoist.host.settings_kinds import describe
 from hemlockhoist.host.settings_table import SETTINGS
 
-_POLL_MS = 300
+_POLL_INTERVAL_MS = 300
 
 
 @click.group()
@@ -23,7 +23,7 @@
 
 
 def _setting_options(command):
-    """Decorate a command with one flag for each setting of the table."""
+    """Decorate a command with a flag for each setting of the table."""
     for setting in reversed(SETTINGS):
         default = f"default {setting.default}" if setting.default else "no default"
         if setting.required:
@@ -37,9 +37,9 @@
 @_setting_options
 @report_errors
 def run(**flags):
-    """Run a host until it is told to stop (SIGTERM, SIGINT or 'host drain').
+    """Run a host until it is stopped by SIGTERM, SIGINT or 'host drain'.
 
-    Each setting is a flag here and a HEMLOCKHOIST_… variable; flags go first.
+    Each setting is a flag and a HEMLOCKHOIST_… variable; flags take precedence.
     """
     settings = Settings.from_environment(os.environ, flags)
     host_library.run(settings)
@@ -52,9 +52,9 @@
 @report_errors
 @with_client
 async def drain(client, wait_ms, as_json):
-    """Stop one host gracefully: no new work, and no request is cut."""
+    """Stop one host gracefully: it accepts no new work and completes its requests."""
     if client.host_count != 1:
-        raise SettingError("host: name exactly the one host that is to stop")
+        raise SettingError("host: name exactly one host, the one to stop")
     answer = await client.drain()
     if wait_ms:
         await _wait_until_stopped(client, wait_ms)
@@ -70,5 +70,5 @@
             await client.status()
         except HostUnreachable:
             return
-        await asyncio.sleep(_POLL_MS / MS_PER_S)
+        await asyncio.sleep(_POLL_INTERVAL_MS / MS_PER_S)
     raise WaitTimedOut(f"the host still has requests in progress after {wait_ms} ms")
--- a/libs/cli/src/hemlockhoist/cli/load.py
+++ b/libs/cli/src/hemlockhoist/cli/load.py
@@ -1,4 +1,4 @@
-"""What callers of each rank, and each upstream, met: read from the hosts' logs."""
+"""Statistics by rank and by upstream, computed from the hosts' logs."""
 
 import collections
 import datetime
@@ -6,15 +6,15 @@
 
 import msgspec
 
-# A caller that was refused comes back about when it was told to: so much sooner or
-# later still counts as the same caller. The homes allow the same.
+# A refused caller retries at about the time given by Retry-After. A request this much
+# earlier or later still counts as its retry. The homes use the same tolerances.
 EARLY_TOLERANCE_S = 0.1
 LATE_TOLERANCE_S = 2.0
 _MS_PER_S = 1_000
 
 
 class Percentiles(msgspec.Struct, frozen=True, kw_only=True):
-    """A count of durations, and their percentiles in milliseconds; None of none."""
+    """The count and percentiles of durations; the latter are None without durations."""
 
     count: int = 0
     p50_ms: int | None = None
@@ -23,22 +23,23 @@
 
 
 class RankRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of the requests of one rank.
+    """The results of the requests of one rank.
 
     Parameters
     ==========
     rank : int
     asked, answered, refused, left, cut : int
-        ``left``: their callers went away; ``cut``: streams that ended early.
+        Numbers of requests. ``left`` are those whose callers disconnected, and ``cut``
+        those whose streams ended early.
     left_waiting : int
-        Of those that left, how many had got no place.
-    wait : Spread
-        From asking for a place to having it.
-    left_after : Spread
-        How long the callers had waited that left without a place.
+        The number of those in ``left`` that had not been assigned a slot.
+    wait : Percentiles
+        The time from the request for a slot to its assignment.
+    left_after : Percentiles
+        The time after which callers without a slot disconnected.
     returned, returned_answered, returned_refused : int
-        Callers that came back after a refusal as they were told, and what became of
-        them.
+        The number of retries by refused callers at the time given by Retry-After, and
+        of those among them that were answered and refused.
     """
 
     rank: int
@@ -56,17 +57,17 @@
 
 
 class UpstreamRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What one upstream did with what it was sent.
+    """The results of the requests sent to one upstream.
 
     Parameters
     ==========
     upstream : str
     sent : int
     outcomes : dict of str to int
-    first : Spread
-        From the send to the first part of an answer.
-    hold : Spread
-        From the send to the end.
+    first : Percentiles
+        The time from sending a request to the first part of its answer.
+    hold : Percentiles
+        The time from sending a request to the end of its answer.
     """
 
     upstream: str
@@ -77,7 +78,7 @@
 
 
 class RefusalRow(msgspec.Struct, frozen=True, kw_only=True):
-    """How often requests of a rank were refused with one code; rank -1 is not known."""
+    """The refusals of a rank with one code; rank -1 means that the rank is unknown."""
 
     rank: int
     code: int
@@ -86,7 +87,7 @@
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """The tables of ``hemlockhoist load``."""
+    """The tables printed by ``hemlockhoist load``."""
 
     ranks: list[RankRow]
     upstreams: list[UpstreamRow]
@@ -94,13 +95,13 @@
 
 
 class _Request:
-    """What the lines of one request say."""
+    """The state of one request, collected from its log lines."""
 
     __slots__ = (
         "admitted_s",
-        "has_place",
+        "has_slot",
         "is_cut",
-        "is_returned",
+        "is_retry",
         "key",
         "left_ms",
         "rank",
@@ -114,9 +115,9 @@
         self.rank = None
         self.key = None
         self.admitted_s = None
-        self.has_place = False
+        self.has_slot = False
         self.is_cut = False
-        self.is_returned = False
+        self.is_retry = False
         self.left_ms = None
         self.refused_code = None
         self.refused_s = None
@@ -125,17 +126,17 @@
 
     @property
     def is_refused(self):
-        """Whether its last word was a refusal."""
+        """Whether the request was refused."""
         return self.refused_code is not None
 
 
 def read_load(lines):
-    """Return the ``Load`` that the lines of all hosts tell of.
+    """Return the ``Load`` computed from the log lines of all hosts.
 
     Parameters
     ==========
     lines : iterable of LogLine
-        In any order.
+        The lines, in any order.
 
     Examples
     ========
@@ -149,11 +150,11 @@
     waits = collections.defaultdict(list)
     for line in lines:
         if line.request:
-            _note(requests[line.request], line)
+            _record(requests[line.request], line)
         if line.event == "attempt_ended":
             attempts[line.get("upstream")].append(line)
             waits[line.request].append(line)
-    _mark_returned(requests.values())
+    _mark_retries(requests.values())
     return Load(
         ranks=_rank_rows(requests, waits),
         upstreams=[_upstream_row(name, attempts[name]) for name in sorted(attempts)],
@@ -161,70 +162,70 @@
     )
 
 
-def _note(request, line):
-    note = _NOTES.get(line.event)
-    if note is not None:
-        note(request, line)
+def _record(request, line):
+    record = _RECORDERS.get(line.event)
+    if record is not None:
+        record(request, line)
 
 
-def _note_admitted(request, line):
+def _record_admitted(request, line):
     request.rank = _number(line, "rank")
     request.admitted_s = _seconds(line)
     names = ("customer", "route", "prompt_tokens", "units")
     request.key = tuple(line.get(name) for name in names)
 
 
-def _note_place(request, line):
-    request.has_place = True
+def _record_slot(request, line):
+    request.has_slot = True
 
 
-def _note_ended(request, line):
+def _record_ended(request, line):
     request.was_answered = not request.is_cut
 
 
-def _note_refused(request, line):
+def _record_refused(request, line):
     request.refused_code = _number(line, "code")
     request.refused_s = _seconds(line)
     request.retry_after_ms = _number(line, "retry_after_ms") or 0
 
 
-def _note_cut(request, line):
+def _record_cut(request, line):
     request.is_cut = True
     request.was_answered = False
 
 
-def _note_left(request, line):
+def _record_left(request, line):
     request.left_ms = _number(line, "after_ms") or 0
 
 
-_NOTES = {
-    "request_admitted": _note_admitted,
-    "place_granted": _note_place,
-    "attempt_ended": _note_place,
-    "request_ended": _note_ended,
-    "request_refused": _note_refused,
-    "stream_cut": _note_cut,
-    "caller_left": _note_left,
+_RECORDERS = {
+    "request_admitted": _record_admitted,
+    "place_granted": _record_slot,
+    "attempt_ended": _record_slot,
+    "request_ended": _record_ended,
+    "request_refused": _record_refused,
+    "stream_cut": _record_cut,
+    "caller_left": _record_left,
 }
 
 
-def _mark_returned(requests):
-    """Mark the requests whose caller was refused before, and came when it was told.
+def _mark_retries(requests):
+    """Mark the requests that are retries of refused ones at the time given to callers.
 
-    A request has another id when it comes back; it is known by customer, route and
-    size, as a home knows it. One without a size can not be told from others.
+    A retry has a new request id. It is matched by customer, route and size, as in the
+    homes. Requests without a size cannot be distinguished, and are not matched.
     """
     known = [item for item in requests if item.admitted_s is not None]
-    due = collections.defaultdict(list)
+    retry_times = collections.defaultdict(list)
     for request in sorted(known, key=lambda item: item.admitted_s):
-        times = due[request.key]
-        for due_s in times:
-            if -EARLY_TOLERANCE_S <= request.admitted_s - due_s <= LATE_TOLERANCE_S:
-                request.is_returned = True
-                times.remove(due_s)
+        expected_s = retry_times[request.key]
+        for retry_s in expected_s:
+            if -EARLY_TOLERANCE_S <= request.admitted_s - retry_s <= LATE_TOLERANCE_S:
+                request.is_retry = True
+                expected_s.remove(retry_s)
                 break
         if request.is_refused and _has_size(request):
-            times.append(request.refused_s + request.retry_after_ms / _MS_PER_S)
+            expected_s.append(request.refused_s + request.retry_after_ms / _MS_PER_S)
 
 
 def _has_size(request):
@@ -242,8 +243,8 @@
 def _rank_row(rank, requests, waits):
     items = requests.values()
     left = [item for item in items if item.left_ms is not None]
-    waiting = [item for item in left if not item.has_place]
-    returned = [item for item in items if item.is_returned]
+    waiting = [item for item in left if not item.has_slot]
+    returned = [item for item in items if item.is_retry]
     waited = [
         _number(line, "waited_ms") for name in requests for line in waits.get(name, ())
     ]
@@ -275,16 +276,19 @@
 
 
 def _refusal_rows(requests):
-    found = collections.defaultdict(list)
+    delays_by_code = collections.defaultdict(list)
     for request in requests:
         if request.is_refused:
             rank = -1 if request.rank is None else request.rank
-            found[rank, request.refused_code].append(request.retry_after_ms)
+            delays_by_code[rank, request.refused_code].append(request.retry_after_ms)
     return [
         RefusalRow(
-            rank=rank, code=code, count=len(times), retry_after=percentiles(times)
+            rank=rank,
+            code=code,
+            count=len(delays),
+            retry_after=percentiles(delays),
         )
-        for (rank, code), times in sorted(found.items())
+        for (rank, code), delays in sorted(delays_by_code.items())
     ]
 
 
@@ -294,7 +298,7 @@
     Parameters
     ==========
     values : iterable of int or None
-        None and values below 0 stand for what never came, and are left out.
+        Durations; None and values below 0 mean a missing value, and are ignored.
 
     Examples
     ========
@@ -307,13 +311,14 @@
     if not known:
         return Percentiles()
     p50_ms, p90_ms, p99_ms = (
-        known[max(0, math.ceil(part * len(known)) - 1)] for part in (0.5, 0.9, 0.99)
+        known[max(0, math.ceil(fraction * len(known)) - 1)]
+        for fraction in (0.5, 0.9, 0.99)
     )
     return Percentiles(count=len(known), p50_ms=p50_ms, p90_ms=p90_ms, p99_ms=p99_ms)
 
 
 def _number(line, name):
-    """Return a field as a whole number, or None where it is missing or none."""
+    """Return a field as an integer, or None if it is missing or not an integer."""
     try:
         return int(line.get(name))
     except ValueError:
@@ -321,7 +326,7 @@
 
 
 def _seconds(line):
-    """Return a line's time in seconds, or 0 where it can not be read."""
+    """Return the time of a line as Unix time in seconds, or 0 if it is malformed."""
     try:
         return datetime.datetime.fromisoformat(line.timestamp).timestamp()
     except ValueError:
--- a/libs/cli/src/hemlockhoist/cli/load_command.py
+++ b/libs/cli/src/hemlockhoist/cli/load_command.py
@@ -1,4 +1,4 @@
-"""``hemlockhoist load``: waits, holds, refusals and comebacks, from the hosts' logs."""
+"""The command ``hemlockhoist load``, which summarizes the hosts' logs."""
 
 import click
 import msgspec
@@ -15,29 +15,29 @@
 @json_option
 @report_errors
 def load_command(files, as_json):
-    """Say what callers of each rank and each upstream met, from the logs of hosts."""
+    """Show waits, results and retries by rank and upstream, from the logs of hosts."""
     load = read_load(read_lines(files))
-    print_output(load, as_json, _page(load))
+    print_output(load, as_json, _format_page(load))
 
 
-def _page(load):
+def _format_page(load):
     parts = []
     for title, rows in (
         ("By rank:", load.ranks),
         ("Refused:", load.refusals),
         ("By upstream:", load.upstreams),
     ):
-        text = format_table([_shown(row) for row in rows]) if rows else "none"
+        text = format_table([_row_cells(row) for row in rows]) if rows else "none"
         parts += [title, text, ""]
     return "\n".join(parts).rstrip()
 
 
-def _shown(row):
-    """Return a row's fields, a spread as its count and percentiles."""
-    return {name: _cell(getattr(row, name)) for name in row.__struct_fields__}
+def _row_cells(row):
+    """Return the fields of a row, with percentiles formatted as text."""
+    return {name: _format_cell(getattr(row, name)) for name in row.__struct_fields__}
 
 
-def _cell(value):
+def _format_cell(value):
     if not isinstance(value, Percentiles):
         return msgspec.to_builtins(value)
     if not value.count:
--- a/libs/cli/src/hemlockhoist/cli/log_lines.py
+++ b/libs/cli/src/hemlockhoist/cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of hosts, read back: key=value pairs, from any number of hosts."""
+"""Parses the key=value log lines of hosts."""
 
 import re
 
@@ -9,15 +9,16 @@
 
 
 class LogLine(msgspec.Struct, frozen=True, kw_only=True):
-    """One line.
+    """A log line.
 
     Parameters
     ==========
     timestamp : str
-        By the clock of the host that wrote it; sorts as text.
+        The time by the clock of the host that wrote the line, in a format that sorts
+        as text.
     event, host : str
     fields : dict of str to str
-        All others.
+        All other fields.
     """
 
     timestamp: str
@@ -26,19 +27,19 @@
     fields: dict[str, str] = {}
 
     def get(self, name):
-        """Return a field, or the empty text."""
+        """Return a field, or an empty string if it is missing."""
         return self.fields.get(name, "")
 
     @property
     def request(self):
-        """The request that it is about, as its caller named it, or the empty text."""
+        """The id of the request concerned, as sent by the caller; empty if none."""
         return self.get("request").partition("/")[0]
 
 
 def parse_line(text):
-    """Return the ``LogLine`` of a text, or None where it is none.
+    """Return the ``LogLine`` for a text, or None if the text is not a log line.
 
-    Whatever stands before the first pair, such as what a collector adds, is left out.
+    Text before the timestamp, such as a prefix added by a log collector, is ignored.
 
     Examples
     ========
@@ -54,7 +55,7 @@
     start = text.find("timestamp=")
     if start < 0:
         return None
-    fields = {key: _plain(value) for key, value in _PAIR.findall(text[start:])}
+    fields = {key: _unquote(value) for key, value in _PAIR.findall(text[start:])}
     if "event" not in fields:
         return None
     return LogLine(
@@ -66,7 +67,7 @@
 
 
 def read_lines(files):
-    """Yield the ``LogLine`` of each line of some files; of standard input without any.
+    """Yield the ``LogLine`` objects of files, or of standard input if there are none.
 
     Parameters
     ==========
@@ -79,7 +80,7 @@
                 yield line
 
 
-def _plain(value):
+def _unquote(value):
     if len(value) < 2 or value[0] != '"':
         return value
     return value[1:-1].replace('\\"', '"').replace("\\\\", "\\")
--- a/libs/cli/src/hemlockhoist/cli/main.py
+++ b/libs/cli/src/hemlockhoist/cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``hemlockhoist``."""
+"""The command ``hemlockhoist`` with its subcommands."""
 
 import click
 
@@ -13,9 +13,9 @@
 
 @click.group()
 def main():
-    """Schedule requests over unlike engines.
+    """Schedule requests over heterogeneous engines.
 
-    Operators' commands ask a host (HEMLOCKHOIST_HOST, HEMLOCKHOIST_OPERATOR_KEY).
+    Operators' commands call a host (HEMLOCKHOIST_HOST, HEMLOCKHOIST_OPERATOR_KEY).
     """
 
 
--- a/libs/cli/src/hemlockhoist/cli/move.py
+++ b/libs/cli/src/hemlockhoist/cli/move.py
@@ -1,4 +1,4 @@
-"""``hemlockhoist move``: moving a pool's traffic to another version."""
+"""The command ``hemlockhoist move``, which moves traffic to another version."""
 
 import asyncio
 import datetime
@@ -25,9 +25,9 @@
 from hemlockhoist.cli.output import print_output
 from hemlockhoist.decisions.versions import MoveRequest
 
-_POLL_MS = 500
+_POLL_INTERVAL_MS = 500
 _RUNNING, _FINISHED = "running", "finished"
-_ENDED = {
+_END_TEXTS = {
     _FINISHED: "FINISHED: all traffic is on {to}",
     "taken_back": "TAKEN BACK: all traffic is on {origin} again",
     "cancelled": "CANCELLED: all traffic is on {origin} again",
@@ -46,13 +46,15 @@
     "--by",
     "moved_by",
     required=True,
-    help="When all traffic is to be moved: +30m, +2h, or 2026-12-03T02:00Z.",
+    help="Time by which all traffic is to be moved: +30m, +2h, or 2026-12-03T02:00Z.",
 )
 @click.option(
-    "--from", "from_version", help="The version that serves; asked for by default."
+    "--from",
+    "from_version",
+    help="The serving version; by default as reported by a host.",
 )
-@click.option("--reason", required=True, help="Why, for any colleague to read.")
-@click.option("--move-id", help="Of an order whose outcome is unknown.")
+@click.option("--reason", required=True, help="Reason, shown to other operators.")
+@click.option("--move-id", help="Id of an earlier order whose outcome is unknown.")
 @author_option
 @host_options
 @json_option
@@ -72,14 +74,15 @@
         author=author,
     )
     try:
-        found = await client.start_move(order)
+        move_view = await client.start_move(order)
     except HostUnreachable as error:
         if not error.sent:
             raise
-        # The order may have been taken: the same id finds out, a new one would not.
+        # The order may have been accepted. Sending the same id again determines whether
+        # it was; a new id would not.
         again = f"Run the same command again with --move-id {order.move_id}"
         raise OutcomeUnknown(f"the move may have started: {error}", again) from error
-    print_output(found, as_json, describe_move(found))
+    print_output(move_view, as_json, describe_move(move_view))
 
 
 @move.command()
@@ -88,7 +91,7 @@
     "--wait-ms",
     type=click.IntRange(0),
     default=0,
-    help="Wait for the end; exit code 10 unless the move has finished.",
+    help="Maximum wait for the end of the move; exit code 10 unless it finished.",
 )
 @host_options
 @json_option
@@ -98,29 +101,29 @@
     """Show the move with id NAME, or the latest move of pool NAME."""
     clock = Clock(asyncio.get_running_loop())
     end_ms = clock.now_ms() + wait_ms
-    found = await _find(client, name)
-    while wait_ms and found.state == _RUNNING:
+    move_view = await _find(client, name)
+    while wait_ms and move_view.state == _RUNNING:
         if clock.now_ms() >= end_ms:
-            raise WaitTimedOut(f"after {wait_ms} ms: {describe_move(found)}")
-        await asyncio.sleep(_POLL_MS / MS_PER_S)
-        found = await _find(client, name)
-    print_output(found, as_json, describe_move(found))
-    if wait_ms and found.state != _FINISHED:
+            raise WaitTimedOut(f"after {wait_ms} ms: {describe_move(move_view)}")
+        await asyncio.sleep(_POLL_INTERVAL_MS / MS_PER_S)
+        move_view = await _find(client, name)
+    print_output(move_view, as_json, describe_move(move_view))
+    if wait_ms and move_view.state != _FINISHED:
         raise SystemExit(int(ExitCode.NOT_MOVED))
 
 
 @move.command()
 @click.argument("move_id")
-@click.option("--reason", required=True, help="Why, for any colleague to read.")
+@click.option("--reason", required=True, help="Reason, shown to other operators.")
 @author_option
 @host_options
 @json_option
 @report_errors
 @with_client
 async def cancel(client, move_id, reason, author, as_json):
-    """Cancel the move with MOVE_ID: all traffic goes back."""
-    found = await client.cancel_move(move_id, reason, author)
-    print_output(found, as_json, describe_move(found))
+    """Cancel the move with MOVE_ID, and return all traffic to the former version."""
+    move_view = await client.cancel_move(move_id, reason, author)
+    print_output(move_view, as_json, describe_move(move_view))
 
 
 @move.command(name="list")
@@ -135,39 +138,41 @@
     print_output(view, as_json, text or "no move yet")
 
 
-def describe_move(found):
-    """Return one plain sentence on where a move stands.
+def describe_move(move_view):
+    """Return one sentence that describes the state of a move.
 
     Parameters
     ==========
-    found : MoveView
+    move_view : MoveView
     """
-    head = f"move {found.move_id} of {found.pool}, "
-    head += f"{found.from_version} -> {found.to_version}, "
-    if found.state == _RUNNING:
-        share = found.share_permille / 10
-        by = format_date(found.moved_by_unix_ms)
-        return head + f"running: {share:g}% on {found.to_version}, to be moved by {by}"
-    ended = _ENDED.get(found.state, found.state)
-    text = ended.format(to=found.to_version, origin=found.from_version)
-    reason = f" (reason: {found.reason})" if found.reason else ""
+    head = f"move {move_view.move_id} of {move_view.pool}, "
+    head += f"{move_view.from_version} -> {move_view.to_version}, "
+    if move_view.state == _RUNNING:
+        share = move_view.share_permille / 10
+        by = format_date(move_view.moved_by_unix_ms)
+        return (
+            head + f"running: {share:g}% on {move_view.to_version}, to be moved by {by}"
+        )
+    ended = _END_TEXTS.get(move_view.state, move_view.state)
+    text = ended.format(to=move_view.to_version, origin=move_view.from_version)
+    reason = f" (reason: {move_view.reason})" if move_view.reason else ""
     return head + text + reason
 
 
 async def _find(client, name):
     view = await client.moves()
-    for found in view.moves:
-        if name in (found.move_id, found.pool):
-            return found
+    for move_view in view.moves:
+        if name in (move_view.move_id, move_view.pool):
+            return move_view
     raise MoveError(f"there is no move {name!r}", code=ResultCode.MOVE_UNKNOWN)
 
 
 async def _serving_version(client, pool):
-    """Return the version that serves a pool: of its last move, or as declared."""
-    for found in (await client.moves()).moves:
-        if found.pool == pool:
-            finished = found.state == _FINISHED
-            return found.to_version if finished else found.from_version
+    """Return the serving version of a pool, from its last move or its declaration."""
+    for move_view in (await client.moves()).moves:
+        if move_view.pool == pool:
+            finished = move_view.state == _FINISHED
+            return move_view.to_version if finished else move_view.from_version
     view = await client.declarations()
     declared = view.declarations.pool(pool)
     if declared is None:
--- a/libs/cli/src/hemlockhoist/cli/options.py
+++ b/libs/cli/src/hemlockhoist/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share, and the way they reach a host."""
+"""Options that are shared by several commands, and the connection to a host."""
 
 import asyncio
 import functools
@@ -22,19 +22,19 @@
     "files",
     type=click.File("r", errors="replace"),
     multiple=True,
-    help="A host's log; standard input by default, several may be given.",
+    help="Log file of a host; may be repeated. The default is standard input.",
 )
 author_option = click.option(
     "--author",
     envvar="HEMLOCKHOIST_AUTHOR",
     default=lambda: _login(),
     show_default="your login",
-    help="Who makes the change, for the history.",
+    help="Author of the change, for the history.",
 )
 
 
 def host_options(command):
-    """Decorate a command with the options that say which hosts to ask."""
+    """Decorate a command with the options that specify the hosts to call."""
     for option in (
         click.option(
             "--host",
@@ -46,13 +46,13 @@
         click.option(
             "--operator-key",
             envvar="HEMLOCKHOIST_OPERATOR_KEY",
-            help="@FILE, or better given by its variable: flags can be read by others.",
+            help="The key or @FILE; prefer the variable: others can see flags.",
         ),
         click.option(
             "--ca-file",
             type=click.Path(exists=True, dir_okay=False),
             envvar="HEMLOCKHOIST_CA_FILE",
-            help="Certificates (PEM) to check hosts by; HTTPS is used with it.",
+            help="Certificates (PEM) for the verification of hosts; enables HTTPS.",
         ),
     ):
         command = option(command)
@@ -60,14 +60,14 @@
 
 
 def with_client(function):
-    """Decorate ``async def command(client, ...)`` to get a started client.
+    """Decorate ``async def command(client, ...)`` to receive a started client.
 
-    The options of ``host_options`` are taken out of its arguments.
+    The options of ``host_options`` are removed from its arguments.
     """
 
     @functools.wraps(function)
     def wrapper(*args, hosts, operator_key, ca_file, **kwargs):
-        key = _checked_key(hosts, operator_key)
+        key = _validated_key(hosts, operator_key)
         client = OperatorClient(hosts, key, ca_file)
         return asyncio.run(_run_with_client(client, function, args, kwargs))
 
@@ -82,8 +82,8 @@
         await client.close()
 
 
-def _checked_key(hosts, operator_key):
-    """Return the key as a host would read it; raise with every fault."""
+def _validated_key(hosts, operator_key):
+    """Return the operator key, parsed as by a host; raise an error with all faults."""
     faults, key = [], None
     if not hosts:
         faults.append("host: is not set; allowed: IP:port by --host")
@@ -106,7 +106,7 @@
 
 
 def duration_ms(text):
-    """Return the milliseconds that ``+30m`` stands for, or None.
+    """Return the milliseconds of a duration such as ``+30m``, or None if it is none.
 
     Examples
     ========
--- a/libs/cli/src/hemlockhoist/cli/output.py
+++ b/libs/cli/src/hemlockhoist/cli/output.py
@@ -1,4 +1,4 @@
-"""Results on standard output: text for people, JSON for scripts."""
+"""Output of results, as readable text or as JSON for scripts."""
 
 import enum
 import functools
@@ -17,7 +17,7 @@
         A record or plain data.
     as_json : bool
     text : str, optional
-        For people; made from ``value`` by default.
+        The readable text; generated from ``value`` by default.
     """
     if as_json:
         plain = msgspec.to_builtins(value)
@@ -28,7 +28,7 @@
 
 @functools.singledispatch
 def format_text(value):
-    """Return plain data as text: mappings line by line, lists of them as a table."""
+    """Return plain data as text, with mappings as lines and lists of them as tables."""
     return "-" if value in (None, "") else str(value)
 
 
@@ -67,7 +67,7 @@
 
 
 def format_table(rows):
-    """Return mappings as a table with one column for each name.
+    """Return mappings as a table with one column for each key.
 
     Examples
     ========
@@ -79,7 +79,7 @@
     b     -
     """
     names = list(dict.fromkeys(name for row in rows for name in row))
-    cells = [[_cell(row.get(name)) for name in names] for row in rows]
+    cells = [[_format_cell(row.get(name)) for name in names] for row in rows]
     widths = [
         max(len(line[column]) for line in [names, *cells])
         for column in range(len(names))
@@ -91,9 +91,9 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def _cell(value):
+def _format_cell(value):
     if isinstance(value, dict):
-        return " ".join(f"{name}={_cell(item)}" for name, item in value.items())
+        return " ".join(f"{name}={_format_cell(item)}" for name, item in value.items())
     if isinstance(value, list | tuple):
-        return "; ".join(_cell(item) for item in value) or "-"
+        return "; ".join(_format_cell(item) for item in value) or "-"
     return format_text(value)
--- a/libs/cli/src/hemlockhoist/cli/status.py
+++ b/libs/cli/src/hemlockhoist/cli/status.py
@@ -1,4 +1,4 @@
-"""``hemlockhoist status``: what a host knows of the fleet."""
+"""The command ``hemlockhoist status``, which shows the state of the fleet."""
 
 import click
 
@@ -13,5 +13,5 @@
 @report_errors
 @with_client
 async def status(client, as_json):
-    """Show hosts, upstreams, pools, tiers and leases, as one host sees them."""
+    """Show hosts, upstreams, pools, tiers and leases as known to one host."""
     print_output(await client.status(), as_json)
--- a/libs/cli/src/hemlockhoist/cli/tests/fake_host.py
+++ b/libs/cli/src/hemlockhoist/cli/tests/fake_host.py
@@ -1,4 +1,4 @@
-"""A host's operators' surface on a thread of its own, with faults to switch on."""
+"""A fake of the operators' HTTP interface of a host, with configurable faults."""
 
 import asyncio
 import threading
@@ -29,27 +29,27 @@
 
 
 class FakeHost:
-    """Serves ``/-/`` on loopback.
+    """Serves the paths below ``/-/`` on the loopback interface, from its own thread.
 
-    ``lag`` is for how many looks the second host lags behind; ``break_off`` closes
-    the connection after a change has taken effect; ``move_ends_as`` is the state that
-    a running move takes at the second look.
+    ``lagging_views`` is the number of views in which the second host lags behind,
+    ``drop_connection`` closes the connection after a change has taken effect, and
+    ``move_ends_as`` is the state of a running move from the second listing on.
     """
 
     def __init__(self):
         self.tables = FakeTables()
         self.declarations = OperatorDeclarations(self.tables, FakeClock())
-        self.lag = 0
-        self.break_off = False
+        self.lagging_views = 0
+        self.drop_connection = False
         self.moves = {}
         self.move_ends_as = "running"
-        self.looks = 0
+        self.listings = 0
         self.drained = False
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever)
 
     def start(self):
-        # Unconfigured logs would go to the standard output that a test captures.
+        # Without configuration, logs would go to the captured standard output.
         configure_logs("error")
         self._thread.start()
         self.address = self._call(self._serve())
@@ -105,7 +105,9 @@
     async def _view(self, request):
         stored = await self.declarations.current()
         version = stored.declarations.version
-        behind, self.lag = (1, self.lag - 1) if self.lag else (0, 0)
+        behind, self.lagging_views = (
+            (1, self.lagging_views - 1) if self.lagging_views else (0, 0)
+        )
         hosts = (
             HostVersion(host_id="a", version=version),
             HostVersion(host_id="b", version=version - behind),
@@ -120,8 +122,8 @@
         except msgspec.DecodeError as error:
             raise DeclarationError(str(error)) from error
         result = await self.declarations.apply(change)
-        if self.break_off:
-            self.break_off = False
+        if self.drop_connection:
+            self.drop_connection = False
             request.transport.close()
         return result
 
@@ -129,8 +131,8 @@
         return HistoryView(entries=await self.declarations.history())
 
     async def _list_moves(self, request):
-        self.looks += 1
-        state = self.move_ends_as if self.looks > 1 else None
+        self.listings += 1
+        state = self.move_ends_as if self.listings > 1 else None
         moves = (
             msgspec.structs.replace(item, state=state or item.state)
             for item in self.moves.values()
@@ -139,13 +141,13 @@
 
     async def _start_move(self, request):
         order = msgspec.json.decode(await request.read(), type=MoveRequest)
-        found = MoveView(state="running", **msgspec.structs.asdict(order))
-        self.moves[order.pool] = found
-        return found
+        move = MoveView(state="running", **msgspec.structs.asdict(order))
+        self.moves[order.pool] = move
+        return move
 
     async def _cancel_move(self, request):
-        for found in self.moves.values():
-            if found.move_id == request.match_info["move_id"]:
+        for move in self.moves.values():
+            if move.move_id == request.match_info["move_id"]:
                 reason = request.query["reason"]
-                return msgspec.structs.replace(found, state="cancelled", reason=reason)
+                return msgspec.structs.replace(move, state="cancelled", reason=reason)
         raise HemlockhoistError(code=ResultCode.MOVE_UNKNOWN)
--- a/libs/cli/src/hemlockhoist/cli/tests/test_docs.py
+++ b/libs/cli/src/hemlockhoist/cli/tests/test_docs.py
@@ -14,8 +14,8 @@
 
 
 class DocsTests(unittest.TestCase):
-    def test_links_between_pages_lead_somewhere(self):
-        """Each relative link of a page names a file of the workspace."""
+    def test_links_between_pages_are_valid(self):
+        """The target of each relative link of a page exists in the workspace."""
         pages = [*WORKSPACE.glob("*.md"), *(WORKSPACE / "docs").rglob("*.md")]
         self.assertTrue(pages)
         for page in pages:
@@ -25,13 +25,13 @@
                     self.assertTrue(path.exists(), f"{page}: {target}")
 
     def test_every_exit_code_is_documented(self):
-        """The operators' page lists exactly the command's exit codes."""
+        """The page for operators lists exactly the exit codes of the command."""
         page = (WORKSPACE / "docs" / "operators" / "hosts.md").read_text()
         listed = [int(number) for number in _EXIT_ROW.findall(page)]
         self.assertEqual(listed, [int(code) for code in ExitCode])
 
     def test_every_metric_and_span_is_used(self):
-        """Each metric and hop of the tables is named by a module that reports it."""
+        """Each metric and hop of the tables is used by a module of the product."""
         tables = {"metrics_table.py", "traces.py"}
         modules = [
             path.read_text()
@@ -45,8 +45,8 @@
             used = re.compile(rf"\b{re.escape(name)}\b")
             self.assertTrue(any(used.search(text) for text in modules), name)
 
-    def test_the_example_shows_every_field(self):
-        """Each field that a file may hold stands in the example."""
+    def test_example_has_every_field(self):
+        """The example file has each field that declarations may contain."""
         text = (WORKSPACE / "examples" / "declarations.yaml").read_text()
         for kind in schema.RECORD_TYPES:
             names = {*schema.record_fields(kind), *schema.exception_fields(kind)}
--- a/libs/cli/src/hemlockhoist/cli/tests/test_examples.py
+++ b/libs/cli/src/hemlockhoist/cli/tests/test_examples.py
@@ -7,7 +7,7 @@
 
 
 def module_names():
-    """Return the dotted names of all modules that show an example."""
+    """Yield the dotted names of all modules with examples in docstrings."""
     sources = [*WORKSPACE.glob("libs/*/src"), WORKSPACE / "platform" / "src"]
     for source in sources:
         for path in sorted(source.rglob("*.py")):
