--- a/tools/binary_main.py
+++ b/tools/binary_main.py
@@ -1,7 +1,7 @@
-"""The first module that the binary runs: checks where it may write, and unpacks there.
+"""Entry point of the binary: selects the folder to unpack to, and unpacks itself.
 
-It is put into the archive as ``__main__`` by ``build_binary.py`` and uses the standard
-library only. All of this happens in one process.
+``build_binary.py`` adds this module to the archive as ``__main__``. It uses only the
+standard library, and starts no other process.
 """
 
 import os
@@ -12,7 +12,7 @@
 DEFAULT_ROOT = "/run/hemlockhoist"
 MEMORY_FILE_SYSTEMS = frozenset({"tmpfs", "ramfs"})
 EXIT_INVALID = 3
-# Replaced by the build: the compiled libraries fit this release of Python only.
+# The compiled libraries in the archive require this release of Python.
 PYTHON_RELEASE = (3, 11)
 
 
@@ -22,27 +22,29 @@
     Parameters
     ==========
     path : str
-        Absolute, without links.
+        An absolute path without symbolic links.
     mounts : str
-        Contents of ``/proc/self/mounts``.
+        The contents of ``/proc/self/mounts``.
     """
-    best, kind = "", ""
+    longest, kind = "", ""
     for line in mounts.splitlines():
         fields = line.split()
-        point = fields[1].replace("\\040", " ")
-        inside = path == point or path.startswith(point.rstrip("/") + "/")
-        # A later line for the same point covers the earlier one.
-        if inside and len(point) >= len(best):
-            best, kind = point, fields[2]
+        mount_point = fields[1].replace("\\040", " ")
+        contains_path = path == mount_point or path.startswith(
+            mount_point.rstrip("/") + "/"
+        )
+        # A later mount on the same mount point hides the earlier one.
+        if contains_path and len(mount_point) >= len(longest):
+            longest, kind = mount_point, fields[2]
     return kind
 
 
 def choose_root(environment):
-    """Return the folder to unpack to, or end with what to do.
+    """Return the folder to unpack to, or exit with an error.
 
-    A host has no disk. On a full or missing one the unpacked program would be cut
-    short and fail later, at its first late import, with requests in progress; so a
-    folder that is not in memory is refused before anything is written.
+    A host has no disk. On a full or missing disk the unpacked program would be
+    incomplete, and would fail at its first late import, with requests in progress.
+    Therefore a folder that is not in memory is refused before anything is written.
     """
     root = os.path.realpath(environment.get(ROOT_VARIABLE) or DEFAULT_ROOT)
     mounts = pathlib.Path("/proc/self/mounts").read_text()
@@ -52,14 +54,14 @@
     try:
         os.makedirs(root, mode=0o700, exist_ok=True)
     except OSError as error:
-        fail(f"{root} can not be made: {error.strerror}")
+        fail(f"{root} cannot be created: {error.strerror}")
     if not os.access(root, os.W_OK | os.X_OK):
-        fail(f"{root} can not be written")
+        fail(f"{root} is not writable")
     return root
 
 
 def fail(message):
-    """End with a message and what to do next."""
+    """Print an error with its remedy, and exit."""
     print(
         f"error 406: {message}\n"
         f"next: Set {ROOT_VARIABLE} to a folder on a memory file system (tmpfs).",
@@ -69,18 +71,18 @@
 
 
 def main():
-    """Unpack once for each build, and run the command."""
+    """Unpack the archive, once per build, and run the command."""
     if sys.version_info[:2] != PYTHON_RELEASE:
-        wanted = ".".join(str(part) for part in PYTHON_RELEASE)
-        print(f"error 406: Python {wanted} is needed", file=sys.stderr)
+        required_release = ".".join(str(part) for part in PYTHON_RELEASE)
+        print(f"error 406: Python {required_release} is required", file=sys.stderr)
         raise SystemExit(EXIT_INVALID)
     root = choose_root(os.environ)
-    # The archive tool's own variables could start other programs or processes, or
-    # unpack elsewhere.
+    # The variables of shiv, the archive tool, could start other programs or processes,
+    # or unpack to another folder.
     for name in [name for name in os.environ if name.startswith("SHIV_")]:
         del os.environ[name]
     os.environ["SHIV_ROOT"] = root
-    # Compiled modules, of the standard library too, are kept in memory as well.
+    # Compiled modules, those of the standard library included, are kept in memory, too.
     sys.pycache_prefix = os.path.join(root, "pycache")
     import _bootstrap
 
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,8 +1,8 @@
-"""Build ``build/hemlockhoist``: the program and its libraries in one file.
+"""Build ``build/hemlockhoist``, a single file with the program and its libraries.
 
 The libraries are copied from the environment that runs this script, so that the build
-needs no network. Usage: ``python tools/build_binary.py``; it does nothing when the file
-is newer than everything that goes into it.
+needs no network. Usage: ``python tools/build_binary.py``. Nothing is built if the
+digest of the inputs has not changed since the last build.
 """
 
 import hashlib
@@ -22,24 +22,24 @@
 STAGING = BUILD / "site-packages"
 DIGEST = BUILD / "hemlockhoist.inputs"
 MAIN = ROOT / "tools" / "binary_main.py"
-# Tests and stand-ins are no part of the product.
+# Tests and stand-ins are not part of the product.
 EXCLUDED_LIBRARIES = {"standins"}
 PYTHON = "/usr/bin/env python3.11"
-_OWN_PREFIX = "hemlockhoist-"
-# Records of an installation name folders of the machine that built it.
-_LEFT_OUT_NAMES = {"RECORD", "INSTALLER", "REQUESTED", "direct_url.json"}
-# What the compiled libraries were made from is not read at run time.
-_LEFT_OUT_SUFFIXES = {".c", ".h", ".proto", ".pxd", ".pxi", ".pyi", ".pyx"}
+_PRODUCT_PREFIX = "hemlockhoist-"
+# Installation records contain paths of the machine that built the binary.
+_EXCLUDED_NAMES = {"RECORD", "INSTALLER", "REQUESTED", "direct_url.json"}
+# The sources of compiled libraries are not needed at run time.
+_EXCLUDED_SUFFIXES = {".c", ".h", ".proto", ".pxd", ".pxi", ".pyi", ".pyx"}
 
 
 def product_libraries():
-    """Return the folders of the workspace's libraries that are shipped."""
+    """Return the folders of the workspace libraries that are part of the product."""
     folders = sorted((ROOT / "libs").iterdir())
     return [item for item in folders if item.name not in EXCLUDED_LIBRARIES]
 
 
-def own_files():
-    """Return ``(source, target)`` of the product's own modules."""
+def product_files():
+    """Return pairs ``(source, target)`` for the modules of the product."""
     found = []
     for library in product_libraries():
         source = library / "src"
@@ -51,27 +51,27 @@
 
 
 def distributions():
-    """Return the installed distributions that the product needs, by name."""
-    wanted = []
+    """Return the installed distributions that the product requires, by name."""
+    pending = []
     for library in product_libraries():
         project = tomllib.loads((library / "pyproject.toml").read_text())
-        wanted += project["project"]["dependencies"]
+        pending += project["project"]["dependencies"]
     found = {}
-    while wanted:
-        requirement = Requirement(wanted.pop())
+    while pending:
+        requirement = Requirement(pending.pop())
         name = requirement.name.lower().replace("_", "-")
         applies = requirement.marker is None or requirement.marker.evaluate(
             {"extra": ""}
         )
-        if not applies or name in found or name.startswith(_OWN_PREFIX):
+        if not applies or name in found or name.startswith(_PRODUCT_PREFIX):
             continue
         found[name] = importlib.metadata.distribution(name)
-        wanted += found[name].requires or []
+        pending += found[name].requires or []
     return found
 
 
 def library_files():
-    """Return ``(source, target)`` of the libraries' files."""
+    """Return pairs ``(source, target)`` for the files of the required libraries."""
     found = []
     for _, distribution in sorted(distributions().items()):
         for path in distribution.files or []:
@@ -81,17 +81,17 @@
 
 
 def is_needed(path):
-    """Return whether a file of an installed library is read at run time."""
+    """Return whether a file of an installed library is needed at run time."""
     return (
         path.parts[0] != ".."
         and "__pycache__" not in path.parts
-        and path.name not in _LEFT_OUT_NAMES
-        and path.suffix not in _LEFT_OUT_SUFFIXES
+        and path.name not in _EXCLUDED_NAMES
+        and path.suffix not in _EXCLUDED_SUFFIXES
     )
 
 
 def inputs_digest(files):
-    """Return a digest of everything that goes into the binary."""
+    """Return a digest of all inputs of the binary."""
     digest = hashlib.sha256(MAIN.read_bytes() + pathlib.Path(__file__).read_bytes())
     for source, target in files:
         status = source.stat()
@@ -100,7 +100,7 @@
 
 
 def stage(files):
-    """Copy the files to a fresh folder."""
+    """Copy the files to an empty staging folder."""
     shutil.rmtree(STAGING, ignore_errors=True)
     for source, target in files:
         copy = STAGING / target
@@ -109,7 +109,7 @@
 
 
 def pack():
-    """Make the archive and put the product's own first module into it."""
+    """Create the archive, with ``binary_main.py`` as its ``__main__`` module."""
     packed = BUILD / "packed"
     shiv.main(
         args=[
@@ -129,14 +129,14 @@
                     data = MAIN.read_bytes()
                 new.writestr(item, data)
     partial.chmod(0o755)
-    # Whoever starts the binary meanwhile has the former one or this one, whole.
+    # The replacement is atomic: a start meanwhile gets the complete old or new binary.
     partial.replace(BINARY)
     packed.unlink()
 
 
 def build():
-    """Build the binary unless it is up to date; return its path."""
-    files = own_files() + library_files()
+    """Build the binary if it is not up to date, and return its path."""
+    files = product_files() + library_files()
     digest = inputs_digest(files)
     if BINARY.exists() and DIGEST.exists() and DIGEST.read_text() == digest:
         return BINARY
--- a/tools/link_workspace.py
+++ b/tools/link_workspace.py
@@ -1,7 +1,7 @@
-"""Make every library of the workspace importable in the current environment.
+"""Make all libraries of the workspace importable in the current environment.
 
-One path file lists the source folder of each library, which is what an editable
-installation of each would do, without building nine packages at every setup.
+A path file lists the source folders of the libraries. This has the same effect as an
+editable installation of each, without building nine packages at every setup.
 """
 
 import pathlib
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,11 +1,11 @@
-"""Run the tests of all libraries and print one verdict.
+"""Run the tests of all libraries and print a summary.
 
-Each test module runs in an interpreter of its own, several side by side, so that no
-module sees another's event loop or counters. Tests listed in ``KNOWN-RED.txt`` are
-run too; their failures are printed, and do not fail the run.
+Each test module runs in a separate interpreter, several in parallel, so that modules
+share no event loop or counters. Tests listed in ``KNOWN-RED.txt`` are also run; their
+failures are printed, but do not fail the run.
 
-Usage: ``python tools/run_tests.py [pattern]``, where ``pattern`` selects modules
-whose dotted name contains it.
+Usage: ``python tools/run_tests.py [pattern]``, where ``pattern`` selects the modules
+whose dotted names contain it.
 """
 
 import concurrent.futures
@@ -18,7 +18,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-# Modules that start real processes take several cores each.
+# Modules that start processes use several cores each.
 MAX_PARALLEL = max(2, min(6, (os.cpu_count() or 2) // 2))
 MODULE_TIMEOUT_S = 150
 _RESULT = re.compile(r"^(?P<id>test\w+) \((?P<path>[\w.]+)\).*$")
@@ -26,7 +26,7 @@
 
 
 class ModuleResult:
-    """What one test module printed, and which of its tests failed."""
+    """The output of a test module, and its passed and failed tests."""
 
     __slots__ = ("failures", "name", "output", "passed", "seconds")
 
@@ -39,7 +39,7 @@
 
 
 def find_modules(pattern):
-    """Return the dotted names of the test modules that contain ``pattern``."""
+    """Return the dotted names of the test modules whose names contain ``pattern``."""
     names = []
     folders = [*ROOT.glob("libs/*/src"), ROOT / "platform" / "src"]
     paths = (path for item in folders for path in item.glob("**/tests/test_*.py"))
@@ -52,7 +52,7 @@
 
 
 def run_module(name):
-    """Run one test module in its own interpreter."""
+    """Run a test module in a separate interpreter and return its ``ModuleResult``."""
     started = time.perf_counter()
     environment = dict(os.environ, PYTHONHASHSEED="0", HEMLOCKHOIST_TEST="1")
     command = [sys.executable, "-W", "error::ResourceWarning", __file__, "--one", name]
@@ -80,7 +80,7 @@
 
 
 def run_one(name):
-    """Run the module ``name`` here and print a summary line for the parent."""
+    """Run a test module in this process and print a summary line for the parent."""
     import unittest
 
     from hypothesis import settings
@@ -91,7 +91,7 @@
     result = unittest.TextTestRunner(verbosity=1).run(suite)
     failed = [test.id() for test, _ in result.failures + result.errors]
     failed += [test.id() for test in result.unexpectedSuccesses]
-    # A subtest's id carries its parameters, and commas in them.
+    # The id of a subtest includes its parameters, which may contain commas.
     failed = sorted({item.split(" ")[0] for item in failed})
     passed = result.testsRun - len(failed) - len(result.skipped)
     print(f"\nONE passed={passed} failed={','.join(failed)}")
@@ -99,18 +99,18 @@
 
 
 def read_known_red():
-    """Return the ids of the tests whose failure is known."""
+    """Return the ids of the tests that are known to fail."""
     if not KNOWN_RED.exists():
         return []
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
     ids = [line.split()[0] for line in lines if line and not line.startswith("#")]
     if len(ids) > _MAX_KNOWN_RED:
-        raise SystemExit("KNOWN-RED.txt has more than three lines")
+        raise SystemExit("KNOWN-RED.txt has more than three entries")
     return ids
 
 
 def main(pattern=""):
-    """Run the selected modules and return the exit status."""
+    """Run the selected test modules and return the exit status."""
     known_red = read_known_red()
     names = find_modules(pattern)
     passed, failed, red = 0, [], []
@@ -120,8 +120,8 @@
             red += [item for item in result.failures if item in known_red]
             new = [item for item in result.failures if item not in known_red]
             failed += new
-            mark = "FAIL" if new else "ok"
-            print(f"{mark:4} {result.seconds:6.1f}s {result.name}", flush=True)
+            verdict = "FAIL" if new else "ok"
+            print(f"{verdict:4} {result.seconds:6.1f}s {result.name}", flush=True)
             if new:
                 print(result.output)
     for item in red:
