--- a/libs/base/src/hemlockhoist/base/logs.py
+++ b/libs/base/src/hemlockhoist/base/logs.py
@@ -19,7 +19,7 @@
         ``debug``, ``info``, ``warning`` or ``error``.
     stream : file object, optional
         The stream that lines are written to; standard error by default.
-    rate_limiter : VolumeLimit, optional
+    rate_limiter : LogRateLimiter, optional
         Drops lines above a rate.
     fields : mapping of str to str, optional
         Fields that are added to every line, such as the host's name.
