--- a/libs/base/src/hemlockhoist/base/log_rate_limiter.py
+++ b/libs/base/src/hemlockhoist/base/log_rate_limiter.py
@@ -1,4 +1,4 @@
-"""A rate limit for log lines, with counts of the lines dropped."""
+"""A rate limiter for log lines, which counts the lines it drops."""
 
 import collections
 
--- a/libs/cli/src/hemlockhoist/cli/declaration_changes.py
+++ b/libs/cli/src/hemlockhoist/cli/declaration_changes.py
@@ -76,7 +76,7 @@
 
     Raises
     ======
-    NotYet
+    WaitTimedOut
         If the time is up; the message names the hosts that lack the version.
     """
     clock = Clock(asyncio.get_running_loop())
