--- a/libs/cli/src/hemlockhoist/cli/output.py
+++ b/libs/cli/src/hemlockhoist/cli/output.py
@@ -1,4 +1,4 @@
-"""Results on standard output: text for people, JSON for scripts."""
+"""Output of results, as readable text or as JSON for scripts."""
 
 import enum
 import functools
@@ -8,7 +8,7 @@
 import msgspec
 
 
-def show(value, as_json, text=None):
+def print_output(value, as_json, text=None):
     """Print a result.
 
     Parameters
@@ -17,68 +17,69 @@
         A record or plain data.
     as_json : bool
     text : str, optional
-        For people; made from ``value`` by default.
+        The readable text; generated from ``value`` by default.
     """
     if as_json:
         plain = msgspec.to_builtins(value)
         click.echo(json.dumps(plain, indent=2, sort_keys=True))
     else:
-        click.echo(as_text(msgspec.to_builtins(value)) if text is None else text)
+        click.echo(format_text(msgspec.to_builtins(value)) if text is None else text)
 
 
 @functools.singledispatch
-def as_text(value):
-    """Return plain data as text: mappings line by line, lists of them as a table."""
+def format_text(value):
+    """Return plain data as text, with mappings as lines and lists of them as tables."""
     return "-" if value in (None, "") else str(value)
 
 
-@as_text.register
+@format_text.register
 def _(value: bool):
     return "yes" if value else "no"
 
 
-@as_text.register
+@format_text.register
 def _(value: enum.Enum):
     return str(value.value)
 
 
-@as_text.register(list)
-@as_text.register(tuple)
+@format_text.register(list)
+@format_text.register(tuple)
 def _(value):
     if not value:
         return "none"
     if all(isinstance(item, dict) for item in value):
-        return table(value)
-    return ", ".join(as_text(item) for item in value)
+        return format_table(value)
+    return ", ".join(format_text(item) for item in value)
 
 
-@as_text.register
+@format_text.register
 def _(value: dict):
     lines = []
     for name, item in value.items():
         if isinstance(item, dict) and item:
-            inner = as_text(item).replace("\n", "\n  ")
+            inner = format_text(item).replace("\n", "\n  ")
             lines.append(f"{name}:\n  {inner}")
         elif isinstance(item, list | tuple) and item and isinstance(item[0], dict):
-            lines.append(f"{name}:\n{table(item)}")
+            lines.append(f"{name}:\n{format_table(item)}")
         else:
-            lines.append(f"{name}: {as_text(item)}")
+            lines.append(f"{name}: {format_text(item)}")
     return "\n".join(lines) or "none"
 
 
-def table(rows):
-    """Return mappings as a table with one column for each name.
+def format_table(rows):
+    """Return mappings as a table with one column for each key.
 
     Examples
     ========
-    >>> from hemlockhoist.cli.output import table
-    >>> print(table([{"host": "a", "version": 3}, {"host": "b", "version": None}]))
+    >>> from hemlockhoist.cli.output import format_table
+    >>> rows = [{"host": "a", "version": 3}, {"host": "b", "version": None}]
+    >>> print(format_table(rows))
     host  version
     a     3
     b     -
     """
     names = list(dict.fromkeys(name for row in rows for name in row))
-    cells = [[_cell(row.get(name)) for name in names] for row in rows]
+    cells = [[_format_cell(row.get(name)) for name in names] for row in rows]
     widths = [
         max(len(line[column]) for line in [names, *cells])
         for column in range(len(names))
@@ -90,9 +91,9 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def _cell(value):
+def _format_cell(value):
     if isinstance(value, dict):
-        return " ".join(f"{name}={_cell(item)}" for name, item in value.items())
+        return " ".join(f"{name}={_format_cell(item)}" for name, item in value.items())
     if isinstance(value, list | tuple):
-        return "; ".join(_cell(item) for item in value) or "-"
-    return as_text(value)
+        return "; ".join(_format_cell(item) for item in value) or "-"
+    return format_text(value)
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -178,7 +178,7 @@
             max_wait_ms=admitted.waits_until_ms - now_ms,
             max_gap_ms=admitted.route.max_gap_ms,
             failure_domain=self._context.identity.failure_domain,
-            trace=self._context.traces.text_for_peer(),
+            trace=self._context.traces.context_for_peer(),
             attempt=1 + self._dispatch_count,
             # Charged once: a request whose upstream was unreachable requests another
             # grant without being counted again.
