--- a/libs/host/src/hemlockhoist/host/chat.py
+++ b/libs/host/src/hemlockhoist/host/chat.py
@@ -19,7 +19,7 @@
 from hemlockhoist.host.body import read_body
 from hemlockhoist.host.completions import parse_chat, prefix_hashes, prompt_tokens
 from hemlockhoist.host.dispatcher import EntryRequest
-from hemlockhoist.host.relay import StreamHandedOver, StreamRelay, check_answer
+from hemlockhoist.host.relay import StreamHandedOver, StreamRelay, check_response
 from hemlockhoist.host.responses import (
     json_response,
     result_headers,
@@ -276,7 +276,7 @@
         client = self._context.upstreams
         try:
             async with client.dispatch(self._call(hold), report.guard) as answer:
-                check_answer(answer, self._work.request_id)
+                check_response(answer, self._work.request_id)
                 if answer.status != 200:
                     await self._raise_status(answer)
                 await self.relay.run(answer)
--- a/libs/host/src/hemlockhoist/host/relay.py
+++ b/libs/host/src/hemlockhoist/host/relay.py
@@ -186,7 +186,7 @@
             await asyncio.sleep(RESUME_BACKOFF_MS * self._resume_attempts / MS_PER_S)
 
     def _check_answer(self, answer):
-        check_answer(answer, self.request_id)
+        check_response(answer, self.request_id)
         if answer.status != 200:
             text = f"the engine does not know this stream (status {answer.status})"
             raise DispatchError(text, ResultCode.UNKNOWN_STREAM)
@@ -200,7 +200,7 @@
         )
 
 
-def check_answer(answer, request_id):
+def check_response(answer, request_id):
     """Reject an answer that carries the id of another request.
 
     Raises
--- a/libs/host/src/hemlockhoist/host/services.py
+++ b/libs/host/src/hemlockhoist/host/services.py
@@ -10,16 +10,16 @@
 from hemlockhoist.host.body import read_body
 from hemlockhoist.host.callers import TIER_HEADER
 from hemlockhoist.host.dispatcher import EntryRequest
-from hemlockhoist.host.relay import check_answer
+from hemlockhoist.host.relay import check_response
 from hemlockhoist.host.responses import result_headers, with_trace_context
 from hemlockhoist.messages import StoredAnswer
 from hemlockhoist.upstreams import UpstreamCall
 
 SERVICES_PREFIX = "/services"
 KEY_HEADER = "Idempotency-Key"
-# Limit on an answer, which is read completely before its head is sent to the caller, so
-# that a caller never holds part of an answer that can not be fetched again.
-MAX_ANSWER_BYTES = 8_388_608
+# Limit on a response, which is read completely before its head is sent to the caller,
+# so that a caller never holds part of a response that cannot be fetched again.
+MAX_RESPONSE_BYTES = 8_388_608
 _SERVER_ERROR = 500
 
 # Hop-by-hop headers of RFC 9110, section 7.6.1, and those that describe this hop or are
@@ -161,9 +161,9 @@
         """Send the call and return its complete answer."""
         client = self._context.upstreams
         async with client.dispatch(self._call(hold), report.guard) as answer:
-            check_answer(answer, self._work.request_id)
+            check_response(answer, self._work.request_id)
             report.first_ms = self._context.clock.now_ms()
-            body = await answer.read(MAX_ANSWER_BYTES)
+            body = await answer.read(MAX_RESPONSE_BYTES)
             failed = answer.status >= _SERVER_ERROR
             report.kind = OutcomeKind.FAILED if failed else OutcomeKind.SUCCESS
             headers = _end_to_end_headers(answer.headers, _DROPPED_FROM_ANSWERS)
