--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -136,9 +136,9 @@
                 hold, waited_ms = await self._acquire()
             except Refused as error:
                 return self._end_without_grant(error)
-            answer, end = await self._attempt(hold, waited_ms)
-            if answer is not None:
-                return answer
+            response, end = await self._attempt(hold, waited_ms)
+            if response is not None:
+                return response
             step = next_step(
                 end,
                 self._admitted.route,
@@ -207,12 +207,12 @@
         attempt = Attempt(hold, self._send_guard(hold), waited_ms)
         try:
             with self._context.traces.span(Hop.UPSTREAM, upstream=hold.upstream_id):
-                answer, end = await self._send(attempt)
+                response, end = await self._send(attempt)
             attempt.record_end(end)
             if end is None:
                 self._count_success(attempt)
             self._record_failure(attempt, end)
-            return answer, end
+            return response, end
         finally:
             self._record_dispatch(attempt)
             if self._is_past_deadline and attempt.kind is OutcomeKind.CANCELLED:
@@ -251,9 +251,10 @@
     def _check_before_send(self, hold):
         """Check all preconditions again, and mark the request as possibly run.
 
-        Raises an error while nothing has been sent. Failure prevented: while a request waits for a slot, its customer's key is
-        revoked, its upstream leaves or the host is suspended. The checks at admission
-        no longer hold then, and no later step would detect it.
+        An error is raised before anything has been sent. Failure prevented: while a
+        request waits for a slot, its customer's key is revoked, its upstream leaves or
+        the host is suspended. The checks at admission no longer hold then, and no later
+        step would detect it.
         """
         if self._admitted.customer is not None:
             self._admission.customer_of(self._admitted.call)
@@ -268,7 +269,7 @@
         self._may_have_run = True
 
     def _record_failure(self, attempt, end):
-        """Record the reason, and avoid the upstream while there are others."""
+        """Record why an attempt failed; avoid its upstream while there are others."""
         self._reason = attempt.reason
         if end is None:
             return
@@ -289,8 +290,8 @@
             client = self._context.upstreams
             async with client.dispatch(
                 self._upstream_call(attempt), attempt.guard
-            ) as answer:
-                answer, end = await self._read_response(answer, attempt)
+            ) as response:
+                response, end = await self._read_response(response, attempt)
         except GrantOutdated as error:
             attempt.reason = error.message
             attempt.grant_outdated = True
@@ -312,7 +313,7 @@
             self._may_have_run = may_have_run
             if attempt.is_misdirected:
                 end = AttemptEnd.NOT_SENT
-        return answer, end
+        return response, end
 
     def _upstream_call(self, attempt):
         admitted = self._admitted
@@ -337,9 +338,9 @@
             idle_timeout_ms=remaining_ms,
         )
 
-    async def _read_response(self, answer, attempt):
+    async def _read_response(self, response, attempt):
         wire = self._context.platform.wire
-        head = wire.read_response_head(answer.status, answer.headers)
+        head = wire.read_response_head(response.status, response.headers)
         if head.is_misdirected:
             # The listed process has been replaced by another one: equivalent to a
             # refused connection, so another upstream can be tried safely.
@@ -349,29 +350,29 @@
         if head.is_not_run:
             attempt.reason = attempt.reason or "the upstream did not run the request"
             return None, AttemptEnd.NOT_RUN
-        if not answer.matches_request(self._admitted.call.request_id):
+        if not response.matches_request(self._admitted.call.request_id):
             attempt.reason = "the response belongs to another request"
             return None, AttemptEnd.BROKEN
         if head.status < 300 and not head.has_signature:
             attempt.reason = "successful response without a signature"
             return None, AttemptEnd.BROKEN
         if self._relay is not None and head.status == _OK:
-            return await self._relay_stream(answer, head, attempt)
-        return await self._read_full_response(answer, head, attempt)
+            return await self._relay_stream(response, head, attempt)
+        return await self._read_full_response(response, head, attempt)
 
-    async def _read_full_response(self, answer, head, attempt):
-        body = await answer.read(MAX_RESPONSE_BYTES)
+    async def _read_full_response(self, response, head, attempt):
+        body = await response.read(MAX_RESPONSE_BYTES)
         attempt.first_ms = self._context.clock.now_ms()
         if self._relay is not None and self._relay.started:
             return None, AttemptEnd.FAILED_ANSWER
-        response = upstream_response(head, body)
+        caller_response = upstream_response(head, body)
         if head.status < _SERVER_ERROR:
-            return response, None
-        self._failed_response = response
+            return caller_response, None
+        self._failed_response = caller_response
         attempt.reason = f"the upstream answered with status {head.status}"
         return None, AttemptEnd.FAILED_ANSWER
 
-    async def _relay_stream(self, answer, head, attempt):
+    async def _relay_stream(self, response, head, attempt):
         grants = self._context.grants
 
         def on_first():
@@ -381,7 +382,7 @@
 
         before = self._relay.event_count
         try:
-            response = await self._relay.relay(answer, head, on_first)
+            caller_response = await self._relay.relay(response, head, on_first)
         finally:
             pool = self._context.store_view.routes.pool(self._admitted.pool)
             engine = pool.engine if pool is not None else None
@@ -392,7 +393,7 @@
             event_us = self._relay.median_event_us()
             if event_us > 0:
                 attempt.token_us = event_us // tokens_per_event
-        return response, None
+        return caller_response, None
 
     # Final responses.
 
--- a/libs/entry/src/hemlockhoist/entry/feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/feeds.py
@@ -99,9 +99,9 @@
     async def _wait_for_reader(self):
         """Wait briefly until a reader is known, if another host may be one.
 
-        Load: hosts of a large fleet that are restarted one after the other would each
-        read all tables from the store. The wait is short because no reader is up when
-        all hosts start at once, and callers wait meanwhile.
+        Load prevented: hosts of a large fleet that are restarted one after the other
+        would each read all tables from the store. The wait is short because no reader
+        is up when all hosts start at once, and callers wait meanwhile.
         """
         fleet, clock = self._context.fleet, self._context.clock
         await fleet.wait_introduced(FIRST_LIST_WAIT_MS)
@@ -233,7 +233,7 @@
     def _check_store_due(self):
         """Refuse a read shortly after the store was unreachable.
 
-        Harm prevented: in an outage, each host of a large fleet reads the store several
+        Load prevented: in an outage, each host of a large fleet reads the store several
         times a second, and all of them at once when the store returns.
 
         Raises
--- a/libs/entry/src/hemlockhoist/entry/gate.py
+++ b/libs/entry/src/hemlockhoist/entry/gate.py
@@ -75,7 +75,7 @@
         self._share = share
 
     def on_takeover(self, hosts, now_ms):
-        """Assume the bounds to be used up until the hosts have reported their usage."""
+        """Assume that the bounds are used up until the hosts have reported usage."""
         window_ms = self._bounds.quota_window_ms
         if self._coverage is None or not self._coverage.is_same_takeover(now_ms):
             self._coverage = UsageCoverage(window_ms, now_ms)
@@ -84,7 +84,7 @@
         self.on_takeover_begun()
 
     def on_usage_report(self, host, held, now_ms):
-        """Count usage granted by the preceding home, as reported by a host."""
+        """Count usage granted by the former home, as reported by a host."""
         self.quotas.add_reported((held.incarnation, held.pool), held.usage, now_ms)
         if self._coverage is not None:
             self._coverage.record_report(host, held.up_ms)
@@ -96,7 +96,7 @@
 
         Failure prevented: a sixth of the hosts lose power, the home among them. The
         usage of their requests is reported by no host, and a customer at its bound is
-        granted as much again. The usage record of the preceding home contains it.
+        granted as much again. The usage record of the former home contains it.
         """
         coverage = self._coverage
         return coverage is not None and coverage.unknown().fraction > 0
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -30,8 +30,8 @@
 _log = get_logger("entry.moves")
 
 ORDER_CHECK_INTERVAL_MS = 200
-# Pause after a failure of the store before an order is started or reported again. An
-# order has a time limit of some seconds, of which a longer pause would be a large part.
+# Delay after a failure of the store before an order is started or reported again. An
+# order has a time limit of some seconds, of which a longer delay would be a large part.
 RETRY_DELAY_MS = 500
 # Fraction of an order's duration by which all requests are to be on the new version. In
 # the remaining time the old version's last responses end and the result is reported to
@@ -222,8 +222,8 @@
         """Start an order's move, or report its state to the operators.
 
         Failure prevented: a host becomes home just after the end of a move, and knows
-        only an earlier announcement of the preceding home. Operators to whom the end
-        was reported would then be told that the move is in progress. The store is
+        only an earlier announcement of the former home. Operators to whom the end was
+        reported would then be informed that the move is in progress. The store is
         therefore read before the first report.
         """
         if not self._has_reported(order) and not await self._read(
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -418,20 +418,22 @@
 
 
 async def _main(settings, make_platform, listener, writer):
-    limit = LogRateLimiter(Clock.from_running_loop().now_ms)
-    configure_logs("info", writer, limit, {"host": settings.name}, cache_loggers=True)
+    rate_limiter = LogRateLimiter(Clock.from_running_loop().now_ms)
+    configure_logs(
+        "info", writer, rate_limiter, {"host": settings.name}, cache_loggers=True
+    )
     boot_clock = SuspendAwareClock.from_system()
     platform = make_platform(settings, boot_clock)
     host = EntryProcess(settings, platform, boot_clock, listener)
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, host.begin_drain)
-    loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("reload_asked"))
+    loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("reload_requested"))
     try:
         await host.start()
         report = PeriodicTask(
             DROPPED_REPORT_INTERVAL_MS,
-            lambda: _report_dropped_lines(limit, writer, host.context.metrics),
+            lambda: _report_dropped_lines(rate_limiter, writer, host.context.metrics),
         )
         await report.start()
         await host.finished.wait()
@@ -440,12 +442,12 @@
         await host.close()
 
 
-def _report_dropped_lines(limit, writer, metrics):
+def _report_dropped_lines(rate_limiter, writer, metrics):
     """Report the number of dropped log lines, so that a gap is visible as such."""
-    left_out, dropped = limit.take_dropped_by_event(), writer.take_dropped()
-    if left_out or dropped:
-        metrics.count(LOG_LINES_DROPPED, value=sum(left_out.values()) + dropped)
-        _log.warning("lines_left_out", **left_out, unread=dropped)
+    by_event, unread_count = rate_limiter.take_dropped_by_event(), writer.take_dropped()
+    if by_event or unread_count:
+        metrics.count(LOG_LINES_DROPPED, value=sum(by_event.values()) + unread_count)
+        _log.warning("lines_left_out", **by_event, unread=unread_count)
 
 
 def run(settings, make_platform, listener=None):
--- a/libs/entry/src/hemlockhoist/entry/servers.py
+++ b/libs/entry/src/hemlockhoist/entry/servers.py
@@ -111,7 +111,7 @@
         parent = parent_from_headers(request.headers)
         try:
             with context.traces.span(Hop.CALLER, parent, path=request.path) as span:
-                response = await self._answer(request)
+                response = await self._respond(request)
                 code = response.headers.get(CODE_HEADER, "0")
                 span.set_attribute("result_code", code)
         finally:
@@ -123,7 +123,7 @@
             response.force_close()
         return response
 
-    async def _answer(self, request):
+    async def _respond(self, request):
         call = None
         wire = self._context.platform.wire
         try:
--- a/libs/entry/src/hemlockhoist/entry/settings.py
+++ b/libs/entry/src/hemlockhoist/entry/settings.py
@@ -11,7 +11,7 @@
     Parameters
     ==========
     drain_ms : int
-        Time after an upstream's notice of leaving until it is sent nothing more.
+        Time after an upstream announces that it leaves, until it is sent nothing more.
     stop_ms : int
         Time from the stop signal until the process is killed.
     revocation_ms : int
@@ -31,7 +31,7 @@
         By how much a cold upstream's requests per second may exceed the declared ones:
         as a factor, and in addition to that.
     address_ttl_ms : int
-        The longest time to live of a response to callers on which hosts to use.
+        Maximum time to live of a directory response, which lists the hosts to use.
     """
 
     drain_ms: int = 2_000
@@ -58,7 +58,7 @@
     Parameters
     ==========
     name : str
-        A name for people.
+        Human-readable name of the host, contained in its log lines.
     failure_domain, region : str
     regions_by_domain : dict of str to str
         The region of each failure domain; empty where they are not configured.
--- a/libs/entry/src/hemlockhoist/entry/stream.py
+++ b/libs/entry/src/hemlockhoist/entry/stream.py
@@ -34,7 +34,7 @@
 
     Parameters
     ==========
-    answer : UpstreamResponse
+    response : UpstreamResponse
     limit_ms : int or None
         Initial limit; None disables the watchdog.
     clock : Clock
@@ -44,18 +44,18 @@
     """
 
     __slots__ = (
-        "_answer",
         "_clock",
         "_due_ms",
         "_in_grace_period",
         "_limit_ms",
         "_may_resume",
+        "_response",
         "_timer",
     )
 
-    def __init__(self, answer, limit_ms, clock, may_resume=lambda: True):
+    def __init__(self, response, limit_ms, clock, may_resume=lambda: True):
         self._may_resume = may_resume
-        self._answer = answer
+        self._response = response
         self._limit_ms = limit_ms
         self._clock = clock
         self._due_ms = 0
@@ -100,7 +100,7 @@
             self._in_grace_period = True
             self._schedule(READ_GRACE_MS)
         else:
-            self._answer.close()
+            self._response.close()
 
 
 class StreamRelay:
@@ -119,6 +119,7 @@
 
     __slots__ = (
         "_admitted",
+        "_caller_response",
         "_clock",
         "_event_gaps_us",
         "_is_leaving",
@@ -127,7 +128,6 @@
         "_may_resume",
         "_reader",
         "_request",
-        "_response",
         "event_count",
     )
 
@@ -145,7 +145,7 @@
         self._admitted = admitted
         self._clock = clock
         self._reader = EventReader(admitted.call.last_event_id)
-        self._response = None
+        self._caller_response = None
         self._event_gaps_us = []
         self._last_event_ms = None
         self._longest_gap_ms = 0
@@ -154,19 +154,19 @@
     @property
     def started(self):
         """Whether any part of the response has been sent to the caller."""
-        return self._response is not None
+        return self._caller_response is not None
 
     @property
     def last_event_id(self):
         """The id of the last event that the caller has received, or None."""
         return self._reader.last_number
 
-    async def relay(self, answer, head, on_first):
+    async def relay(self, response, head, on_first):
         """Relay an upstream's events until the end of its stream.
 
         Parameters
         ==========
-        answer : UpstreamResponse
+        response : UpstreamResponse
         head : ResponseHead
             Head of this upstream's response; the caller gets that of the first one.
         on_first : callable
@@ -187,10 +187,10 @@
         self._longest_gap_ms = 0
         first = True
         limit_ms = self._stall_limit_ms(True)
-        watchdog = StallWatchdog(answer, limit_ms, self._clock, self._may_resume)
+        watchdog = StallWatchdog(response, limit_ms, self._clock, self._may_resume)
         watchdog.start()
         try:
-            async for chunk in answer.chunks():
+            async for chunk in response.chunks():
                 if first:
                     on_first()
                     first = False
@@ -224,9 +224,9 @@
     async def _write_events(self, head, events):
         if not events:
             return
-        if self._response is None:
+        if self._caller_response is None:
             await self._start_response(head)
-        await self._response.write(b"".join(event.raw for event in events))
+        await self._caller_response.write(b"".join(event.raw for event in events))
         self.event_count += len(events)
         self._record_gap(len(events))
 
@@ -254,18 +254,18 @@
         return int(statistics.median(self._event_gaps_us))
 
     async def _start_response(self, head):
-        response = web.StreamResponse(status=head.status)
-        add_headers(response, head.headers)
+        caller_response = web.StreamResponse(status=head.status)
+        add_headers(caller_response, head.headers)
         if self._is_leaving():
-            response.force_close()
-        await response.prepare(self._request)
-        self._response = response
+            caller_response.force_close()
+        await caller_response.prepare(self._request)
+        self._caller_response = caller_response
 
     async def _finish_response(self, head):
-        if self._response is None:
+        if self._caller_response is None:
             await self._start_response(head)
-        await self._response.write_eof()
-        return self._response
+        await self._caller_response.write_eof()
+        return self._caller_response
 
     def abort(self):
         """Abort a response that cannot be finished, so that it does not look complete.
@@ -276,4 +276,4 @@
         transport = self._request.transport
         if transport is not None:
             transport.close()
-        return self._response
+        return self._caller_response
--- a/libs/entry/src/hemlockhoist/entry/tests/builders.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/builders.py
@@ -68,7 +68,7 @@
     config_key = "config"
 
     def decode_routes(self, value):
-        """Return the table, or raise the exception that stands in its place."""
+        """Return the value, or raise it if it is an exception."""
         if isinstance(value, Exception):
             raise value
         return value
--- a/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_admission.py
@@ -49,10 +49,10 @@
         self.assertIs(code, ResultCode.NOT_FOUND)
 
     async def test_unknown_key_or_route_is_refused_as_stale_on_old_routes(self):
-        """Permanent refusal of a new customer's valid key.
+        """Guards against refusing a new customer's valid key permanently.
 
         The key was added while one host was cut off from the store. That host only
-        knows the previous routes, so it has to tell callers to retry.
+        knows the previous routes, so its refusal has to permit a retry.
         """
         self.host.apply_all()
         self.host.boot_ms += 6_000
--- a/libs/entry/src/hemlockhoist/entry/tests/test_events.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_events.py
@@ -29,9 +29,9 @@
         self.assertIsNone(reader.error)
 
     def test_events_repeated_by_another_upstream_are_dropped(self):
-        """A report contains the same paragraph twice.
+        """Guards against a response that contains the same events twice.
 
-        Its engine crashes, and the next one starts at the first event instead of
+        An upstream crashes, and the next one starts at the first event instead of
         resuming after the last event that the caller received.
         """
         reader = EventReader()
--- a/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_feeds.py
@@ -183,15 +183,15 @@
         return host.store.calls
 
     async def test_starting_host_queries_a_reader(self):
-        """Each restarted host reads all tables from a store that charges per call."""
+        """Guards against reading all tables at each restart, as calls are charged."""
         self.assertEqual(await self.start_one(is_known_after_ms=20), 0)
 
     async def test_starting_host_without_a_reader_reads_the_store(self):
-        """When all hosts start at once, no reader is up and callers wait for routes."""
+        """Guards against callers that wait for a reader as all hosts start at once."""
         self.assertGreater(await self.start_one(is_known_after_ms=1_000), 0)
 
     async def test_changes_arrive_despite_an_unresponsive_reader(self):
-        """A leaving upstream still gets requests while the reader is frozen."""
+        """Guards against requests to a leaving upstream while the reader is frozen."""
         self.network.disconnected.add(self.reader.member.address)
         await self.write("v2")
         await asyncio.sleep(1.6)
@@ -200,7 +200,7 @@
             self.assertLess(host.proof_age_ms(), 2_000)
 
     async def test_reader_that_loses_the_store_reports_it(self):
-        """Hosts refuse callers although they could reach the store themselves."""
+        """Guards against hosts that refuse callers although they reach the store."""
         self.reader.store.is_partitioned = True
         await self.write("v2")
         for _ in range(40):
@@ -219,7 +219,7 @@
         self.assertLess(partitioned.proof_age_ms(), 2 * RELAYED_WAIT_MS)
 
     async def test_calls_to_the_store_are_limited_in_an_outage(self):
-        """All hosts call a recovering store several times a second."""
+        """Guards against several calls per second by all hosts to a failing store."""
         for host in self.hosts:
             host.store.is_partitioned = True
         await asyncio.sleep(10)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_gate.py
@@ -52,7 +52,7 @@
         self.assertIsNone(self.gate.refusal("halls", request(), 0))
 
     def test_retries_are_limited_by_the_requests_of_the_pool(self):
-        """An overload of one pool turns into an outage of all pools.
+        """Guards against an overload of one pool that becomes an outage of all pools.
 
         Each failing request is sent twice. The pool gets twice its load while its
         capacity is lowest, and more requests fail.
--- a/libs/entry/src/hemlockhoist/entry/tests/test_host_registry.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_host_registry.py
@@ -115,7 +115,7 @@
         self.assertEqual(self.store.names(), ["h1"])
 
     async def test_row_of_a_host_lost_long_ago_is_removed(self):
-        """Rows of killed hosts accumulate, and all hosts probe dead addresses."""
+        """Guards against rows of killed hosts that accumulate and are probed by all."""
         lost, _ = await self.start("h2")
         _, context = await self.start("h1")
         await lost.close()
--- a/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_move_trial.py
@@ -160,11 +160,11 @@
         self.check_rolled_back(lambda route, now_ms: route == "conflict-report")
 
     def test_version_that_turns_bad_after_widening_is_rolled_back(self):
-        """A customer's requests fail on a version that seemed good at first.
+        """Guards against widening the share of a version before it is proven.
 
-        Half of them fail. All requests of the version count, including those before it
-        turned bad: a share that was widened by then exceeds the bound before the first
-        failure.
+        The version seems good at first, then four of ten requests fail on it. All its
+        requests count, including those before it turned bad: a share that was widened
+        by then exceeds the bound before the first failure.
         """
         self.check_rolled_back(lambda route, now_ms: now_ms > 0.4 * ORDER_MS)
 
--- a/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
@@ -28,14 +28,14 @@
         self.moves = OrderedMoveService(context, rows=None, send=None)
 
     def test_halt_of_an_earlier_order_does_not_apply_to_the_next(self):
-        """A corrected version that is ordered again at once is rolled back untried."""
+        """Guards against rolling back a corrected version that is ordered again."""
         self.moves.receive_order(order(8))
         self.moves.receive_order(order(14))
         self.moves._publish_halt("halls", "halls@8", "v2")
         self.moves.check_version("halls", "v2")
 
     def test_halt_received_before_its_order_applies(self):
-        """A host continues to send to a halted version until the next halt."""
+        """Guards against sending to a halted version because its order arrived late."""
         self.moves.receive_order(order(8))
         self.moves._revoke(halt(14))
         self.moves.receive_order(order(14))
@@ -105,7 +105,7 @@
         self.new_home = FakeController(move(MoveState.RUNNING))
 
     async def test_new_home_does_not_reopen_a_completed_move(self):
-        """Operators read "in progress" of a move already reported as completed."""
+        """Guards against reporting a completed move as in progress again."""
         await self.moves._follow_order(order(1), self.new_home)
         self.assertEqual(self.rows.reported, [OrderState.COMPLETED])
 
--- a/libs/entry/src/hemlockhoist/entry/tests/test_responses.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_responses.py
@@ -23,7 +23,7 @@
 
 class ErrorResponseTests(unittest.TestCase):
     def test_only_not_run_codes_give_a_not_run_status(self):
-        """A booking that ran is repeated.
+        """Guards against callers that repeat a booking that ran.
 
         The caller concludes from status 503 that the request did not run, while the
         host does not know whether it ran.
--- a/libs/entry/src/hemlockhoist/entry/tests/test_store_view.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_store_view.py
@@ -49,7 +49,7 @@
         self.store_view = self.host.store_view
 
     async def test_older_routes_are_never_applied(self):
-        """A revoked key is accepted again.
+        """Guards against accepting a revoked key again.
 
         The store lags behind for a while, and returns an older version of the routes to
         a host that has the newer one.
@@ -75,7 +75,7 @@
 
 class FreshnessTests(PausedTestCase):
     async def test_suspension_ages_the_proof(self):
-        """A host resumes after a minute and accepts a key revoked meanwhile."""
+        """Guards against accepting a key that was revoked during a suspension."""
         host = HostFixture()
         host.apply_all()
         host.boot_ms += LIMIT_MS - 1
@@ -88,7 +88,7 @@
 
 class CheckUpstreamTests(PausedTestCase):
     async def test_upstream_that_leaves_after_the_grant_is_refused(self):
-        """A leaving replica gets a booking, and stops before it responds."""
+        """Guards against a booking sent to an upstream that is about to stop."""
         host = HostFixture()
         host.apply_upstreams(upstream("a"), upstream("b"))
         host.store_view.check_upstream("a", False)
@@ -109,7 +109,7 @@
         return {item.upstream_id: item.state for item in self.store_view.usable()}
 
     async def test_evacuated_domain_is_refused_until_the_evacuation_ends(self):
-        """Requests reach a zone long after its operator evacuated it."""
+        """Guards against requests to a failure domain long after its evacuation."""
         self.host.apply_evacuation("a", version=5)
         self.assertIs(self.states()["a1"], UpstreamState.EVACUATED)
         self.assertIs(self.states()["b1"], UpstreamState.LIVE)
@@ -129,7 +129,7 @@
         self.assertIs(self.states()["a1"], UpstreamState.LIVE)
 
     async def test_report_of_another_host_applies_if_newer(self):
-        """A home that reads late continues to grant an evacuated zone."""
+        """Guards against a home that reads late and grants an evacuated domain."""
         self.store_view.on_domain_evacuated("a", 5)
         self.assertIs(self.states()["a1"], UpstreamState.EVACUATED)
         self.host.apply_evacuation("a", version=7, is_evacuated=False)
@@ -150,7 +150,7 @@
         self.host.apply_routes(RouteTable(3, [route()], [pool], [customer()]))
 
     async def test_grant_of_a_home_unaware_of_a_cold_upstream_is_refused(self):
-        """A home that reads late grants a cold engine the load of a warm one."""
+        """Guards against a home that reads late and overloads a cold upstream."""
         self.host.apply_upstreams(cold("a1", self.host.clock.now_ms() + 900))
         with self.assertRaises(UpstreamCold) as caught:
             self.store_view.check_upstream("a1", False)
--- a/libs/entry/src/hemlockhoist/entry/tests/test_stream.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_stream.py
@@ -22,7 +22,7 @@
         self.addCleanup(self.watchdog.close)
 
     async def test_unresponsive_upstream_is_abandoned(self):
-        """A stream hangs forever although another engine could resume it."""
+        """Guards against a stream that hangs while another upstream could resume it."""
         await asyncio.sleep(0.999)
         self.assertFalse(self.response.closed)
         await asyncio.sleep(0.2)
@@ -38,7 +38,7 @@
         self.assertFalse(self.response.closed)
 
     async def test_events_received_during_a_suspension_are_read_first(self):
-        """A stream is abandoned although its rest is available.
+        """Guards against abandoning a stream whose rest is available.
 
         The host resumes from a suspension after the limit has passed. What the upstream
         sent meanwhile is in the socket, and is read in the event loop's next iteration.
--- a/libs/entry/src/hemlockhoist/entry/tests/test_usage_recorder.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_usage_recorder.py
@@ -81,7 +81,7 @@
     async def test_quota_is_not_granted_again_after_a_loss_of_all_hosts(
         self,
     ):
-        """A customer gets twice its quota, and delays the requests of others.
+        """Guards against a customer that gets twice its quota and delays others.
 
         All hosts lost power while the customer was at its bound, and the restarted
         hosts could query no host for its usage.
@@ -100,10 +100,10 @@
         self.assertGreater(sum(u for _, u in home.granted), BOUND / 2)
 
     async def test_record_is_renewed_while_a_customer_stays_at_its_bound(self):
-        """A customer gets 5 % more than its bound after all hosts were killed.
+        """Guards against granting 5 % more than the bound after all hosts were killed.
 
-        It had been at its bound for seconds, so that its usage no longer grew: the
-        record was not rewritten, and contained usage that had left the window.
+        A customer had been at its bound for seconds, so that its usage no longer grew:
+        the record was not rewritten, and contained usage that had left the window.
         """
         previous = await self.open_home()
         await previous.send_for(14, 500)
@@ -118,7 +118,7 @@
             self.assertLessEqual(inside, BOUND)
 
     async def test_record_is_read_at_once_on_takeover(self):
-        """A customer gets 0.8 % more than its bound after all hosts were killed.
+        """Guards against 0.8 % above a customer's bound after all hosts were killed.
 
         The new home had checked the record while it scheduled no pool, and checked
         again half a second later. Until then it granted what it assumed to be unused.
@@ -148,7 +148,7 @@
         self.assertEqual(self.store.version, 0)
 
     async def test_usage_of_a_lost_host_is_counted(self):
-        """A customer gets 0.8 % more than its bound when some hosts lose power.
+        """Guards against 0.8 % above a customer's bound when some hosts lose power.
 
         They were fewer than a fifth of the hosts, and the next home queried the others
         only.
--- a/libs/entry/src/hemlockhoist/entry/usage_recorder.py
+++ b/libs/entry/src/hemlockhoist/entry/usage_recorder.py
@@ -122,8 +122,8 @@
     async def _read_at_start(self):
         """Read the record once, in case this host becomes home at once.
 
-        Load: in a fleet with few high-capacity hosts, the other hosts cannot become
-        home, and each of their calls to the store would be paid for in vain.
+        Only high-capacity hosts read it. The other hosts of a fleet cannot become home,
+        and each of their calls to the store would be a cost without a use.
         """
         if self._start_reading_ms is not None:
             return
@@ -165,28 +165,28 @@
     async def _write(self):
         now_ms = self._context.clock.now_ms()
         quotas = self._context.gate.quotas
-        spent = quotas.usage_to_record(now_ms)
-        counted = {name: quotas.counted(name) for name, _ in spent}
+        usage = quotas.usage_to_record(now_ms)
+        counted = {name: quotas.counted(name) for name, _ in usage}
         if not self._is_write_due(counted):
             return
         platform = self._context.platform
-        record = UsageRow(self._context.store_view.store_now_ms(), spent)
-        value = msgspec.json.encode(record) if spent else None
+        record = UsageRow(self._context.store_view.store_now_ms(), usage)
+        value = msgspec.json.encode(record) if usage else None
         change = RowChange(
             table=platform.usage_table,
             key=self._context.identity.host_id,
             value=value,
         )
         await platform.store.commit((change,))
-        self._written = spent
+        self._written = usage
         self._recorded = counted
 
     def _is_write_due(self, counted):
-        """Return whether the record is too far behind, or no longer of any customer.
+        """Return whether the record lags too far behind, or has to be cleared.
 
-        Load: ordinary customers are near their bounds in each burst, and each write is
-        a call to the store. The usage of a customer does not grow once it is at its
-        bound, so the check considers what was granted since the last write.
+        Load prevented: ordinary customers are near their bounds in each burst, and each
+        write is a call to the store. The usage of a customer does not grow once it is
+        at its bound, so the check considers what was granted since the last write.
         """
         if not counted:
             return bool(self._written)
--- a/libs/entry/src/hemlockhoist/entry/wire.py
+++ b/libs/entry/src/hemlockhoist/entry/wire.py
@@ -25,7 +25,7 @@
     key : str
         The caller's key; empty for none.
     max_wait_ms : int or None
-        How long the caller will wait; None if it does not say.
+        How long the caller will wait; None if it does not state it.
     prompt_tokens, max_output_tokens : int
         0 if the request does not state them.
     states_tokens : bool
@@ -64,9 +64,9 @@
     Parameters
     ==========
     host : str
-        The host name under which its routes are declared; empty if it does not say.
+        The host name under which its routes are declared; empty if not stated.
     region : str
-        The caller's region; empty if it does not say.
+        The caller's region; empty if not stated.
     """
 
     host: str = ""
