--- a/libs/base/src/hemlockhoist/base/errors.py
+++ b/libs/base/src/hemlockhoist/base/errors.py
@@ -70,7 +70,7 @@
 
 
 class UpstreamLeft(GrantOutdated):
-    """The upstream of a grant is leaving."""
+    """The upstream of a grant is leaving or no longer listed."""
 
     cause = "left"
 
--- a/libs/base/src/hemlockhoist/base/log_rate_limiter.py
+++ b/libs/base/src/hemlockhoist/base/log_rate_limiter.py
@@ -28,12 +28,12 @@
     """
 
     __slots__ = (
-        "_updated_ms",
         "_burst_lines",
         "_dropped",
-        "_tokens",
-        "_now_ms",
         "_lines_per_s",
+        "_now_ms",
+        "_tokens",
+        "_updated_ms",
     )
 
     def __init__(self, now_ms, lines_per_s=LINES_PER_S, burst_lines=BURST_LINES):
--- a/libs/base/src/hemlockhoist/base/log_writer.py
+++ b/libs/base/src/hemlockhoist/base/log_writer.py
@@ -28,10 +28,10 @@
 
     __slots__ = (
         "__weakref__",
-        "_closing",
-        "_lines_added",
         "_buffered_bytes",
+        "_closing",
         "_lines",
+        "_lines_added",
         "_lock",
         "_max_buffered_bytes",
         "_stream",
--- a/libs/base/src/hemlockhoist/base/metrics.py
+++ b/libs/base/src/hemlockhoist/base/metrics.py
@@ -86,7 +86,7 @@
 
     @classmethod
     def from_config(cls, address):
-        """Return metrics that are sent to a statsd server.
+        """Return a ``Metrics`` that sends its values to a statsd server.
 
         Parameters
         ==========
--- a/libs/base/src/hemlockhoist/base/testing.py
+++ b/libs/base/src/hemlockhoist/base/testing.py
@@ -12,8 +12,8 @@
     """An event loop whose clock jumps to the next timer when all tasks wait.
 
     A test that covers hours of virtual time runs in milliseconds, and its result does
-    not depend on the load of the machine. The loop is meant for code without sockets:
-    real input that arrives while the clock jumps would have no fixed order.
+    not depend on the load of the machine. The tested code must not use sockets: real
+    input that arrives while the clock jumps would have no fixed order.
     """
 
     def __init__(self):
--- a/libs/base/src/hemlockhoist/base/tests/test_logs.py
+++ b/libs/base/src/hemlockhoist/base/tests/test_logs.py
@@ -87,7 +87,7 @@
         self.assertIn("event=host_started component=test host=h1", stream.getvalue())
 
     def test_line_breaks_in_values_are_escaped(self):
-        """Unescaped, the rest of the value would be parsed as a separate log line."""
+        """Guards against a value whose rest would be parsed as a separate log line."""
         stream = io.StringIO()
         configure_logs("info", stream)
         self.addCleanup(structlog.reset_defaults)
@@ -129,7 +129,7 @@
         thread.join()
         self.assertGreater(writer.dropped, 1_000)
         # The pipe is read to its end by a thread, because the number of buffered bytes
-        # does not tell whether another read would block.
+        # does not show whether another read would block.
         with os.fdopen(read_end, "rb") as reader:
             drain = threading.Thread(target=reader.read)
             drain.start()
--- a/libs/base/src/hemlockhoist/base/traces.py
+++ b/libs/base/src/hemlockhoist/base/traces.py
@@ -22,7 +22,7 @@
 SERVICE = "hemlockhoist"
 TRACEPARENT = "traceparent"
 TRACES_PATH = "/v1/traces"
-# This is short so that an unreachable collector does not delay a planned stop.
+# Short, so that an unreachable collector does not delay a planned stop.
 EXPORT_TIMEOUT_S = 2
 MAX_QUEUED_SPANS = 2_048
 _PERMILLE = 1_000
@@ -62,6 +62,8 @@
     Parameters
     ==========
     provider : opentelemetry.sdk.trace.TracerProvider
+    records : bool, optional
+        Whether spans are recorded; if not, contexts are only propagated.
     """
 
     __slots__ = ("_provider", "_records", "_tracer")
@@ -73,7 +75,7 @@
 
     @classmethod
     def from_config(cls, endpoint, sample_permille, host_id, failure_domain=""):
-        """Return traces that are exported to an OTLP endpoint.
+        """Return a ``Traces`` whose spans are exported to an OTLP endpoint.
 
         Parameters
         ==========
@@ -100,7 +102,7 @@
 
     @classmethod
     def from_processor(cls, processor, sample_permille, host_id, failure_domain=""):
-        """Return traces that are passed to a span processor, such as one in memory."""
+        """Return a ``Traces`` whose spans are passed to a span processor."""
         resource = Resource.create(
             {
                 "service.name": SERVICE,
@@ -119,7 +121,7 @@
         """Do nothing; spans can be created before the start."""
 
     async def close(self):
-        """Export the remaining spans, within the time-out of an export."""
+        """Export the remaining spans, within the timeout of an export."""
         await asyncio.to_thread(self._provider.shutdown)
 
     def span(self, hop, parent=None, **attributes):
@@ -144,17 +146,17 @@
         )
 
     def context_for_peer(self):
-        """Return the current context for a message to a host; empty if not recording.
+        """Return the current context as text for a message to another host.
 
-        It is left out then, as it makes up a quarter of the size of a request for a
-        slot.
+        The text is empty if spans are not recorded, as it makes up a quarter of the
+        size of a grant request.
         """
         return context_to_text() if self._records else ""
 
     def start_span(self, hop, parent=None, **attributes):
         """Return a started span that the caller must end.
 
-        It is meant for hops that do not end in the function that starts them.
+        For hops that do not end in the function that starts them.
         """
         if not self._records:
             return trace.INVALID_SPAN
--- a/libs/cli/src/hemlockhoist/cli/client.py
+++ b/libs/cli/src/hemlockhoist/cli/client.py
@@ -87,7 +87,7 @@
         return await self._call("GET", STATUS_PATH, dict)
 
     async def drain(self):
-        """Request a host to stop gracefully; return its answer as plain data."""
+        """Request a graceful stop of a host; return its response as plain data."""
         return await self._call("POST", DRAIN_PATH, dict)
 
     async def declarations(self):
@@ -135,10 +135,10 @@
         headers = {} if data is None else {"Content-Type": "application/json"}
         async with self._session.request(
             method, url, data=data, headers=headers
-        ) as answer:
-            body = await answer.read()
-        if answer.status >= 400:
-            raise _remote_error(answer.status, body)
+        ) as response:
+            body = await response.read()
+        if response.status >= 400:
+            raise _remote_error(response.status, body)
         try:
             return msgspec.json.decode(body, type=result_type)
         except msgspec.DecodeError as error:
--- a/libs/cli/src/hemlockhoist/cli/declaration_changes.py
+++ b/libs/cli/src/hemlockhoist/cli/declaration_changes.py
@@ -22,9 +22,9 @@
 async def send_change(client, change):
     """Send a change, and retry until a host reports its outcome.
 
-    The answer of a host or of the table service may be lost after the change was
+    The response of a host or of the table service may be lost after the change was
     accepted. Retrying with the same change id is safe: a host that finds the id in the
-    history answers with the version that the change created.
+    history responds with the version that the change created.
 
     Parameters
     ==========
--- a/libs/cli/src/hemlockhoist/cli/host.py
+++ b/libs/cli/src/hemlockhoist/cli/host.py
@@ -55,11 +55,11 @@
     """Stop one host gracefully: it accepts no new work and completes its requests."""
     if client.host_count != 1:
         raise SettingError("host: name exactly one host, the one to stop")
-    answer = await client.drain()
+    result = await client.drain()
     if wait_ms:
         await _wait_until_stopped(client, wait_ms)
-        answer = {**answer, "stopped": True}
-    print_output(answer, as_json)
+        result = {**result, "stopped": True}
+    print_output(result, as_json)
 
 
 async def _wait_until_stopped(client, wait_ms):
--- a/libs/cli/src/hemlockhoist/cli/load.py
+++ b/libs/cli/src/hemlockhoist/cli/load.py
@@ -210,7 +210,7 @@
 
 
 def _mark_retries(requests):
-    """Mark the requests that are retries of refused ones at the time given to callers.
+    """Mark the requests that retry a refused one at the time given by Retry-After.
 
     A retry has a new request id. It is matched by customer, route and size, as in the
     homes. Requests without a size cannot be distinguished, and are not matched.
--- a/libs/cli/src/hemlockhoist/cli/log_lines.py
+++ b/libs/cli/src/hemlockhoist/cli/log_lines.py
@@ -46,9 +46,9 @@
     >>> from hemlockhoist.cli.log_lines import parse_line
     >>> line = parse_line(
     ...     'h1 | timestamp=2026-01-02T03:04:05Z level=info event=request_ended '
-    ...     'host=h1 request=a1 reason="no place"')
+    ...     'host=h1 request=a1 reason="no slot"')
     >>> line.event, line.request, line.get("reason")
-    ('request_ended', 'a1', 'no place')
+    ('request_ended', 'a1', 'no slot')
     >>> parse_line("Traceback (most recent call last):") is None
     True
     """
--- a/libs/cli/src/hemlockhoist/cli/tests/fake_host.py
+++ b/libs/cli/src/hemlockhoist/cli/tests/fake_host.py
@@ -85,13 +85,13 @@
             error = HemlockhoistError(code=ResultCode.OPERATOR_KEY_WRONG)
             return error_response(error)
         try:
-            answer = await handler(request)
+            result = await handler(request)
         except HemlockhoistError as error:
             return error_response(error)
-        if isinstance(answer, web.StreamResponse):
-            return answer
+        if isinstance(result, web.StreamResponse):
+            return result
         return web.Response(
-            body=msgspec.json.encode(answer), content_type="application/json"
+            body=msgspec.json.encode(result), content_type="application/json"
         )
 
     async def _status(self, request):
--- a/libs/declarations/src/hemlockhoist/declarations/faults.py
+++ b/libs/declarations/src/hemlockhoist/declarations/faults.py
@@ -29,8 +29,8 @@
     allowed: str
 
     def __str__(self):
-        place = f"{self.file}:{self.line}: " if self.file else ""
-        return f"{place}{self.field}: {self.problem}; allowed: {self.allowed}"
+        location = f"{self.file}:{self.line}: " if self.file else ""
+        return f"{location}{self.field}: {self.problem}; allowed: {self.allowed}"
 
 
 class DeclarationFaults(DeclarationError):
--- a/libs/declarations/src/hemlockhoist/declarations/sectioning.py
+++ b/libs/declarations/src/hemlockhoist/declarations/sectioning.py
@@ -93,7 +93,7 @@
 
 
 def sections(declarations):
-    """Return declarations divided into sections.
+    """Divide declarations into sections.
 
     Parameters
     ==========
@@ -275,7 +275,7 @@
 
 
 def _to_stored(kind, record, defaults):
-    """Return a record's own values, and those that override defaults."""
+    """Return a record's own values, with those that override defaults as "departs"."""
     overridden = overridden_values(kind, record, defaults)
     return {
         **own_values(kind, record),
--- a/libs/declarations/src/hemlockhoist/declarations/stored.py
+++ b/libs/declarations/src/hemlockhoist/declarations/stored.py
@@ -1,4 +1,4 @@
-"""Content of the table service's row: the declarations and their history."""
+"""The declarations and their history, as stored in a row of the table service."""
 
 import msgspec
 
@@ -40,7 +40,7 @@
 
 
 class StoredDeclarations(msgspec.Struct, frozen=True, kw_only=True):
-    """Content of the row.
+    """Declarations and the history of their changes, stored in one row.
 
     Parameters
     ==========
@@ -61,7 +61,7 @@
         return next((e for e in self.history if e.version == version), None)
 
     def with_change(self, declarations, change_id, author, unix_ms):
-        """Return the row's content after a change.
+        """Return the declarations and history that result from a change.
 
         Parameters
         ==========
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_document.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_document.py
@@ -108,9 +108,10 @@
         )
 
     def test_key_of_two_customers(self):
-        """
-        Two customers have the same key by mistake. Requests of one of them would count
-        against the limit of the other. The file is rejected, and the fault names both.
+        """Guards against counting requests against the limit of another customer.
+
+        Two customers have the same key by mistake. The file is rejected, and the fault
+        names both.
         """
         key = "0" * 64
         text = f"""tiers: [{TIER}]
@@ -123,10 +124,10 @@
         self.assertIn("customers[0]", problem)
 
     def test_numbers_in_other_notations_of_yaml(self):
-        """
-        An operator writes 010 or 1:30 as a limit. YAML 1.1 reads them as 8 and 90, and
-        the fleet would run with an unintended limit. Both are rejected, as is a number
-        with thousands of digits.
+        """Guards against a limit that YAML reads as another number.
+
+        An operator writes 010 or 1:30, which YAML 1.1 reads as 8 and 90. Both are
+        rejected, as is a number with thousands of digits.
         """
         for value in ("010", "1:30", "0x10", "1e3", "yes", "9" * 5000, "''"):
             text = f"defaults: {{customer: {{weight: {value}}}}}\ntiers: [{TIER}]"
@@ -134,9 +135,10 @@
             self.assertEqual(fields, ["defaults.customer.weight"], value)
 
     def test_a_field_that_is_given_twice(self):
-        """
-        A limit is given twice in one record, far apart. YAML uses the last one, and an
-        operator may read the first, which has no effect. The file is rejected.
+        """Guards against a limit in the file that has no effect.
+
+        It is given twice in one record, far apart. YAML uses the last one, and an
+        operator may read the first. The file is rejected.
         """
         text = f"tiers: [{TIER}]\ndefaults:\n  tier:\n    max_queued: 1\n  tier: {{}}"
         ((line, field, problem),) = faults_of(text)
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_evacuations.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_evacuations.py
@@ -45,7 +45,7 @@
         self.assertEqual(kept.evacuations(), {})
 
     def test_invalid_exceptions_are_faults(self):
-        """Guards against evacuating a zone, or failing to, because of a typo."""
+        """Guards against evacuating a domain, or failing to, because of a typo."""
         for old, new in (
             ("value: true", "value: yes"),
             ("field: evacuated", "field: drained"),
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_model.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_model.py
@@ -26,10 +26,11 @@
             self.assertFalse(POOL.is_idempotent("GET", path), path)
 
     def test_paths_that_may_resolve_to_others(self):
-        """
-        A path begins like a lookup and, with its dot segments resolved, issues a
-        label. If it were treated as a lookup, it would run without a key, and a retry
-        would issue a second label. It is non-idempotent.
+        """Guards against issuing a second label by a retry.
+
+        A path begins like a lookup and, with its dot segments resolved, issues a label.
+        If it were treated as a lookup, it would run without an idempotency key. It is
+        non-idempotent.
         """
         for tail in (
             "/../issue",
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_record_checks.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_record_checks.py
@@ -28,10 +28,11 @@
         check_declarations(fleet(20))
 
     def test_an_override_without_its_exception(self):
-        """
+        """Guards against a limit that differs from the default without a reason.
+
         A script sends records of its own, in which one customer has a larger limit
-        without an exception that gives the reason. They are rejected, as is a record
-        without the value that its exception sets.
+        without an exception. They are rejected, as is a record without the value that
+        its exception sets.
         """
         found = example()
         customers = list(found.customers)
--- a/libs/declarations/src/hemlockhoist/declarations/tests/test_sectioning.py
+++ b/libs/declarations/src/hemlockhoist/declarations/tests/test_sectioning.py
@@ -98,10 +98,10 @@
         self.assertEqual(missing_sections({}, all_sections).changed, all_sections.items)
 
     def test_an_old_delta_does_not_revert(self):
-        """
-        Two peers relay changes, and an older one arrives last. A host that applied it
-        would return to the earlier configuration, after it had reported that the new
-        one was in force. The older delta is rejected.
+        """Guards against returning to an earlier configuration.
+
+        Two peers relay changes, and an older one arrives last, after the host has
+        reported that the new one is in force. The older delta is rejected.
         """
         old = with_version(example(), 4)
         new = with_limit(old, 0, 7)
@@ -110,10 +110,10 @@
             merge_sections(sections(new), outdated_delta)
 
     def test_a_delta_for_other_sections(self):
-        """
-        A host misses one change and receives the delta of the next. Applying it would
-        mix two versions under the number of the later. The digest of the result
-        differs, and the host requests the missing sections instead.
+        """Guards against a mixture of two versions under the number of the later.
+
+        A host misses one change and receives the delta of the next. The digest of the
+        result differs, and the host requests the missing sections instead.
         """
         first = fleet(20)
         second = with_limit(first, 3, 9)
--- a/libs/peers/src/hemlockhoist/peers/bus.py
+++ b/libs/peers/src/hemlockhoist/peers/bus.py
@@ -26,7 +26,8 @@
     peer_key : bytes
     clock : Clock
     handler : callable
-        ``handler(sender, message, late_ms)``; must not block.
+        ``handler(sender, message, late_ms)``; must not block. ``late_ms`` is the delay
+        measured by ``Inbox``.
     on_connection_lost : callable, optional
         ``on_connection_lost(address)`` is called when the connection to a peer ends.
     """
--- a/libs/peers/src/hemlockhoist/peers/tests/test_bus.py
+++ b/libs/peers/src/hemlockhoist/peers/tests/test_bus.py
@@ -40,10 +40,11 @@
             box.accept(_envelope(1), 11)
 
     def test_delayed_frame_of_a_past_incarnation_is_rejected(self):
-        """A frame of a host's previous process arrives after the host restarted.
+        """Guards against accepting frames again after a host restarted.
 
-        If it were treated as a new incarnation, each switch between the two would
-        reset the sequence numbers, and all their frames would be accepted again.
+        If a frame of the host's previous process were treated as a new incarnation,
+        each switch between the two would reset the sequence numbers, and all their
+        frames would be accepted again.
         """
         box = Inbox("b")
         box.accept(_envelope(1, incarnation="1"), 10)
@@ -58,10 +59,10 @@
             Inbox("b").accept(_envelope(1, receiver="c"), 10)
 
     def test_suspended_receiver_measures_the_delay_of_what_it_reads(self):
-        """The receiver was suspended for 4 s while a grant waited in its socket buffer.
+        """Guards against a dispatch under a grant that expired during a suspension.
 
-        When it resumes, the grant seems to have just arrived. Without the measured
-        delay, the host would dispatch under a grant that expired long ago.
+        The receiver was suspended for 4 s while a grant waited in its socket buffer.
+        When it resumes, the grant seems to have just arrived.
         """
         box = Inbox("b")
         box.accept(_envelope(1, sent_ms=1000), 501_000)
@@ -174,8 +175,10 @@
         self.assertEqual(message, _message(2))
 
     async def test_messages_that_arrive_during_the_stop_do_not_block_it(self):
-        """A receiving task that misses its cancellation while messages arrive keeps a
-        stopping host running until its supervisor kills it."""
+        """Guards against a stopping host that runs until its supervisor kills it.
+
+        A receiving task can miss its cancellation while messages arrive.
+        """
         for round_ in range(20):
             peer = self._bus(b"k")
             await peer.start()
@@ -207,7 +210,7 @@
         self.assertTrue(lost.empty())
 
     async def test_closing_connection_does_not_block_the_event_loop(self):
-        """When a connection ended, a busy loop over it used all processor time."""
+        """Guards against a busy loop over an ended connection, which blocks a host."""
         self.a.send(self.b.address, _message(1))
         await asyncio.wait_for(self.received.get(), WAIT_S)
         is_closing = Connection.is_closing.fget
@@ -242,11 +245,12 @@
 
 class LostPacketTests(unittest.IsolatedAsyncioTestCase):
     async def test_connecting_is_retried_before_the_kernel_retransmits(self):
-        """After all hosts lost power, five of eight made themselves home for a second.
+        """Guards against several homes in the second after all hosts lost power.
 
-        A host connects to one that has no power yet. The packet is lost, the kernel
-        retransmits it after a second, and only then do the two learn of each other.
-        Here the packet is lost at a listener whose queue is full.
+        Five of eight hosts made themselves home. A host connects to one that has no
+        power yet. The packet is lost, the kernel retransmits it after a second, and
+        only then do the two learn of each other. Here the packet is lost at a listener
+        whose queue is full.
         """
         with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
             address = listener.getsockname()
@@ -291,7 +295,7 @@
 
 class UnresponsiveConnectionTests(unittest.IsolatedAsyncioTestCase):
     async def test_reconnecting_reaches_a_peer_behind_a_dead_connection(self):
-        """Requests of one host get no slot although every host looks healthy.
+        """Guards against requests that get no slot although every host looks healthy.
 
         The peer's machine lost power and is back. The connection to it was never
         reset, and what is sent on it is lost for as long as the kernel retransmits.
--- a/libs/store/src/hemlockhoist/store/tests/test_lease.py
+++ b/libs/store/src/hemlockhoist/store/tests/test_lease.py
@@ -86,7 +86,8 @@
         self.assertEqual(await two.acquire(), 2)
 
     async def test_renewal_with_lost_answer(self):
-        """
+        """Guards against a holder that loses its lease to its own renewal.
+
         A renewal is applied and its answer is lost. The next renewal finds a newer
         version of the row, written by this holder: the lease continues with the same
         fencing token.
@@ -103,10 +104,11 @@
         self.assertGreater(one.remaining_ms(), 9_000)
 
     async def test_suspended_holder(self):
-        """
-        The holder's process is suspended for a minute while it holds the lease, and
-        another host acquires it meanwhile. When the first host resumes, its own clock
-        shows that the lease has ended, before it sends any order.
+        """Guards against orders of a holder that was suspended beyond its lease.
+
+        The holder's process is suspended for a minute, and another host acquires the
+        lease meanwhile. When the first host resumes, its own clock shows that the lease
+        has ended, before it sends any order.
         """
         store = TableStore()
         one, two = _lease(store, "one"), _lease(store, "two")
@@ -116,10 +118,10 @@
         self.assertGreater(two.fencing, one.fencing)
 
     async def test_never_two_holders(self):
-        """
+        """No two hosts ever hold the lease at the same time.
+
         Four hosts whose clock rates differ by up to 1 % acquire, renew, release and
-        wait at random, with slow and lost answers. No two of them ever hold the lease
-        at the same time, and the fencing token never decreases.
+        wait at random, with slow and lost answers. The fencing token never decreases.
         """
         for seed in range(40):
             await self._race(random.Random(seed))
--- a/libs/store/src/hemlockhoist/store/tests/test_retries.py
+++ b/libs/store/src/hemlockhoist/store/tests/test_retries.py
@@ -6,10 +6,10 @@
 
 class RetryBudgetTests(unittest.TestCase):
     def test_retries_in_an_outage_are_bounded(self):
-        """
-        The store is down for a thousand calls, each of which may be attempted four
-        times. Apart from the accumulated retries, the budget allows one retry for five
-        calls.
+        """Guards against multiplying the load of a store that is down.
+
+        A thousand calls fail, each of which may be attempted four times. Apart from the
+        accumulated retries, the budget allows one retry for five calls.
         """
         budget = RetryBudget(permille=200, burst=10)
         retries = 0
--- a/libs/store/src/hemlockhoist/store/tests/test_tables.py
+++ b/libs/store/src/hemlockhoist/store/tests/test_tables.py
@@ -85,10 +85,11 @@
                 await tables.read("halls", "a", Hall)
 
     async def test_lost_answer_is_resolved_by_reading(self):
-        """
-        Guards against a conflict of a write with itself. The store applies an
-        operator's change, and the connection breaks before the answer. A client that
-        sent the write again would report that another operator had made the change.
+        """Guards against a conflict of a write with itself.
+
+        The store applies an operator's change, and the connection breaks before the
+        answer. A client that sent the write again would report that another operator
+        had made the change.
         """
         async with _platform() as (standin, _, tables):
             standin.faults = PlatformFaults(lose_answers=1)
@@ -97,7 +98,8 @@
             self.assertEqual(standin.tables.writes, 1)
 
     async def test_delayed_copy_of_a_write(self):
-        """
+        """Guards against a delayed copy of a write that is applied as well.
+
         The store is slow: an attempt times out, the client reads the row without its
         change and sends the write again. The first copy arrives after that. It must
         not overwrite anything, nor apply the change twice.
@@ -115,7 +117,8 @@
             self.assertEqual(standin.tables.writes, 2)
 
     async def test_lost_answer_after_another_write_is_a_conflict(self):
-        """
+        """Guards against reporting a conflict as an unknown outcome.
+
         Two operators write concurrently. The store applies the other change first and
         drops this client's connection without an answer. Reading the row shows the
         other change id, so this write is known not to have been applied.
@@ -137,7 +140,8 @@
                 await tables.put("halls", "a", Hall("A", 2), ABSENT)
 
     async def test_lost_answer_in_a_lasting_outage(self):
-        """
+        """Guards against reporting a write of unknown outcome as failed.
+
         The answer is lost and the store stays down, so that it cannot be known whether
         the write was applied. The error states exactly that.
         """
@@ -156,7 +160,8 @@
             self.assertEqual(standin.tables.writes, 0)
 
     async def test_aiohttp_does_not_resend_writes(self):
-        """
+        """Guards against a write that the HTTP library sends a second time.
+
         A kept-alive connection breaks during a write. ``aiohttp`` resends a PUT on its
         own in that case, and the write would be applied twice. The client writes by
         POST, which reaches the store once for each attempt of the client.
--- a/libs/store/src/hemlockhoist/store/tests/test_watch.py
+++ b/libs/store/src/hemlockhoist/store/tests/test_watch.py
@@ -64,9 +64,10 @@
         self.assertEqual(len(self.readings), 3)
 
     async def test_table_is_read_again_after_lost_history(self):
-        """A key was deleted while the store dropped its history of changes.
+        """Guards against keeping a row whose deletion the feed no longer holds.
 
-        The feed no longer holds the changes of that time, so the table is read again.
+        A key was deleted while the store dropped its history of changes, so the table
+        is read again.
         """
         self.store.script = [None, HistoryGone("gone"), None]
         await self.start()
@@ -82,7 +83,7 @@
         self.assertGreater(len(self.store.calls), 20)
 
     async def test_slow_retry_ends_when_the_store_has_recovered(self):
-        """Guards against assigning work to removed replicas for 2 s after an outage."""
+        """Guards against sending work to removed upstreams for 2 s after an outage."""
         self.store.script = [PlatformError("down")] * 99
         await self.start(retry_delay=SLOW_RETRY)
         await asyncio.sleep(3)
--- a/libs/store/src/hemlockhoist/store/transport.py
+++ b/libs/store/src/hemlockhoist/store/transport.py
@@ -119,7 +119,7 @@
 
         Returns
         =======
-        Fetched
+        FetchResult
 
         Raises
         ======
--- a/libs/store/src/hemlockhoist/store/watch.py
+++ b/libs/store/src/hemlockhoist/store/watch.py
@@ -40,7 +40,7 @@
         Longest time that a call waits for changes, and so the longest time between two
         proofs that nothing has changed.
     on_rows : callable
-        ``on_rows(reading, is_snapshot)``; ``is_snapshot`` tells that the reading holds
+        ``on_rows(reading, is_snapshot)``; ``is_snapshot`` is true if the reading holds
         all rows of the table.
     on_reading : callable, optional
         ``on_reading(reading)`` after each successful call.
@@ -57,13 +57,13 @@
         "_on_failure",
         "_on_reading",
         "_on_rows",
+        "_restart",
         "_retry_delay",
         "_store",
         "_table",
         "_task",
         "_version",
         "_wait_ms",
-        "_restart",
     )
 
     def __init__(
--- a/libs/upstreams/src/hemlockhoist/upstreams/client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/client.py
@@ -248,7 +248,7 @@
             raise BadRequest(str(error)) from error
 
     async def fetch(self, call):
-        """Send a request of the host itself that changes nothing; read the response.
+        """Send a request that runs no work (load report, cancel); read its response.
 
         Returns
         =======
@@ -270,7 +270,7 @@
 
     @contextlib.asynccontextmanager
     async def attach(self, call):
-        """Send a request that is not a dispatch (resume, cancel, load report)."""
+        """Resume a stream, which is not a dispatch; yield the response."""
         with _dispatch_errors():
             response = await self._send(call, _NoGuard())
         try:
@@ -320,7 +320,10 @@
 
 
 async def cancel_stream(client, address, request_id):
-    """Ask an engine to stop an abandoned stream; if that fails, it times out there."""
+    """Request an engine to stop an abandoned stream; failures of this are ignored.
+
+    If the request fails, the stream ends at the engine by a timeout.
+    """
     call = UpstreamCall(
         address=address,
         method="DELETE",
--- a/libs/upstreams/src/hemlockhoist/upstreams/tests/test_client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/tests/test_client.py
@@ -51,7 +51,7 @@
 
 class RegisterTests(unittest.TestCase):
     def test_second_dispatch_of_a_request_is_detected(self):
-        """A fault of this program that dispatches a request twice is fatal in tests."""
+        """A second dispatch of the same request id raises an error in tests."""
         register = DispatchRegister(InvariantLog(fatal=True))
         register.record("r1")
         with self.assertRaises(PropertyViolation):
@@ -60,11 +60,11 @@
 
 class SuspensionTests(unittest.TestCase):
     def test_process_suspended_between_grant_and_first_byte_sends_nothing(self):
-        """
-        Guards against sending under an expired grant. The whole process is suspended
-        after it received a grant, and resumes after the expiry. The event loop does not
-        notice the time that passed, so the last check has to read the clock in the same
-        iteration of the loop.
+        """Guards against sending under an expired grant.
+
+        The whole process is suspended after it received a grant, and resumes after the
+        expiry. The event loop does not notice the time that passed, so the last check
+        has to read the clock in the same iteration of the loop.
         """
 
         async def suspended():
@@ -104,7 +104,7 @@
             return response.status, await response.read(1000)
 
     async def test_complete_response_is_read(self):
-        """Status and body are returned."""
+        """The status and the complete body of a response are returned."""
         upstream = await self._upstream(
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         )
@@ -112,10 +112,11 @@
         self.assertEqual(result, (200, b"ok"))
 
     async def test_get_resent_by_the_http_library_is_stopped(self):
-        """A lookup is declared with GET; the upstream runs it and then crashes.
+        """Guards against a GET that the HTTP library sends a second time.
 
-        aiohttp treats a GET as idempotent and resends it over a new connection. The
-        upstream must receive one request, and the caller "outcome unknown".
+        The upstream runs the request and then crashes. aiohttp treats a GET as
+        idempotent and resends it over a new connection. The upstream must receive one
+        request, and the caller "outcome unknown".
         """
         upstream = await self._upstream(b"")
         with self.assertRaises(DispatchError) as caught:
@@ -124,7 +125,7 @@
         self.assertEqual(len(upstream.heads), 1)
 
     async def test_an_expired_grant_sends_nothing(self):
-        """The grant expires during the connect: refused, and no byte is sent."""
+        """A grant that expires while connecting is refused, and no byte is sent."""
         upstream = await self._upstream(b"HTTP/1.1 200 OK\r\n\r\n")
         with self.assertRaises(Refused) as caught:
             await self._dispatch(upstream.address, self._guard(ttl_ms=0))
@@ -133,7 +134,7 @@
         self.assertEqual(upstream.heads, [])
 
     async def test_a_revoked_grant_sends_nothing(self):
-        """The version is halted during the connect."""
+        """A grant revoked while connecting, as its version is halted, sends nothing."""
         upstream = await self._upstream(b"HTTP/1.1 200 OK\r\n\r\n")
         guard = self._guard()
         guard.revoke("version halted")
@@ -143,7 +144,7 @@
         self.assertEqual(upstream.heads, [])
 
     async def test_a_refused_connection_is_not_run(self):
-        """The address has no listener: nothing is sent, the guard permits nothing."""
+        """A refused connection ends as not run and leaves the guard unused."""
         upstream = await self._upstream(b"")
         address = upstream.address
         await upstream.close()
@@ -154,7 +155,7 @@
         self.assertFalse(guard.dispatched)
 
     async def test_a_truncated_body_is_an_error(self):
-        """The upstream announces ten bytes and crashes after two."""
+        """A body that ends after two of its ten announced bytes is an error."""
         upstream = await self._upstream(
             b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok"
         )
--- a/libs/upstreams/src/hemlockhoist/upstreams/tests/test_events.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/tests/test_events.py
@@ -41,10 +41,10 @@
         self.assertEqual([event.offset for event in new_events], [4, 5])
 
     def test_a_skipped_event_is_detected(self):
-        """An engine skips an event at a resume and continues to the end.
+        """Guards against an incomplete answer that looks complete to the caller.
 
-        The caller would read an incomplete answer that looks complete. The events
-        before the gap are passed on, and the stream is resumed at the gap.
+        An engine skips an event at a resume and continues to the end. The events before
+        the gap are passed on, and the stream is resumed at the gap.
         """
         all_events = EventSplitter().feed(STREAM)
         checker = OffsetChecker()
@@ -54,11 +54,10 @@
         self.assertEqual((checker.expected, checker.done), (3, False))
 
     def test_an_event_of_another_answer_is_detected(self):
-        """An engine continues with another answer's events, at the correct offsets.
+        """Guards against an answer that ends with the text of another caller's.
 
-        The caller would read the beginning of its own answer and the rest of another
-        caller's. The events before the change are passed on, and the stream is resumed
-        there.
+        An engine continues with another answer's events, at the correct offsets. The
+        events before the change are passed on, and the stream is resumed there.
         """
         checker = OffsetChecker()
         with self.assertRaises(StreamGapWithEvents) as caught:
@@ -69,11 +68,11 @@
         self.assertEqual([event.offset for event in new_events], [3, 4, 5])
 
     def test_another_answer_from_the_first_event_on_is_detected(self):
-        """The head belongs to the caller's request, and all events to another answer.
+        """Guards against a response whose events all belong to another answer.
 
-        This is detectable only for an engine whose response ids contain the request id,
-        which is known from any earlier answer. For other engines, the id of the first
-        event has to be accepted.
+        Its head belongs to the caller's request. This is detectable only for an engine
+        whose response ids contain the request id, which is known from any earlier
+        answer. For other engines, the id of the first event has to be accepted.
         """
         tracker = ResponseIdTracker()
         mismatched = _events_with_id("chatcmpl-r1", 0, 2)
