--- a/libs/decisions/src/hemlockhoist/decisions/entry/attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/attempts.py
@@ -27,7 +27,7 @@
 MAX_UNSENT = 3
 
 
-def next_step(end, route, may_have_run, sends, unsent):
+def next_step(end, route, may_have_run, sent_count, unsent_count):
     """Return the ``Step`` after an attempt.
 
     A non-idempotent request is sent to another upstream only if nothing of it was sent
@@ -40,17 +40,17 @@
     route : hemlockhoist.declarations.Route
     may_have_run : bool
         Whether any attempt so far may have run the request.
-    sends : int
+    sent_count : int
         Number of attempts so far in which something was sent.
-    unsent : int
+    unsent_count : int
         Number of attempts so far in which nothing was sent.
     """
     if end is AttemptEnd.NOT_SENT:
-        if unsent <= MAX_UNSENT:
+        if unsent_count <= MAX_UNSENT:
             return Step.TRY_ANOTHER
         return Step.FAIL if may_have_run else Step.REFUSE
     may_repeat = route.is_repeatable or not may_have_run
-    if may_repeat and sends < route.max_attempts:
+    if may_repeat and sent_count < route.max_attempts:
         return Step.TRY_ANOTHER
     if end is AttemptEnd.NOT_RUN:
         return Step.FAIL if may_have_run else Step.REFUSE
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
@@ -30,13 +30,15 @@
         st.integers(1, 5),
         st.integers(0, 5),
     )
-    def test_booking_that_may_have_run_is_not_sent_again(self, end, sends, unsent):
+    def test_booking_that_may_have_run_is_not_sent_again(
+        self, end, sent_count, unsent_count
+    ):
         """A hall is booked twice.
 
         The first replica runs the booking and the connection breaks before its answer;
         then the second replica runs it again.
         """
-        step = next_step(end, BOOKING, True, sends, unsent)
+        step = next_step(end, BOOKING, True, sent_count, unsent_count)
         self.assertIs(step, Step.FAIL)
 
     def test_booking_that_did_not_run_is_sent_to_another_replica(self):
--- a/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
@@ -8,7 +8,7 @@
 # Long enough that address requests cause no load (40,000 requests per second from
 # callers that cache the answer), short enough that a leaving host gets no requests from
 # new callers after half a minute.
-ANSWER_TTL_MS = 30_000
+ADDRESS_TTL_MS = 30_000
 
 
 def choose_addresses(members, rng):
@@ -36,4 +36,4 @@
         chosen.append(by_domain[domain].pop().caller_address)
         if by_domain[domain]:
             domains.append(domain)
-    return AddressAnswer(addresses=tuple(chosen), ttl_ms=ANSWER_TTL_MS)
+    return AddressAnswer(addresses=tuple(chosen), ttl_ms=ADDRESS_TTL_MS)
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -68,7 +68,6 @@
         "_attempts",
         "_body",
         "_context",
-        "_delivered_count",
         "_dispatch_count",
         "_failed_response",
         "_failed_upstreams",
@@ -76,7 +75,8 @@
         "_number",
         "_reason",
         "_relay",
-        "_undelivered_count",
+        "_sent_count",
+        "_unsent_count",
         "request_id",
     )
 
@@ -87,8 +87,8 @@
         self._body = body
         self._attempts = 0
         self._dispatch_count = 0
-        self._delivered_count = 0
-        self._undelivered_count = 0
+        self._sent_count = 0
+        self._unsent_count = 0
         self._may_have_run = False
         self._failed_response = None
         self._failed_upstreams = []
@@ -143,8 +143,8 @@
                 end,
                 self._admitted.route,
                 self._may_have_run,
-                self._delivered_count,
-                self._undelivered_count,
+                self._sent_count,
+                self._unsent_count,
             )
             if step is not Step.TRY_ANOTHER:
                 return self._final_result(step, end)
@@ -280,9 +280,9 @@
     def _record_dispatch(self, attempt):
         self._dispatch_count += attempt.guard.dispatched
         if attempt.is_misdirected or not attempt.guard.dispatched:
-            self._undelivered_count += 1
+            self._unsent_count += 1
         else:
-            self._delivered_count += 1
+            self._sent_count += 1
 
     async def _send(self, attempt):
         may_have_run = self._may_have_run
--- a/libs/store/src/hemlockhoist/store/__init__.py
+++ b/libs/store/src/hemlockhoist/store/__init__.py
@@ -1,7 +1,12 @@
 """Clients of the platform's table service and host list."""
 
 from hemlockhoist.store.config import PlatformConfig
-from hemlockhoist.store.hosts import HostListClient, Member, MemberKind, MemberState
+from hemlockhoist.store.hosts import (
+    HostListClient,
+    ListedMember,
+    MemberKind,
+    MemberState,
+)
 from hemlockhoist.store.lease import Lease, LeaseRow
 from hemlockhoist.store.rows import (
     HistoryGone,
@@ -34,7 +39,7 @@
     "HostListClient",
     "Lease",
     "LeaseRow",
-    "Member",
+    "ListedMember",
     "MemberKind",
     "MemberState",
     "PlatformConfig",
--- a/libs/store/src/hemlockhoist/store/hosts.py
+++ b/libs/store/src/hemlockhoist/store/hosts.py
@@ -23,7 +23,7 @@
     LEAVING = "leaving"
 
 
-class Member(msgspec.Struct, frozen=True, kw_only=True):
+class ListedMember(msgspec.Struct, frozen=True, kw_only=True):
     """One process in the host list.
 
     Parameters
@@ -55,7 +55,7 @@
 
 
 class _ListAnswer(msgspec.Struct, frozen=True):
-    members: tuple[Member, ...]
+    members: tuple[ListedMember, ...]
 
 
 class _RawListAnswer(msgspec.Struct, frozen=True):
@@ -95,7 +95,7 @@
 
         Returns
         =======
-        tuple of Member
+        tuple of ListedMember
 
         Raises
         ======
@@ -133,7 +133,7 @@
     would hide the whole fleet from every host at once.
     """
     try:
-        return msgspec.json.decode(body, type=Member)
+        return msgspec.json.decode(body, type=ListedMember)
     except msgspec.DecodeError as error:
         _log.warning("member_skipped", reason=str(error))
         return None
