--- a/libs/entry/src/hemlockhoist/entry/stream.py
+++ b/libs/entry/src/hemlockhoist/entry/stream.py
@@ -80,7 +80,7 @@
             self._in_grace_period = False
 
     def classify_error(self, error):
-        """Return the error to raise for a failed read: a timeout if it was closed."""
+        """Return the error to raise for a failed read: a timeout if this closed it."""
         if not self._in_grace_period or self._clock.now_ms() < self._due_ms:
             return error
         text = "the upstream sent no data within the stall limit"
