--- a/libs/standins/src/hemlockhoist/standins/published/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/published/__init__.py
@@ -1,13 +1,13 @@
 """Stand-ins that speak the users' published protocol: store, replicas, hosts."""
 
-from hemlockhoist.standins.published.replica import Behaviour, Replica, SeenRequest
+from hemlockhoist.standins.published.replica import Behaviour, ReceivedRequest, Replica
 from hemlockhoist.standins.published.site import Site, SkippingClock, route
 from hemlockhoist.standins.published.store import StoreFaults, StoreStandin
 
 __all__ = [
     "Behaviour",
     "Replica",
-    "SeenRequest",
+    "ReceivedRequest",
     "Site",
     "SkippingClock",
     "StoreFaults",
--- a/libs/standins/src/hemlockhoist/standins/published/replica.py
+++ b/libs/standins/src/hemlockhoist/standins/published/replica.py
@@ -12,21 +12,21 @@
 class Behaviour(enum.Enum):
     """How a replica answers."""
 
-    WELL = "well"
+    NORMAL = "well"
     FAILS = "answers 500"
     SHEDS = "says that it did not run the request"
     MISDIRECTED = "says that it is another run"
     NO_RECEIPT = "answers without a receipt"
-    CROSSED = "answers another request"
-    CUT_SHORT = "closes before its answer is whole"
+    WRONG_ATTEMPT_ID = "answers another request"
+    TRUNCATED = "closes before its answer is whole"
     RESETS = "runs the request and resets the connection"
-    SILENT = "runs the request and never answers"
-    STOPS = "stops in the middle of an event"
-    SKIPS = "leaves an event out"
-    DOUBLED = "sends a second answer after the first"
+    HANGS = "runs the request and never answers"
+    STOPS_MID_EVENT = "stops in the middle of an event"
+    SKIPS_EVENT = "leaves an event out"
+    EXTRA_RESPONSE = "sends a second answer after the first"
 
 
-class SeenRequest(msgspec.Struct):
+class ReceivedRequest(msgspec.Struct):
     """A request as it reached a replica."""
 
     method: str
@@ -46,7 +46,7 @@
     replica_id : str
     events : int
         Of a stream; 0 answers with one body.
-    places : int
+    slots : int
 
     Attributes
     ==========
@@ -57,11 +57,11 @@
         The requests that it began to work on.
     """
 
-    def __init__(self, replica_id, events=0, places=4):
+    def __init__(self, replica_id, events=0, slots=4):
         self.replica_id = replica_id
         self.events = events
-        self.places = places
-        self.behaviour = Behaviour.WELL
+        self.slots = slots
+        self.behaviour = Behaviour.NORMAL
         self.delay_ms = 0
         self.event_ms = 0
         self.ran = []
@@ -90,7 +90,7 @@
             "address": self.address,
             "zone": zone,
             "version": version,
-            "slots": self.places,
+            "slots": self.slots,
             "state": state,
             "sequence": 1,
             "cold_remaining_ms": 0,
@@ -111,7 +111,7 @@
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
         body = await reader.readexactly(int(headers.get("content-length", 0)))
         started_s = asyncio.get_running_loop().time()
-        seen = SeenRequest(
+        seen = ReceivedRequest(
             method,
             target,
             headers,
@@ -149,7 +149,7 @@
         return True
 
     async def _run(self, seen, writer):
-        if self.behaviour is Behaviour.SILENT:
+        if self.behaviour is Behaviour.HANGS:
             while not seen.closed:
                 await asyncio.sleep(0.01)
             return
@@ -163,14 +163,14 @@
 
     def _head(self, seen, status, framing):
         attempt = seen.headers.get("attempt-id", "")
-        if self.behaviour is Behaviour.CROSSED:
+        if self.behaviour is Behaviour.WRONG_ATTEMPT_ID:
             attempt = "another"
         receipt = f"Response-Signature: receipt-of-{self.replica_id}\r\n"
         if self.behaviour is Behaviour.NO_RECEIPT:
             receipt = ""
         return (
             f"HTTP/1.1 {status}\r\nAttempt-Id: {attempt}\r\n{receipt}"
-            f"Server-Load: 1,0,{self.places}\r\n{framing}\r\n"
+            f"Server-Load: 1,0,{self.slots}\r\n{framing}\r\n"
         ).encode()
 
     async def _send_body(self, seen, writer):
@@ -178,10 +178,10 @@
         failed = self.behaviour is Behaviour.FAILS
         status = "500 Internal Server Error" if failed else "200 OK"
         head = self._head(seen, status, f"Content-Length: {len(body)}\r\n")
-        if self.behaviour is Behaviour.CUT_SHORT:
+        if self.behaviour is Behaviour.TRUNCATED:
             body = body[:5]
         writer.write(head + body)
-        if self.behaviour is Behaviour.DOUBLED:
+        if self.behaviour is Behaviour.EXTRA_RESPONSE:
             writer.write(head + b"x" * len(body))
         await writer.drain()
 
@@ -190,10 +190,13 @@
         writer.write(self._head(seen, "200 OK", framing))
         start = int(seen.headers.get("last-event-id", 0)) + 1
         for number in range(start, self.events + 1):
-            if self.behaviour is Behaviour.SKIPS and number == self.events // 2:
+            if self.behaviour is Behaviour.SKIPS_EVENT and number == self.events // 2:
                 continue
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
-            if self.behaviour is Behaviour.STOPS and number == self.events // 2:
+            if (
+                self.behaviour is Behaviour.STOPS_MID_EVENT
+                and number == self.events // 2
+            ):
                 half = event[: len(event) // 2]
                 writer.write(b"%x\r\n" % len(half) + half + b"\r\n")
                 await writer.drain()
--- a/libs/standins/src/hemlockhoist/standins/published/site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/site.py
@@ -103,7 +103,7 @@
         for service, replicas in self.replicas.items():
             for replica in replicas:
                 await self._open(replica)
-                await self.list_replica(service, replica)
+                await self.register_replica(service, replica)
         await self.declare(self._routes)
         for number in range(self._host_count):
             await self.add_host(number)
@@ -144,7 +144,7 @@
         }
         await self.store.put("op", "config", {**body, **fields})
 
-    async def list_replica(self, service, replica, **fields):
+    async def register_replica(self, service, replica, **fields):
         """Enter a replica into the store, as it does itself."""
         row = replica.row(service, **fields)
         await self.store.put("servers", replica.replica_id, row)
@@ -153,7 +153,7 @@
         """Order that nothing more be sent to a zone's replicas."""
         await self.store.put("op", f"evacuate/{zone}", {})
 
-    async def take_back(self, zone):
+    async def end_evacuation(self, zone):
         """End such an order."""
         await self.store.put("op", f"evacuate/{zone}", None)
 
--- a/libs/standins/src/hemlockhoist/standins/published/soak/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/__init__.py
@@ -1,5 +1,5 @@
 """A randomised soak of the real program on the published protocol."""
 
-from hemlockhoist.standins.published.soak.run import SoakRun, Verdict
+from hemlockhoist.standins.published.soak.run import SoakResult, SoakRun
 
-__all__ = ["SoakRun", "Verdict"]
+__all__ = ["SoakRun", "SoakResult"]
--- a/libs/standins/src/hemlockhoist/standins/published/soak/__main__.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/__main__.py
@@ -13,17 +13,17 @@
 async def play(seed, seconds, folder):
     """Play one seed and print its verdict; return whether it is green."""
     run = SoakRun(seed, folder)
-    verdict = await run.run(seconds)
-    is_green = not verdict.found
+    result = await run.run(seconds)
+    is_green = not result.violations
     click.echo(
-        f"seed={seed} {'green' if is_green else 'RED'} calls={verdict.calls} "
-        f"served={verdict.served}"
+        f"seed={seed} {'green' if is_green else 'RED'} calls={result.calls} "
+        f"served={result.served}"
     )
-    for text in verdict.found:
+    for text in result.violations:
         click.echo(f"  found {text}")
     if not is_green:
-        click.echo(f"  checked {verdict.checked}")
-        click.echo(f"  faults {verdict.faults}")
+        click.echo(f"  checked {result.check_counts}")
+        click.echo(f"  faults {result.fault_counts}")
     return is_green
 
 
--- a/libs/standins/src/hemlockhoist/standins/published/soak/callers.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/callers.py
@@ -16,28 +16,28 @@
 LEAVE_AFTER_S = 0.03
 
 
-class Kind(msgspec.Struct, frozen=True):
+class RequestKind(msgspec.Struct, frozen=True):
     """A kind of request.
 
     Parameters
     ==========
     path, method : str
-    may_repeat : bool
+    is_idempotent : bool
         Whether it may run more than once.
     is_stream : bool
     """
 
     path: str
     method: str
-    may_repeat: bool
+    is_idempotent: bool
     is_stream: bool
 
 
-KINDS = (
-    Kind("check-free", "GET", True, False),
-    Kind("book-hall", "POST", False, False),
-    Kind("report", "POST", True, True),
-    Kind("summary", "POST", False, True),
+REQUEST_KINDS = (
+    RequestKind("check-free", "GET", True, False),
+    RequestKind("book-hall", "POST", False, False),
+    RequestKind("report", "POST", True, True),
+    RequestKind("summary", "POST", False, True),
 )
 
 
@@ -53,14 +53,14 @@
     status : int
         0 where no answer came.
     receipt, body : str and bytes
-    is_whole : bool
+    is_complete : bool
         Whether the answer ended as complete.
-    left : bool
+    disconnects : bool
         Whether its caller left early.
     """
 
     attempt_id: str
-    kind: Kind
+    kind: RequestKind
     key: str
     host: str
     sent_s: float
@@ -68,8 +68,8 @@
     status: int = 0
     receipt: str = ""
     body: bytes = b""
-    is_whole: bool = False
-    left: bool = False
+    is_complete: bool = False
+    disconnects: bool = False
 
 
 class Callers:
@@ -90,7 +90,7 @@
     def __init__(self, hosts, keys, count, rng):
         self.calls = []
         self.keys = keys
-        self.taken_away = []
+        self.revoked_keys = []
         self._hosts = hosts
         self._count = count
         self._rng = rng
@@ -136,7 +136,7 @@
             "Authorization": f"Bearer {call.key}",
         }
         url = f"http://{call.host}/{call.kind.path}/{call.attempt_id}"
-        limit_s = LEAVE_AFTER_S if call.left else 10.0
+        limit_s = LEAVE_AFTER_S if call.disconnects else 10.0
         try:
             async with (
                 asyncio.timeout(limit_s),
@@ -147,7 +147,7 @@
                 call.status = answer.status
                 call.receipt = answer.headers.get("Response-Signature", "")
                 call.body = await answer.read()
-                call.is_whole = True
+                call.is_complete = True
         except (aiohttp.ClientError, TimeoutError, OSError):
             # What such an end may mean is judged from what the replicas ran.
             pass
@@ -156,15 +156,15 @@
     def _new_call(self, rng, hosts):
         number = next(self._numbers)
         keys = self.keys
-        if self.taken_away and number % 5 == 0:
-            keys = self.taken_away
+        if self.revoked_keys and number % 5 == 0:
+            keys = self.revoked_keys
         return Call(
             attempt_id=f"c{number}",
-            kind=rng.choice(KINDS),
+            kind=rng.choice(REQUEST_KINDS),
             key=rng.choice(keys),
             host=rng.choice(hosts),
             sent_s=now_s(),
-            left=number % LEAVES_EVERY == 0,
+            disconnects=number % LEAVES_EVERY == 0,
         )
 
 
@@ -173,6 +173,6 @@
     return asyncio.get_running_loop().time()
 
 
-def ms_between(start_s, end_s):
+def elapsed_ms(start_s, end_s):
     """Return the milliseconds between two moments."""
     return (end_s - start_s) * MS_PER_S
--- a/libs/standins/src/hemlockhoist/standins/published/soak/checks.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/checks.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from hemlockhoist.standins.published.soak.callers import ms_between
+from hemlockhoist.standins.published.soak.callers import elapsed_ms
 
 # Statuses by which a caller is told that its request did not run and never will.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
@@ -12,7 +12,7 @@
 CALM_S = 3.0
 
 
-class Run:
+class Execution:
     """One request that a replica ran.
 
     Parameters
@@ -33,7 +33,7 @@
         return self.seen.headers.get("attempt-id", "")
 
 
-class Findings:
+class RunChecker:
     """Judges a run.
 
     Parameters
@@ -46,17 +46,17 @@
     """
 
     def __init__(self, calls, replicas, events):
-        self.found = []
-        self.checked = collections.Counter()
+        self.violations = []
+        self.check_counts = collections.Counter()
         self._events = events
         self._calls = {call.attempt_id: call for call in calls}
         self._runs = collections.defaultdict(list)
         for replica in replicas:
             for seen in replica.ran:
-                run = Run(replica, seen)
+                run = Execution(replica, seen)
                 self._runs[run.attempt_id].append(run)
 
-    def judge(self, revoked, revocation_ms, tenants, stops, disturbances):
+    def check(self, revoked, revocation_ms, tenants, stops, disturbances):
         """Make all checks.
 
         Parameters
@@ -73,7 +73,7 @@
         for attempt_id, runs in self._runs.items():
             call = self._calls.get(attempt_id)
             if call is None:
-                self._find("a request ran that nobody sent", attempt_id, runs)
+                self._add_violation("a request ran that nobody sent", attempt_id, runs)
                 continue
             self._judge_runs(call, runs, tenants)
             if call.key in revoked:
@@ -83,46 +83,54 @@
         for stop in stops:
             self._judge_stop(stop, disturbances)
 
-    def _find(self, text, attempt_id, detail):
-        self.found.append(f"{text}: {attempt_id}: {detail}")
+    def _add_violation(self, text, attempt_id, detail):
+        self.violations.append(f"{text}: {attempt_id}: {detail}")
 
     def _judge_runs(self, call, runs, tenants):
-        self.checked["at most once"] += not call.kind.may_repeat
-        if not call.kind.may_repeat and len(runs) > 1:
-            self._find("ran more than once", call.attempt_id, [_name(r) for r in runs])
+        self.check_counts["at most once"] += not call.kind.is_idempotent
+        if not call.kind.is_idempotent and len(runs) > 1:
+            self._add_violation(
+                "ran more than once", call.attempt_id, [_name(r) for r in runs]
+            )
         for run in runs:
             headers = run.seen.headers
-            self.checked["the caller's own customer"] += 1
+            self.check_counts["the caller's own customer"] += 1
             if headers.get("tenant") != tenants.get(call.key):
-                self._find("another customer", call.attempt_id, headers.get("tenant"))
+                self._add_violation(
+                    "another customer", call.attempt_id, headers.get("tenant")
+                )
             if "authorization" in headers:
-                self._find("the key was passed on", call.attempt_id, _name(run))
+                self._add_violation(
+                    "the key was passed on", call.attempt_id, _name(run)
+                )
             if headers.get("expected-instance") != run.seen.replica_id:
-                self._find("ran at another run", call.attempt_id, _name(run))
+                self._add_violation("ran at another run", call.attempt_id, _name(run))
 
     def _judge_revoked(self, call, runs, revoked_s, revocation_ms):
-        self.checked["a key that was taken away"] += 1
-        late_ms = ms_between(revoked_s, call.sent_s)
+        self.check_counts["a key that was taken away"] += 1
+        late_ms = elapsed_ms(revoked_s, call.sent_s)
         if runs and late_ms > revocation_ms + CLOCK_SLACK_MS:
             text = f"sent {late_ms:.0f} ms after its key was taken away, and ran"
-            self._find(text, call.attempt_id, _name(runs[0]))
+            self._add_violation(text, call.attempt_id, _name(runs[0]))
 
     def _judge_answer(self, call, runs):
-        if call.status in NOT_RUN_STATUSES and not call.kind.may_repeat:
-            self.checked["not run is true"] += 1
+        if call.status in NOT_RUN_STATUSES and not call.kind.is_idempotent:
+            self.check_counts["not run is true"] += 1
             if runs:
                 text = f"answered {call.status}, and ran"
-                self._find(text, call.attempt_id, [_name(run) for run in runs])
-        if call.status != 200 or not call.is_whole:
+                self._add_violation(text, call.attempt_id, [_name(run) for run in runs])
+        if call.status != 200 or not call.is_complete:
             return
-        self.checked["a whole answer of its own"] += 1
+        self.check_counts["a whole answer of its own"] += 1
         receipts = {f"receipt-of-{run.seen.replica_id}" for run in runs}
         if call.receipt not in receipts:
-            self._find("a success without its receipt", call.attempt_id, call.receipt)
+            self._add_violation(
+                "a success without its receipt", call.attempt_id, call.receipt
+            )
         if call.kind.is_stream:
             self._judge_stream(call)
         elif call.attempt_id.encode() not in call.body:
-            self._find("another's answer", call.attempt_id, call.body[:80])
+            self._add_violation("another's answer", call.attempt_id, call.body[:80])
 
     def _judge_stream(self, call):
         wanted = b"".join(
@@ -131,7 +139,7 @@
         )
         if call.body != wanted:
             text = "a stream looks whole and is not"
-            self._find(text, call.attempt_id, call.body[-60:])
+            self._add_violation(text, call.attempt_id, call.body[-60:])
 
     def _judge_stop(self, stop, disturbances):
         host, signal_s, end_s = stop
@@ -139,12 +147,14 @@
             return
         for call in self._calls.values():
             inside = signal_s <= call.sent_s <= end_s
-            if call.host != host or not inside or call.left:
+            if call.host != host or not inside or call.disconnects:
                 continue
-            self.checked["a planned stop cuts nothing"] += 1
+            self.check_counts["a planned stop cuts nothing"] += 1
             ran = self._runs.get(call.attempt_id)
-            if ran and not call.is_whole:
-                self._find("cut by a planned stop", call.attempt_id, _name(ran[0]))
+            if ran and not call.is_complete:
+                self._add_violation(
+                    "cut by a planned stop", call.attempt_id, _name(ran[0])
+                )
 
 
 def _name(run):
--- a/libs/standins/src/hemlockhoist/standins/published/soak/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/faults.py
@@ -12,14 +12,14 @@
 _BAD = (
     Behaviour.FAILS,
     Behaviour.SHEDS,
-    Behaviour.CROSSED,
+    Behaviour.WRONG_ATTEMPT_ID,
     Behaviour.NO_RECEIPT,
-    Behaviour.CUT_SHORT,
+    Behaviour.TRUNCATED,
     Behaviour.RESETS,
-    Behaviour.SILENT,
-    Behaviour.STOPS,
-    Behaviour.SKIPS,
-    Behaviour.DOUBLED,
+    Behaviour.HANGS,
+    Behaviour.STOPS_MID_EVENT,
+    Behaviour.SKIPS_EVENT,
+    Behaviour.EXTRA_RESPONSE,
 )
 
 
@@ -28,12 +28,12 @@
 
     Parameters
     ==========
-    world : SoakRun
+    run : SoakRun
     rng : random.Random
     """
 
-    def __init__(self, world, rng):
-        self._world = world
+    def __init__(self, run, rng):
+        self._run = run
         self._rng = rng
         self._tasks = set()
         self.disturbances = []
@@ -55,14 +55,14 @@
             self.delay_store,
             self.store_out,
             self.lose_store_answers,
-            self.forget_history,
+            self.truncate_history,
             self.spoil_replica,
             self.crash_replica,
             self.drain_replica,
             self.slow_replica,
-            self.take_key_away,
+            self.revoke_key,
             self.change_routes,
-            self.order_version,
+            self.order_rollout,
         )
 
     async def disturb(self, seconds, pause_s):
@@ -79,15 +79,15 @@
     async def heal(self):
         """Wait for what is under way, and mend all."""
         await asyncio.gather(*self._tasks)
-        world = self._world
-        world.store.faults.heal()
-        for proxy in (*world.store_proxies, *world.replica_proxies()):
+        run = self._run
+        run.store.faults.heal()
+        for proxy in (*run.store_proxies, *run.replica_proxies()):
             proxy.heal()
             proxy.reset_all()
-        for replica in world.live_replicas():
-            replica.behaviour = Behaviour.WELL
-            replica.delay_ms = world.usual_delay_ms
-        for host in world.hosts:
+        for replica in run.live_replicas():
+            replica.behaviour = Behaviour.NORMAL
+            replica.delay_ms = run.default_delay_ms
+        for host in run.hosts:
             host.resume()
             if not host.is_running:
                 await host.start()
@@ -100,7 +100,7 @@
 
     def _host(self):
         """Return a host that is well, or None."""
-        well = [h for h in self._world.hosts if h.is_running and not h.stopping]
+        well = [h for h in self._run.hosts if h.is_running and not h.stopping]
         return self._rng.choice(well) if well else None
 
     async def _for_a_while(self, low_s, high_s):
@@ -126,7 +126,7 @@
     async def kill_all_hosts(self):
         """All processes are killed at once."""
         begin_s = now_s()
-        hosts = [h for h in self._world.hosts if h.is_running and not h.stopping]
+        hosts = [h for h in self._run.hosts if h.is_running and not h.stopping]
         for host in hosts:
             host.stopping = True
         await asyncio.gather(*(host.kill() for host in hosts))
@@ -158,7 +158,7 @@
 
     async def stop_in_turn(self):
         """All hosts are stopped and started, the next before the last is back."""
-        for host in list(self._world.hosts):
+        for host in list(self._run.hosts):
             if host.is_running and not host.stopping and not host.is_paused:
                 task = asyncio.create_task(self._stop_one(host))
                 self._tasks.add(task)
@@ -182,8 +182,10 @@
     async def cut_from_store(self):
         """One host loses the store, in one of three ways."""
         begin_s = now_s()
-        proxy = self._rng.choice(self._world.store_proxies)
-        proxy.mode = self._rng.choice((Mode.SILENT, Mode.ONE_WAY, Mode.REFUSE))
+        proxy = self._rng.choice(self._run.store_proxies)
+        proxy.mode = self._rng.choice(
+            (Mode.BLACKHOLE, Mode.BLACKHOLE_REPLIES, Mode.REFUSE)
+        )
         if proxy.mode is Mode.REFUSE:
             proxy.reset_all()
         await self._for_a_while(0.5, 7.0)
@@ -193,14 +195,14 @@
     async def reset_connections(self):
         """All connections of one host to the store, or of a replica, are reset."""
         begin_s = now_s()
-        proxies = [*self._world.store_proxies, *self._world.replica_proxies()]
+        proxies = [*self._run.store_proxies, *self._run.replica_proxies()]
         self._rng.choice(proxies).reset_all()
         self._note(begin_s)
 
     async def delay_store(self):
         """One host's way to the store is slow."""
         begin_s = now_s()
-        proxy = self._rng.choice(self._world.store_proxies)
+        proxy = self._rng.choice(self._run.store_proxies)
         proxy.delay_ms = self._rng.choice((50, 200, 800))
         await self._for_a_while(0.5, 4.0)
         proxy.heal()
@@ -209,9 +211,9 @@
     async def store_out(self):
         """The store answers nobody, or turns everybody away."""
         begin_s = now_s()
-        faults = self._world.store.faults
+        faults = self._run.store.faults
         faults.status = self._rng.choice((None, 503, 429))
-        faults.is_silent = faults.status is None
+        faults.hangs = faults.status is None
         await self._for_a_while(0.5, 5.0)
         faults.heal()
         self._note(begin_s)
@@ -219,15 +221,15 @@
     async def lose_store_answers(self):
         """Writes are done and not answered."""
         begin_s = now_s()
-        self._world.store.faults.loses_answers = True
+        self._run.store.faults.loses_answers = True
         await self._for_a_while(0.5, 3.0)
-        self._world.store.faults.loses_answers = False
+        self._run.store.faults.loses_answers = False
         self._note(begin_s)
 
-    async def forget_history(self):
+    async def truncate_history(self):
         """The store drops its history."""
         begin_s = now_s()
-        self._world.store.forget_history()
+        self._run.store.truncate_history()
         self._note(begin_s)
 
     # Replicas.
@@ -235,45 +237,45 @@
     async def spoil_replica(self):
         """A replica answers badly for a while."""
         begin_s = now_s()
-        replica = self._rng.choice(self._world.live_replicas())
+        replica = self._rng.choice(self._run.live_replicas())
         replica.behaviour = self._rng.choice(_BAD)
         await self._for_a_while(0.3, 2.0)
-        replica.behaviour = Behaviour.WELL
+        replica.behaviour = Behaviour.NORMAL
         self._note(begin_s)
 
     async def crash_replica(self):
         """A replica ends; another one begins at its address under another id."""
         begin_s = now_s()
-        replica = self._rng.choice(self._world.live_replicas())
-        await self._world.replace_replica(replica, self._rng.uniform(0.0, 1.5))
+        replica = self._rng.choice(self._run.live_replicas())
+        await self._run.replace_replica(replica, self._rng.uniform(0.0, 1.5))
         self._note(begin_s)
 
     async def drain_replica(self):
         """A replica says that it leaves, goes on for a while, and is gone."""
         begin_s = now_s()
-        replica = self._rng.choice(self._world.live_replicas())
-        await self._world.drain_replica(replica)
+        replica = self._rng.choice(self._run.live_replicas())
+        await self._run.drain_replica(replica)
         self._note(begin_s)
 
     async def slow_replica(self):
         """A replica takes its time."""
         begin_s = now_s()
-        replica = self._rng.choice(self._world.live_replicas())
+        replica = self._rng.choice(self._run.live_replicas())
         replica.delay_ms = self._rng.choice((200, 800))
         await self._for_a_while(0.3, 2.0)
-        replica.delay_ms = self._world.usual_delay_ms
+        replica.delay_ms = self._run.default_delay_ms
         self._note(begin_s)
 
     # Operators.
 
-    async def take_key_away(self):
+    async def revoke_key(self):
         """A customer's key is taken away."""
-        await self._world.take_key_away()
+        await self._run.revoke_key()
 
     async def change_routes(self):
         """A newer version of the routes."""
-        await self._world.declare()
+        await self._run.declare()
 
-    async def order_version(self):
+    async def order_rollout(self):
         """A service's requests are to move to the other version."""
-        await self._world.order_version()
+        await self._run.order_rollout()
--- a/libs/standins/src/hemlockhoist/standins/published/soak/hosts.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/hosts.py
@@ -9,7 +9,7 @@
 
 from hemlockhoist.base import MS_PER_S
 
-START_LIMIT_S = 20.0
+START_TIMEOUT_S = 20.0
 STOP_MS = 5_000
 _SETTINGS = """\
 node_name = "{name}"
--- a/libs/standins/src/hemlockhoist/standins/published/soak/proxy.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/proxy.py
@@ -18,9 +18,9 @@
 
     PASS = "pass"
     # Nothing comes through and nobody is told, also on connections made meanwhile.
-    SILENT = "silent"
+    BLACKHOLE = "silent"
     # Requests get there; answers do not come back.
-    ONE_WAY = "one way"
+    BLACKHOLE_REPLIES = "one way"
     REFUSE = "refuse"
 
 
@@ -88,8 +88,10 @@
             return
         self._writers.add(there)
         tasks = [
-            asyncio.create_task(self._pump(reader, there, Mode.SILENT)),
-            asyncio.create_task(self._pump(there_reader, writer, Mode.ONE_WAY)),
+            asyncio.create_task(self._pump(reader, there, Mode.BLACKHOLE)),
+            asyncio.create_task(
+                self._pump(there_reader, writer, Mode.BLACKHOLE_REPLIES)
+            ),
         ]
         self._tasks.update(tasks)
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -104,7 +106,7 @@
             while chunk := await reader.read(CHUNK_BYTES):
                 if self.delay_ms:
                     await asyncio.sleep(self.delay_ms / MS_PER_S)
-                if self.mode in (Mode.SILENT, stopped_by):
+                if self.mode in (Mode.BLACKHOLE, stopped_by):
                     # Held for good: what was under way in a cut is lost with its
                     # connection, which never ends by itself.
                     await asyncio.Event().wait()
--- a/libs/standins/src/hemlockhoist/standins/published/soak/run.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/run.py
@@ -11,9 +11,9 @@
 from hemlockhoist.standins.published.replica import Replica
 from hemlockhoist.standins.published.site import route
 from hemlockhoist.standins.published.soak.callers import Callers, now_s
-from hemlockhoist.standins.published.soak.checks import Findings
+from hemlockhoist.standins.published.soak.checks import RunChecker
 from hemlockhoist.standins.published.soak.faults import SoakFaults
-from hemlockhoist.standins.published.soak.hosts import START_LIMIT_S, HostProcess
+from hemlockhoist.standins.published.soak.hosts import START_TIMEOUT_S, HostProcess
 from hemlockhoist.standins.published.soak.proxy import Proxy
 from hemlockhoist.standins.published.store import StoreStandin
 
@@ -38,20 +38,20 @@
 )
 
 
-class Verdict(msgspec.Struct):
+class SoakResult(msgspec.Struct):
     """What a run found.
 
     Parameters
     ==========
-    found : list of str
-    checked, faults : dict of str to int
+    violations : list of str
+    check_counts, fault_counts : dict of str to int
         How often each check was made, and each fault.
     calls, served : int
     """
 
-    found: list[str]
-    checked: dict[str, int]
-    faults: dict[str, int]
+    violations: list[str]
+    check_counts: dict[str, int]
+    fault_counts: dict[str, int]
     calls: int
     served: int
 
@@ -66,7 +66,7 @@
         For settings and logs.
     """
 
-    usual_delay_ms = 15
+    default_delay_ms = 15
 
     def __init__(self, seed, folder):
         self.store = StoreStandin()
@@ -85,7 +85,7 @@
         self.faults = SoakFaults(self, self._rng)
 
     async def run(self, seconds):
-        """Play the seed; return the ``Verdict``."""
+        """Play the seed; return the ``SoakResult``."""
         async with self._closers:
             await self._start()
             await self._open(self.callers)
@@ -120,7 +120,7 @@
 
     async def _wait_ready(self):
         """Wait until all hosts serve; return whether they did."""
-        end_s = now_s() + max(RECOVERY_LIMIT_S, START_LIMIT_S)
+        end_s = now_s() + max(RECOVERY_LIMIT_S, START_TIMEOUT_S)
         while now_s() < end_s:
             ready = await asyncio.gather(*(_is_ready(host) for host in self.hosts))
             if all(ready):
@@ -143,7 +143,7 @@
 
     async def _add_replica(self, service, events, version="v1", target=None):
         replica = Replica(f"i-{next(self._numbers)}", events=events)
-        replica.delay_ms = self.usual_delay_ms
+        replica.delay_ms = self.default_delay_ms
         replica.event_ms = 5
         await self._open(replica)
         proxy = target
@@ -210,7 +210,7 @@
     def _tenant(self, key):
         return f"customer-of-{key}"
 
-    async def take_key_away(self):
+    async def revoke_key(self):
         """Take one key away, and go on sending with it."""
         left = self.callers.keys
         if len(left) <= KEYS // 2:
@@ -221,9 +221,9 @@
         self._revoked[key] = now_s()
         await self.declare()
         self._revoked[key] = now_s()
-        self.callers.taken_away.append(key)
+        self.callers.revoked_keys.append(key)
 
-    async def order_version(self):
+    async def order_rollout(self):
         """Order the bookings' service to move to a version that two replicas have."""
         version = f"v{next(self._numbers)}"
         for _ in range(2):
@@ -235,21 +235,21 @@
 
     def _judge(self, recovered):
         replicas = [*self.live_replicas(), *self._ended_replicas]
-        findings = Findings(self.callers.calls, replicas, EVENTS)
+        checker = RunChecker(self.callers.calls, replicas, EVENTS)
         tenants = {key: self._tenant(key) for key in self._keys}
         faults = self.faults
-        findings.judge(
+        checker.check(
             self._revoked, REVOCATION_MS, tenants, faults.stops, faults.disturbances
         )
         if not recovered:
-            findings.found.append("a host was not ready after all was healed")
-        findings.found += self._bad_lines()
+            checker.violations.append("a host was not ready after all was healed")
+        checker.violations += self._bad_lines()
         calls = self.callers.calls
-        served = sum(call.status == 200 and call.is_whole for call in calls)
-        return Verdict(
-            found=findings.found,
-            checked=dict(findings.checked),
-            faults=faults.counts,
+        served = sum(call.status == 200 and call.is_complete for call in calls)
+        return SoakResult(
+            violations=checker.violations,
+            check_counts=dict(checker.check_counts),
+            fault_counts=faults.counts,
             calls=len(calls),
             served=served,
         )
--- a/libs/standins/src/hemlockhoist/standins/published/soak/tests/test_checks.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/tests/test_checks.py
@@ -1,10 +1,10 @@
 import unittest
 
-from hemlockhoist.standins.published.replica import Replica, SeenRequest
-from hemlockhoist.standins.published.soak.callers import KINDS, Call
-from hemlockhoist.standins.published.soak.checks import Findings
+from hemlockhoist.standins.published.replica import ReceivedRequest, Replica
+from hemlockhoist.standins.published.soak.callers import REQUEST_KINDS, Call
+from hemlockhoist.standins.published.soak.checks import RunChecker
 
-LOOKUP, BOOKING, REPORT, _ = KINDS
+LOOKUP, BOOKING, REPORT, _ = REQUEST_KINDS
 EVENTS = 2
 WHOLE_STREAM = b"id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"
 TENANTS = {"k1": "t1"}
@@ -13,7 +13,7 @@
 def call(kind=LOOKUP, **fields):
     values = {
         "status": 200,
-        "is_whole": True,
+        "is_complete": True,
         "receipt": "receipt-of-i-1",
         "body": b"answer of i-1 to /check-free/c1",
         "sent_s": 0.0,
@@ -31,18 +31,18 @@
             "expected-instance": "i-1",
             **fields,
         }
-        seen = SeenRequest("GET", "/check-free/c1", headers, b"", replica_id="i-1")
+        seen = ReceivedRequest("GET", "/check-free/c1", headers, b"", replica_id="i-1")
         found.ran.append(seen)
     return found
 
 
-class FindingsTests(unittest.TestCase):
+class RunCheckerTests(unittest.TestCase):
     """A check that can not fail shows nothing: each is met by what it looks for."""
 
     def found(self, one_call, *runs, revoked=(), stops=(), disturbances=()):
-        findings = Findings([one_call], [replica(*runs)], EVENTS)
-        findings.judge(dict(revoked), 3_000, TENANTS, stops, disturbances)
-        return [text.partition(":")[0] for text in findings.found]
+        checker = RunChecker([one_call], [replica(*runs)], EVENTS)
+        checker.check(dict(revoked), 3_000, TENANTS, stops, disturbances)
+        return [text.partition(":")[0] for text in checker.violations]
 
     def test_good_requests_are_no_findings(self):
         self.assertEqual(self.found(call(), {}), [])
@@ -89,7 +89,7 @@
         self.assertEqual(self.found(broken, {}), ["a stream looks whole and is not"])
 
     def test_answer_that_a_planned_stop_cut(self):
-        cut = call(status=0, is_whole=False, receipt="", body=b"", sent_s=1.0)
+        cut = call(status=0, is_complete=False, receipt="", body=b"", sent_s=1.0)
         stop = ("h", 0.5, 3.0)
         self.assertEqual(self.found(cut, {}, stops=[stop]), ["cut by a planned stop"])
         self.assertEqual(
--- a/libs/standins/src/hemlockhoist/standins/published/soak/tests/test_soak.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/tests/test_soak.py
@@ -12,9 +12,9 @@
 class SoakTests(unittest.IsolatedAsyncioTestCase):
     async def test_one_short_run_finds_nothing(self):
         with tempfile.TemporaryDirectory() as folder:
-            verdict = await SoakRun(SEED, pathlib.Path(folder)).run(SECONDS)
-        self.assertEqual(verdict.found, [])
-        self.assertGreater(verdict.served, 50)
-        self.assertGreater(sum(verdict.faults.values()), 3)
+            result = await SoakRun(SEED, pathlib.Path(folder)).run(SECONDS)
+        self.assertEqual(result.violations, [])
+        self.assertGreater(result.served, 50)
+        self.assertGreater(sum(result.fault_counts.values()), 3)
         for check in ("at most once", "a whole answer of its own"):
-            self.assertGreater(verdict.checked[check], 10)
+            self.assertGreater(result.check_counts[check], 10)
--- a/libs/standins/src/hemlockhoist/standins/published/store.py
+++ b/libs/standins/src/hemlockhoist/standins/published/store.py
@@ -17,7 +17,7 @@
     ==========
     status : int or None
         Every call is answered with it.
-    is_silent : bool
+    hangs : bool
         No call is answered.
     loses_answers : bool
         Commits are done, and their connection is closed without an answer.
@@ -25,7 +25,7 @@
         Before each answer.
     """
 
-    __slots__ = ("delay_ms", "is_silent", "loses_answers", "status")
+    __slots__ = ("delay_ms", "hangs", "loses_answers", "status")
 
     def __init__(self):
         self.heal()
@@ -33,7 +33,7 @@
     def heal(self):
         """Work well again."""
         self.status = None
-        self.is_silent = False
+        self.hangs = False
         self.loses_answers = False
         self.delay_ms = 0
 
@@ -101,7 +101,7 @@
             return None
         return json.loads(base64.b64decode(row.value))
 
-    def forget_history(self):
+    def truncate_history(self):
         """Drop all changes, so that followers have to read anew."""
         self._oldest = self._version
         self._history.clear()
@@ -122,7 +122,7 @@
     async def _meet_faults(self, request, handler):
         self.calls.append(request.path)
         faults = self.faults
-        if faults.is_silent:
+        if faults.hangs:
             await asyncio.Event().wait()
         if faults.status is not None:
             return web.Response(status=faults.status)
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_domains.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_domains.py
@@ -15,10 +15,10 @@
 IN_FORCE_S = 0.15
 
 
-async def list_in(site, service, zones, **fields):
+async def register_in_zones(site, service, zones, **fields):
     """Enter a site's replicas into the store, each in its zone."""
     for replica, zone in zip(site.replicas[service], zones, strict=True):
-        await site.list_replica(service, replica, zone=zone, **fields)
+        await site.register_replica(service, replica, zone=zone, **fields)
     await asyncio.sleep(IN_FORCE_S)
 
 
@@ -37,7 +37,7 @@
         self.replicas = {"reservas": [Replica("a1"), Replica("b1")]}
         site = Site(self.replicas, [LOOKUP], hosts=3)
         self.site = await self.enterAsyncContext(site)
-        await list_in(self.site, "reservas", "ab")
+        await register_in_zones(self.site, "reservas", "ab")
 
     def ran(self, number=0):
         return len(self.replicas["reservas"][number].ran)
@@ -50,7 +50,7 @@
         for host in range(3):
             self.assertEqual(set(await look_up(self.site, 6, host)), {200})
         self.assertEqual(self.ran(), before)
-        await self.site.take_back("a")
+        await self.site.end_evacuation("a")
         await asyncio.sleep(IN_FORCE_S)
         for host in range(3):
             await look_up(self.site, 8, host)
@@ -103,7 +103,7 @@
         replicas = {"asistente": [Replica("a1", events=8)]}
         replicas["asistente"][0].event_ms = 60
         async with Site(replicas, [REPORT]) as site:
-            await list_in(site, "asistente", "a")
+            await register_in_zones(site, "asistente", "a")
             path = "/conflict-report/1"
             async with site.call(path, method="POST", body=b"x") as answer:
                 await answer.content.readuntil(b"\n\n")
@@ -140,7 +140,7 @@
             {"name": "aulas", "api_keys": [KEY], "allowed_regions": ["south", "west"]}
         ]
         async with Site(replicas, [bound], tenants=tenants) as site:
-            await list_in(site, "reservas", "ac")
+            await register_in_zones(site, "reservas", "ac")
             before = len(replicas["reservas"][0].ran)
             self.assertEqual(set(await look_up(site, 8)), {200})
             self.assertEqual(len(replicas["reservas"][0].ran), before)
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_explained.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_explained.py
@@ -76,7 +76,7 @@
 
     async def test_stream_that_was_cut(self):
         bad = Replica("e1", events=8)
-        bad.behaviour = Behaviour.STOPS
+        bad.behaviour = Behaviour.STOPS_MID_EVENT
         summary = route("summary", "asistente", "streaming", max_attempts=1)
         async with Site({"asistente": [bad]}, [summary]) as site:
             with contextlib.suppress(aiohttp.ClientPayloadError):
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_rollout.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_rollout.py
@@ -26,11 +26,11 @@
         self.answers = []
         self._numbers = itertools.count()
 
-    async def list_replica(self, service, replica, **fields):
+    async def register_replica(self, service, replica, **fields):
         """Enter a replica under the version that its name tells."""
         replica.delay_ms = 10
         version = "v2" if replica.replica_id in NEW else "v1"
-        await super().list_replica(service, replica, version=version, **fields)
+        await super().register_replica(service, replica, version=version, **fields)
 
     def ran(self, names):
         """Return how many requests the replicas of those names ran."""
@@ -126,7 +126,7 @@
         async with RolloutSite() as site:
             for replica in site.replicas["reservas"]:
                 # Each place stays taken, so that the next request needs another one.
-                replica.behaviour = Behaviour.SILENT
+                replica.behaviour = Behaviour.HANGS
             await asyncio.gather(*(site.ask() for _ in range(16)))
         self.assertGreater(site.ran(NEW), 5)
         self.assertGreater(site.ran(OLD), 5)
@@ -140,7 +140,7 @@
             await site.order()
             await site.ask_until("rolled_back")
             for replica in new:
-                replica.behaviour = Behaviour.WELL
+                replica.behaviour = Behaviour.NORMAL
             await site.order()
             await site.ask_until("completed")
         self.assertEqual(site.state(), "completed")
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
@@ -110,8 +110,8 @@
         """
         for behaviour in (
             Behaviour.RESETS,
-            Behaviour.CUT_SHORT,
-            Behaviour.CROSSED,
+            Behaviour.TRUNCATED,
+            Behaviour.WRONG_ATTEMPT_ID,
             Behaviour.NO_RECEIPT,
         ):
             with self.subTest(behaviour=behaviour):
@@ -126,7 +126,11 @@
                 self.assertEqual(sum(len(item.ran) for item in replicas), 1)
 
     async def test_lookup_is_tried_at_another_replica(self):
-        for behaviour in (Behaviour.FAILS, Behaviour.RESETS, Behaviour.CROSSED):
+        for behaviour in (
+            Behaviour.FAILS,
+            Behaviour.RESETS,
+            Behaviour.WRONG_ATTEMPT_ID,
+        ):
             with self.subTest(behaviour=behaviour):
                 status, body, _ = await self.ask(
                     LOOKUP, behaviour, "/check-free/1", others=[Replica("good")]
@@ -164,12 +168,14 @@
         self.assertEqual((status, body[:13]), (500, b"answer of bad"))
 
     async def test_second_answer_on_a_connection_reaches_nobody(self):
-        status, body, _ = await self.ask(LOOKUP, Behaviour.DOUBLED, "/check-free/1")
+        status, body, _ = await self.ask(
+            LOOKUP, Behaviour.EXTRA_RESPONSE, "/check-free/1"
+        )
         self.assertEqual((status, body), (200, b"answer of bad to /check-free/1"))
 
     async def test_silent_replica_is_given_up_at_the_routes_time(self):
         short = route("check-free", "reservas", timeout_ms=300)
-        status, _, replicas = await self.ask(short, Behaviour.SILENT, "/check-free/1")
+        status, _, replicas = await self.ask(short, Behaviour.HANGS, "/check-free/1")
         self.assertEqual(status, 504)
         await asyncio.sleep(0.1)
         self.assertTrue(replicas[0].ran[0].closed)
@@ -208,7 +214,7 @@
 
     async def test_home_that_knows_better_goes_on_granting(self):
         """A host that is behind the list takes a new upstream for one that left."""
-        await self.site.list_replica("reservas", self.replicas["reservas"][0])
+        await self.site.register_replica("reservas", self.replicas["reservas"][0])
         async with asyncio.timeout(5):
             while not self._is_relisted():
                 await asyncio.sleep(0.01)
@@ -236,7 +242,7 @@
 
     async def test_resumable_stream_goes_on_at_another_replica(self):
         """A report breaks off in its middle as its engine crashes."""
-        for behaviour in (Behaviour.STOPS, Behaviour.SKIPS):
+        for behaviour in (Behaviour.STOPS_MID_EVENT, Behaviour.SKIPS_EVENT):
             with self.subTest(behaviour=behaviour):
                 good = Replica("good", events=8)
                 status, body, _ = await self.read(REPORT, behaviour, good)
@@ -248,7 +254,9 @@
                 self.assertEqual(good.ran[0].headers["last-event-id"], "3")
 
     async def test_stream_that_can_not_go_on_does_not_look_whole(self):
-        status, _, replicas = await self.read(SUMMARY, Behaviour.STOPS, Replica("o"))
+        status, _, replicas = await self.read(
+            SUMMARY, Behaviour.STOPS_MID_EVENT, Replica("o")
+        )
         self.assertIsNone(status)
         self.assertEqual(len(replicas[1].ran), 0)
 
@@ -268,7 +276,7 @@
     async def test_callers_that_leave_without_an_answer_are_counted(self):
         """Operators see late answers, and not those that nobody waited for."""
         replicas = engines("e1")
-        replicas["asistente"][0].behaviour = Behaviour.SILENT
+        replicas["asistente"][0].behaviour = Behaviour.HANGS
         async with Site(replicas, [REPORT]) as site:
             for _ in range(2):
                 with contextlib.suppress(TimeoutError):
@@ -327,7 +335,7 @@
         the proof was too old to go on at another; the refusal went into the open answer.
         """
         bad = Replica("bad", events=8)
-        bad.behaviour = Behaviour.STOPS
+        bad.behaviour = Behaviour.STOPS_MID_EVENT
         bad.event_ms = 50
         replicas = {"asistente": [bad, Replica("good", events=8)]}
         replicas["asistente"][1].delay_ms = 0
@@ -382,8 +390,8 @@
         All replicas are busy, and its request waits in the queue when the host is told
         to stop. Nothing frees a place before the process ends.
         """
-        replicas = {"reservas": [Replica("s1", places=1)]}
-        replicas["reservas"][0].behaviour = Behaviour.SILENT
+        replicas = {"reservas": [Replica("s1", slots=1)]}
+        replicas["reservas"][0].behaviour = Behaviour.HANGS
         bounds = FleetBounds(stop_ms=3_000)
         slow = route("check-free", "reservas", timeout_ms=5_000)
         with unittest.mock.patch.object(process, "LISTEN_AFTER_STOP_MS", 100):
--- a/libs/standins/src/hemlockhoist/standins/randomised/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/__init__.py
@@ -1,7 +1,11 @@
 """The randomised run over the decision code: a few hosts, small fakes, many faults."""
 
 from hemlockhoist.standins.randomised.machine import FleetMachine
-from hemlockhoist.standins.randomised.running import COVERED, RunResult, run_seed
+from hemlockhoist.standins.randomised.runner import (
+    COVERED_PROPERTIES,
+    RunResult,
+    run_seed,
+)
 from hemlockhoist.standins.randomised.tally import Tally
 
-__all__ = ["COVERED", "FleetMachine", "RunResult", "Tally", "run_seed"]
+__all__ = ["COVERED_PROPERTIES", "FleetMachine", "RunResult", "Tally", "run_seed"]
--- a/libs/standins/src/hemlockhoist/standins/randomised/call.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/call.py
@@ -9,7 +9,7 @@
     """How far a permitted call has come."""
 
     ADMITTED = "admitted"
-    STUCK = "stuck between the point of no return and the first byte"
+    DISPATCHED = "stuck between the point of no return and the first byte"
     SENT = "sent"
 
 
@@ -23,7 +23,7 @@
     body : bytes
     """
 
-    __slots__ = ("asked_ms", "attempt", "body", "customer", "key", "phase")
+    __slots__ = ("attempt", "begun_ms", "body", "customer", "key", "phase")
 
     def __init__(self, customer, key, body):
         self.customer = customer
@@ -31,7 +31,7 @@
         self.body = body
         self.attempt = None
         self.phase = CallPhase.ADMITTED
-        self.asked_ms = 0
+        self.begun_ms = 0
 
     @property
     def id(self):
--- a/libs/standins/src/hemlockhoist/standins/randomised/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/faults.py
@@ -3,7 +3,7 @@
 
 def kill(machine, number, _other, _seed):
     """A host process dies; the last one is spared."""
-    if number not in machine.world.hosts or len(machine.world.hosts) < 2:
+    if number not in machine.fleet.hosts or len(machine.fleet.hosts) < 2:
         return False
     machine.kill(number, "host killed")
     return True
@@ -11,28 +11,28 @@
 
 def restart(machine, number, _other, _seed):
     """A host process starts at its old address."""
-    if number in machine.world.hosts:
+    if number in machine.fleet.hosts:
         return False
-    machine.world.start(number)
+    machine.fleet.start(number)
     return True
 
 
 def freeze(machine, number, _other, _seed):
     """A host process stands still."""
-    host = machine.awake(number)
+    host = machine.running_host(number)
     if host is None:
         return False
     machine.tally.fault("host frozen")
-    machine.world.freeze(host)
+    machine.fleet.freeze(host)
     return True
 
 
-def wake(machine, number, _other, _seed):
+def resume(machine, number, _other, _seed):
     """A host process that stood still goes on."""
-    host = machine.world.hosts.get(number)
+    host = machine.fleet.hosts.get(number)
     if host is None or not host.is_frozen:
         return False
-    machine.world.wake(host)
+    machine.fleet.resume(host)
     return True
 
 
@@ -41,32 +41,32 @@
     if number == other:
         return False
     machine.tally.fault("one-way cut")
-    machine.world.link.cuts.add((f"h{number}", f"h{other}"))
+    machine.fleet.link.cuts.add((f"h{number}", f"h{other}"))
     return True
 
 
 def heal(machine, _number, _other, _seed):
     """All cuts end."""
-    machine.world.link.cuts.clear()
+    machine.fleet.link.cuts.clear()
     return True
 
 
-def disorder(machine, _number, _other, seed):
+def impair(machine, _number, _other, seed):
     """Messages are delayed, doubled, lost and overtaken from now on."""
     machine.tally.fault("disordered links")
-    machine.world.link.disorder(seed)
+    machine.fleet.link.impair(seed)
     return True
 
 
-def calm(machine, _number, _other, _seed):
+def restore(machine, _number, _other, _seed):
     """Messages arrive in order again."""
-    machine.world.link.calm()
+    machine.fleet.link.restore()
     return True
 
 
 def store_fails(machine, number, other, _seed):
     """The store goes down, loses the answers of writes, or a replica lags."""
-    store = machine.world.store
+    store = machine.fleet.store
     if number == 0:
         machine.tally.fault("store outage")
         store.is_up = False
@@ -75,14 +75,14 @@
         store.loses_answers = True
     else:
         machine.tally.fault("store replica lags")
-        store.serves_former = True
+        store.serves_stale = True
     return True
 
 
 def store_recovers(machine, _number, _other, _seed):
     """The store answers again, up to date."""
-    store = machine.world.store
-    store.is_up, store.loses_answers, store.serves_former = True, False, False
+    store = machine.fleet.store
+    store.is_up, store.loses_answers, store.serves_stale = True, False, False
     return True
 
 
@@ -92,14 +92,14 @@
         kill,
         restart,
         freeze,
-        wake,
+        resume,
         cut,
         heal,
-        disorder,
-        calm,
+        impair,
+        restore,
         store_fails,
         store_recovers,
     )
 }
 # Hosts come back as often as they go, so that most of the run has callers to serve.
-KINDS = (*FAULTS, "restart", "wake", "heal", "disorder")
+FAULT_KINDS = (*FAULTS, "restart", "resume", "heal", "impair")
--- a/libs/standins/src/hemlockhoist/standins/randomised/host.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/host.py
@@ -39,7 +39,6 @@
     __slots__ = (
         "_service",
         "_tally",
-        "asking",
         "calls",
         "configuration",
         "is_frozen",
@@ -47,6 +46,7 @@
         "ledger",
         "member",
         "membership",
+        "pending_lookups",
         "successor",
         "upstreams",
     )
@@ -63,7 +63,7 @@
         )
         self.upstreams = UpstreamView.from_config(log)
         self.calls = []
-        self.asking = {}
+        self.pending_lookups = {}
         self.is_frozen = False
         self.is_leaving = False
         self.successor = ""
@@ -78,7 +78,7 @@
     def begin(self, call, now_ms):
         """Take a caller's copy of a call; return the messages that follow."""
         result = self.ledger.begin(call.customer, call.key, call.fingerprint, now_ms)
-        call.asked_ms = now_ms
+        call.begun_ms = now_ms
         return self._go_on(call, result)
 
     def _go_on(self, call, result):
@@ -87,16 +87,16 @@
             self.calls.append(call)
             return []
         if not isinstance(result, OwnedBy | WithdrawnTo):
-            self._service.check_told(call, result)
+            self._service.check_result(call, result)
             return []
-        self.asking[call.id] = call
+        self.pending_lookups[call.id] = call
         member = self.membership.find(result.incarnation)
         return [Outgoing(member.address, result.lookup)] if member else []
 
     def dispatch(self, call, now_ms):
         """Pass the point of no return."""
         self.ledger.mark_dispatched(call.attempt, now_ms)
-        call.phase = CallPhase.STUCK
+        call.phase = CallPhase.DISPATCHED
 
     def send(self, call):
         """Send the request: the service runs it."""
@@ -146,7 +146,12 @@
 
     def may_stop(self, now_ms):
         """Return whether the planned stop can end the process without a loss."""
-        if not self.is_leaving or self.calls or self.asking or not self.successor:
+        if (
+            not self.is_leaving
+            or self.calls
+            or self.pending_lookups
+            or not self.successor
+        ):
             return False
         return not self.ledger.handover(self.successor, now_ms)
 
@@ -162,15 +167,15 @@
         result = self.ledger.on_lookup_reply(reply, now_ms)
         if result is None:
             return []
-        call = self.asking.pop((reply.customer, reply.key))
+        call = self.pending_lookups.pop((reply.customer, reply.key))
         return self._go_on(call, result)
 
     def _give_up_lookups(self, now_ms):
-        for call in list(self.asking.values()):
-            if now_ms - call.asked_ms >= LOOKUP_TIMEOUT_MS:
-                del self.asking[call.id]
+        for call in list(self.pending_lookups.values()):
+            if now_ms - call.begun_ms >= LOOKUP_TIMEOUT_MS:
+                del self.pending_lookups[call.id]
                 result = self.ledger.abandon_lookup(call.customer, call.key, now_ms)
-                self._service.check_told(call, result)
+                self._service.check_result(call, result)
 
     def _hand_over(self, now_ms):
         if not self.is_leaving:
--- a/libs/standins/src/hemlockhoist/standins/randomised/link.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/link.py
@@ -25,11 +25,11 @@
         self._tally = tally
         self._count = 0
 
-    def disorder(self, seed):
+    def impair(self, seed):
         """Delay, double and lose messages from now on, in an order set by ``seed``."""
         self._rng = random.Random(seed)
 
-    def calm(self):
+    def restore(self):
         """Carry new messages at once again; those on their way stay late."""
         self._rng = None
 
--- a/libs/standins/src/hemlockhoist/standins/randomised/machine.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/machine.py
@@ -14,11 +14,11 @@
 from hemlockhoist.decisions.ledger import parse_key
 from hemlockhoist.decisions.ledger.record import RecordState
 from hemlockhoist.standins.randomised.call import Call, CallPhase
-from hemlockhoist.standins.randomised.faults import FAULTS, KINDS
+from hemlockhoist.standins.randomised.faults import FAULT_KINDS, FAULTS
 from hemlockhoist.standins.randomised.host import RETENTION_MS
-from hemlockhoist.standins.randomised.notices import NOTICES, UPSTREAMS
+from hemlockhoist.standins.randomised.simulated_fleet import HOSTS, SimulatedFleet
 from hemlockhoist.standins.randomised.table import WriteResult, make_declarations
-from hemlockhoist.standins.randomised.world import HOSTS, World
+from hemlockhoist.standins.randomised.upstream_events import UPSTREAM_EVENTS, UPSTREAMS
 
 _HOST = st.integers(0, HOSTS - 1)
 _RECENT = st.integers(0, 3)
@@ -38,7 +38,7 @@
             done = method(self, **arguments)
         except Exception as error:
             self.tally.step(f"{method.__name__}({text})")
-            self.tally.note_violation(error)
+            self.tally.record_violation(error)
             raise
         if done is not False:
             self.tally.step(f"{method.__name__}({text})")
@@ -47,7 +47,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Callers, operators and faults, acting on a ``World``.
+    """Callers, operators and faults, acting on a ``SimulatedFleet``.
 
     A subclass sets ``tally``.
     """
@@ -57,7 +57,7 @@
     def __init__(self):
         super().__init__()
         self.tally.begin_example()
-        self.world = World(self.tally)
+        self.fleet = SimulatedFleet(self.tally)
         self.keys = []
         self.minted_ms = {}
         self.writes = []
@@ -81,10 +81,10 @@
         calls = self._calls(CallPhase.ADMITTED)
         mine = [item for item in calls if item[1].key == self.keys[-1]]
         for number, call in mine:
-            found = self.world.hosts[number]
-            found.dispatch(call, self.world.now_ms)
+            found = self.fleet.hosts[number]
+            found.dispatch(call, self.fleet.now_ms)
             found.send(call)
-            found.end_call(call, True, self.world.now_ms)
+            found.end_call(call, True, self.fleet.now_ms)
         return True
 
     @precondition(lambda self: self.keys)
@@ -95,12 +95,12 @@
         key = self.keys[-1 - recent % len(self.keys)]
         return self._begin(host, Call(customer, key, _BODY if other else _OTHER_BODY))
 
-    @precondition(lambda self: self.world.service.ended)
+    @precondition(lambda self: self.fleet.service.ended)
     @rule(host=_HOST, recent=_RECENT, other=st.integers(0, 3))
     @step
     def repeat_ended(self, host, recent, other):
         """A caller that got no answer, or lost it, sends its call again."""
-        ended = self.world.service.ended
+        ended = self.fleet.service.ended
         call = ended[-1 - recent % len(ended)]
         body = call.body if other else _OTHER_BODY
         return self._begin(host, Call(call.customer, call.key, body))
@@ -111,11 +111,11 @@
     def send(self, index, fault):
         """A host sends a call; it may die or freeze just around the first byte."""
         number, call = self._pick(CallPhase.ADMITTED, index)
-        found = self.world.hosts[number]
-        found.dispatch(call, self.world.now_ms)
+        found = self.fleet.hosts[number]
+        found.dispatch(call, self.fleet.now_ms)
         if fault == "freezes":
             self.tally.fault("host frozen while sending")
-            self.world.freeze(found)
+            self.fleet.freeze(found)
             return
         if fault != "dies before":
             found.send(call)
@@ -130,7 +130,7 @@
         number, call = self._pick(CallPhase.SENT, index)
         if not breaks:
             self.tally.fault("upstream connection broke")
-        self.world.hosts[number].end_call(call, bool(breaks), self.world.now_ms)
+        self.fleet.hosts[number].end_call(call, bool(breaks), self.fleet.now_ms)
 
     @precondition(lambda self: self._calls(CallPhase.ADMITTED))
     @rule(index=_RECENT)
@@ -138,7 +138,7 @@
     def refuse(self, index):
         """A call that waits for a place is refused."""
         number, call = self._pick(CallPhase.ADMITTED, index)
-        self.world.hosts[number].end_call(call, False, self.world.now_ms)
+        self.fleet.hosts[number].end_call(call, False, self.fleet.now_ms)
 
     # Time and failures.
 
@@ -146,9 +146,9 @@
     @step
     def advance(self, duration_ms):
         """Time passes."""
-        self.world.advance(duration_ms)
+        self.fleet.advance(duration_ms)
 
-    @rule(kind=st.sampled_from(KINDS), host=_HOST, other=_HOST, seed=_SEED)
+    @rule(kind=st.sampled_from(FAULT_KINDS), host=_HOST, other=_HOST, seed=_SEED)
     @step
     def fault(self, kind, host, other, seed):
         """Something fails, or recovers."""
@@ -158,35 +158,35 @@
     @step
     def leave(self, host):
         """An operator replaces a host by plan; when nothing is left to do it ends."""
-        found = self.awake(host)
-        if found is None or len(self.world.hosts) < 2:
+        found = self.running_host(host)
+        if found is None or len(self.fleet.hosts) < 2:
             return False
         if not found.is_leaving:
             self.tally.fault("planned stop")
-            self.world.send(found, found.leave(self.world.now_ms))
+            self.fleet.send(found, found.leave(self.fleet.now_ms))
             return True
-        if not found.may_stop(self.world.now_ms):
+        if not found.may_stop(self.fleet.now_ms):
             return False
         self._check_stop(found)
-        del self.world.hosts[host]
+        del self.fleet.hosts[host]
         return True
 
     @rule(host=_HOST)
     @step
     def replace(self, host):
         """A host is replaced by plan, its calls end, and it starts anew."""
-        found = self.awake(host)
-        if found is None or len(self.world.hosts) < 2:
+        found = self.running_host(host)
+        if found is None or len(self.fleet.hosts) < 2:
             return False
         if not found.is_leaving:
             self.tally.fault("planned stop")
-            self.world.send(found, found.leave(self.world.now_ms))
+            self.fleet.send(found, found.leave(self.fleet.now_ms))
         for call in list(found.calls):
-            found.end_call(call, True, self.world.now_ms)
-        self.world.advance(1_000)
-        if found.may_stop(self.world.now_ms):
+            found.end_call(call, True, self.fleet.now_ms)
+        self.fleet.advance(1_000)
+        if found.may_stop(self.fleet.now_ms):
             self._check_stop(found)
-            self.world.start(host)
+            self.fleet.start(host)
         return True
 
     # Operators.
@@ -195,7 +195,7 @@
     @step
     def operator_reads(self, host):
         """An operator prepares a change of what a host has; others may do the same."""
-        found = self.awake(host)
+        found = self.running_host(host)
         if found is None or not found.configuration.version:
             return False
         self.changes += 1
@@ -208,89 +208,89 @@
     @step
     def operator_writes(self, host, recent):
         """A prepared change is written by compare-and-set, through some host."""
-        found = self.awake(host)
+        found = self.running_host(host)
         if found is None:
             return False
         base, declarations = self.writes.pop(-1 - recent % len(self.writes))
-        result = self.world.store.write(base, declarations)
+        result = self.fleet.store.write(base, declarations)
         if result is WriteResult.CONFLICT:
             self.tally.fault("operators raced")
         if result is WriteResult.LOST:
             # Settled by reading the row back: the change that it names won.
-            row = self.world.store.row
+            row = self.fleet.store.row
             result = WriteResult.DONE if row == declarations else WriteResult.CONFLICT
         if result is WriteResult.DONE:
             offered = found.configuration.apply_if_newer(
-                declarations, self.world.now_ms
+                declarations, self.fleet.now_ms
             )
-            self.world.send(found, offered)
+            self.fleet.send(found, offered)
         return True
 
     # Upstreams.
 
     @rule(
-        kind=st.sampled_from(sorted(NOTICES)),
+        kind=st.sampled_from(sorted(UPSTREAM_EVENTS)),
         host=_HOST,
         number=st.integers(0, UPSTREAMS - 1),
     )
     @step
-    def notice(self, kind, host, number):
+    def observe(self, kind, host, number):
         """A host hears of an upstream that leaves, or of a bad version."""
-        found = self.awake(host)
+        found = self.running_host(host)
         if found is None:
             return False
-        NOTICES[kind](self, found, number)
+        UPSTREAM_EVENTS[kind](self, found, number)
         return True
 
     @rule(host=_HOST)
     @step
     def grant(self, host):
         """A home grants work on every upstream that it may place work on."""
-        found = self.awake(host)
+        found = self.running_host(host)
         if found is None:
             return False
         for upstream_id in found.upstreams.assignable():
-            found.upstreams.check_grant(upstream_id, self.world.now_ms)
+            found.upstreams.check_grant(upstream_id, self.fleet.now_ms)
         return True
 
     def check(self, prop, holds, detail):
         """Check a property of the whole fleet."""
         self.tally.invariants.check(prop, holds, detail)
 
-    def awake(self, number):
+    def running_host(self, number):
         """Return the running host of a number, or None."""
-        host = self.world.hosts.get(number)
+        host = self.fleet.hosts.get(number)
         return None if host is None or host.is_frozen else host
 
     def kill(self, number, kind):
         """End a host process without a word."""
         self.tally.fault(kind)
-        del self.world.hosts[number]
+        del self.fleet.hosts[number]
 
     def _begin_new(self, minter, host, customer):
-        found = self.awake(minter)
+        found = self.running_host(minter)
         if found is None:
             return False
         try:
-            prefix = found.ledger.mint_prefix(self.world.now_ms)
+            prefix = found.ledger.mint_prefix(self.fleet.now_ms)
         except Refused:
             return False
         key = parse_key(f"{prefix}.{len(self.keys)}")
         self.keys.append(key)
-        self.minted_ms[key.text] = self.world.now_ms
+        self.minted_ms[key.text] = self.fleet.now_ms
         return self._begin(host, Call(customer, self.keys[-1], _BODY))
 
     def _begin(self, number, call):
-        found = self.awake(number)
-        if found is None or call.id in found.asking:
+        found = self.running_host(number)
+        if found is None or call.id in found.pending_lookups:
             return False
-        self.world.send(found, found.begin(call, self.world.now_ms))
+        self.fleet.send(found, found.begin(call, self.fleet.now_ms))
         return True
 
     def _calls(self, phase):
         return [
             (number, call)
-            for number, host in self.world.hosts.items()
+            for number, host in self.fleet.hosts.items()
             if not host.is_frozen
             for call in host.calls
             if call.phase is phase
@@ -305,7 +305,7 @@
         in_progress = leaver.ledger.in_progress_count
         detail = f"{leaver.address} stopped with {in_progress} calls in progress"
         self.check(Property.PLANNED_STOP_CUTS_NOTHING, in_progress == 0, detail)
-        for host in self.world.hosts.values():
+        for host in self.fleet.hosts.values():
             if host.member.incarnation == leaver.successor:
                 self._check_records(leaver, host)
 
@@ -313,7 +313,7 @@
         for record in leaver.ledger.table:
             # Past its retention the successor may have forgotten a key that the leaver,
             # which learnt of it later, still has.
-            age_ms = self.world.now_ms - self.minted_ms[record.key.text]
+            age_ms = self.fleet.now_ms - self.minted_ms[record.key.text]
             if record.state is not RecordState.DONE or age_ms > RETENTION_MS:
                 continue
             kept = successor.ledger.table.get(record.customer, record.key.text)
--- a/libs/standins/src/hemlockhoist/standins/randomised/queue_machine.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/queue_machine.py
@@ -17,7 +17,7 @@
 from hemlockhoist.declarations import Pool, PoolKind, Tier
 from hemlockhoist.standins.randomised.machine import step
 
-QUEUE_COVERED = (
+QUEUE_PROPERTIES = (
     Property.DISPATCHED_AT_MOST_ONCE,
     Property.TIER_ORDER,
     Property.LEAVING_UPSTREAM_NO_WORK,
--- a/libs/standins/src/hemlockhoist/standins/randomised/running.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/runner.py
@@ -10,7 +10,7 @@
 from hemlockhoist.standins.randomised.tally import Tally
 
 # What this run puts to the test; the others have runs of their own.
-COVERED = (
+COVERED_PROPERTIES = (
     Property.DISPATCHED_AT_MOST_ONCE,
     Property.NON_IDEMPOTENT_RUNS_AT_MOST_ONCE,
     Property.NOT_RUN_IS_TRUE,
@@ -47,7 +47,9 @@
         return not self.tally.violation and not self.unchecked
 
 
-def run_seed(number, seconds=0, batches=1, machine=FleetMachine, covered=COVERED):
+def run_seed(
+    number, seconds=0, batches=1, machine=FleetMachine, covered=COVERED_PROPERTIES
+):
     """Run batches of examples; the same seed gives the same steps.
 
     Parameters
@@ -98,4 +100,4 @@
         )
     except Exception as error:
         # A crash ends the run as a broken property does.
-        tally.note_violation(error)
+        tally.record_violation(error)
--- a/libs/standins/src/hemlockhoist/standins/randomised/service.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/service.py
@@ -43,7 +43,7 @@
         body = b"/".join((call.customer.encode(), call.key.text.encode(), call.body))
         return StoredAnswer(status=201, body=body)
 
-    def check_told(self, call, result):
+    def check_result(self, call, result):
         """Compare what a caller is told with what the service ran.
 
         Parameters
--- a/libs/standins/src/hemlockhoist/standins/randomised/world.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/simulated_fleet.py
@@ -13,7 +13,7 @@
 STEP_MS = 500
 
 
-class World:
+class SimulatedFleet:
     """Everything that one example runs on.
 
     Parameters
@@ -22,11 +22,11 @@
     """
 
     __slots__ = (
-        "contents",
+        "declarations_by_version",
         "hosts",
+        "incarnation_count",
         "link",
         "now_ms",
-        "runs",
         "service",
         "store",
         "tally",
@@ -39,29 +39,29 @@
         self.store = FaultyTable()
         self.service = CountingService(tally)
         self.hosts = {}
-        self.runs = 0
-        self.contents = {}
+        self.incarnation_count = 0
+        self.declarations_by_version = {}
         for number in range(HOSTS):
             self.start(number)
         self.advance(2_000)
 
     def start(self, number):
         """Start a host process, at the address of its number."""
-        self.runs += 1
+        self.incarnation_count += 1
         member = Member(
             address=f"h{number}",
-            incarnation=f"h{number}-{self.runs}",
-            started_unix_ms=self.runs,
+            incarnation=f"h{number}-{self.incarnation_count}",
+            started_unix_ms=self.incarnation_count,
             caller_address=f"c{number}",
             failure_domain=f"d{number % 2}",
         )
-        host = SoakHost(member, self.tally, self.service, self.runs)
+        host = SoakHost(member, self.tally, self.service, self.incarnation_count)
         listed = [ListedHost(address=f"h{n}") for n in range(HOSTS)]
         host.membership.set_list(listed, self.now_ms)
         self.hosts[number] = host
         return host
 
-    def awake(self):
+    def running_hosts(self):
         """Return the hosts that run."""
         return [host for host in self.hosts.values() if not host.is_frozen]
 
@@ -94,7 +94,7 @@
         while self.now_ms < end_ms:
             self.now_ms = min(end_ms, self.now_ms + STEP_MS)
             self.deliver()
-            for host in self.awake():
+            for host in self.running_hosts():
                 self.send(host, host.tick(self.now_ms))
                 self._read_store(host)
                 self.check_serving(host)
@@ -104,7 +104,9 @@
         declarations = host.serve(self.now_ms)
         if declarations is None:
             return
-        known = self.contents.setdefault(declarations.version, declarations)
+        known = self.declarations_by_version.setdefault(
+            declarations.version, declarations
+        )
         self.tally.invariants.check(
             Property.CONFIGURATION_NEVER_REVERTS,
             known == declarations,
@@ -115,11 +117,11 @@
         """Stop a host process without ending it."""
         host.is_frozen = True
 
-    def wake(self, host):
+    def resume(self, host):
         """Let a frozen process go on where it stood."""
         host.is_frozen = False
         for call in host.calls:
-            if call.phase is CallPhase.STUCK:
+            if call.phase is CallPhase.DISPATCHED:
                 host.send(call)
         self.check_serving(host)
         self.deliver()
--- a/libs/standins/src/hemlockhoist/standins/randomised/table.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/table.py
@@ -26,20 +26,20 @@
         Whether writes take effect without an answer.
     """
 
-    __slots__ = ("_former", "is_up", "loses_answers", "row", "serves_former")
+    __slots__ = ("_previous", "is_up", "loses_answers", "row", "serves_stale")
 
     def __init__(self):
         self.row = make_declarations(1, "first")
         self.is_up = True
         self.loses_answers = False
-        self.serves_former = False
-        self._former = self.row
+        self.serves_stale = False
+        self._previous = self.row
 
     def read(self):
         """Return the row, or None in an outage; a lagging replica has the former."""
         if not self.is_up:
             return None
-        return self._former if self.serves_former else self.row
+        return self._previous if self.serves_stale else self.row
 
     def write(self, expected_version, declarations):
         """Replace the row if it has ``expected_version``; return a ``WriteResult``."""
@@ -47,7 +47,7 @@
             return WriteResult.DOWN
         if self.row.version != expected_version:
             return WriteResult.LOST if self.loses_answers else WriteResult.CONFLICT
-        self._former = self.row
+        self._previous = self.row
         self.row = declarations
         return WriteResult.LOST if self.loses_answers else WriteResult.DONE
 
--- a/libs/standins/src/hemlockhoist/standins/randomised/tally.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/tally.py
@@ -65,7 +65,7 @@
         """Count a fault."""
         self.faults[kind] += 1
 
-    def note_violation(self, error):
+    def record_violation(self, error):
         """Keep the first violation and the steps that led to it."""
         if not self.violation:
             name = "" if isinstance(error, PropertyViolation) else repr(error)
--- a/libs/standins/src/hemlockhoist/standins/randomised/tests/mutations.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/tests/mutations.py
@@ -148,7 +148,7 @@
 
 
 def _write_without_comparing(self, expected_version, declarations):
-    self._former = self.row
+    self._previous = self.row
     self.row = declarations
     return WriteResult.DONE
 
--- a/libs/standins/src/hemlockhoist/standins/randomised/tests/test_running.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/tests/test_runner.py
@@ -1,7 +1,10 @@
 import unittest
 
 from hemlockhoist.standins.randomised import run_seed
-from hemlockhoist.standins.randomised.queue_machine import QUEUE_COVERED, QueueMachine
+from hemlockhoist.standins.randomised.queue_machine import (
+    QUEUE_PROPERTIES,
+    QueueMachine,
+)
 
 # Seeds of CI; 1104 showed a key that expired before its time.
 SEEDS = (1, 2, 3, 1104)
@@ -25,7 +28,7 @@
         for seed in QUEUE_SEEDS:
             with self.subTest(seed):
                 result = run_seed(
-                    seed, batches=2, machine=QueueMachine, covered=QUEUE_COVERED
+                    seed, batches=2, machine=QueueMachine, covered=QUEUE_PROPERTIES
                 )
                 self.assertEqual(result.tally.violation, "")
                 self.assertEqual(result.unchecked, ())
--- a/libs/standins/src/hemlockhoist/standins/randomised/notices.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/upstream_events.py
@@ -7,13 +7,13 @@
 UPSTREAMS = 3
 
 
-def leaves_by_word(machine, host, number):
+def leaving_reported(machine, host, number):
     """An upstream tells a host itself that it leaves."""
     machine.tally.fault("upstream leaves")
-    host.upstreams.on_leaving(f"u{number}", machine.world.now_ms)
+    host.upstreams.on_leaving(f"u{number}", machine.fleet.now_ms)
 
 
-def leaves_by_list(machine, _host, number):
+def leaving_listed(machine, _host, number):
     """The platform's list calls an upstream leaving; hosts read it later."""
     machine.tally.fault("upstream leaves, in the list only")
     machine.leaving_upstreams.add(number)
@@ -32,7 +32,7 @@
         )
         for number in range(UPSTREAMS)
     ]
-    host.upstreams.set_list(upstreams, machine.world.now_ms)
+    host.upstreams.set_list(upstreams, machine.fleet.now_ms)
 
 
 def list_is_empty(machine, host, _number):
@@ -50,22 +50,22 @@
 def version_is_bad(machine, host, number):
     """A host sees that a version is bad, and halts it."""
     halted = HaltedVersion(pool="hall", move_id=f"m{number}", version="2")
-    now_ms = machine.world.now_ms
-    machine.world.send(host, host.configuration.halt(halted, now_ms))
+    now_ms = machine.fleet.now_ms
+    machine.fleet.send(host, host.configuration.halt(halted, now_ms))
 
 
 def _take_bad_list(machine, host, listed):
     before = host.upstreams.assignable()
-    host.upstreams.set_list(listed, machine.world.now_ms)
+    host.upstreams.set_list(listed, machine.fleet.now_ms)
     kept = host.upstreams.assignable() == before
     machine.check(Property.LEAVING_UPSTREAM_NO_WORK, kept, "a bad list was taken")
 
 
-NOTICES = {
+UPSTREAM_EVENTS = {
     item.__name__: item
     for item in (
-        leaves_by_word,
-        leaves_by_list,
+        leaving_reported,
+        leaving_listed,
         list_is_read,
         list_is_empty,
         list_is_unreachable,
--- a/libs/standins/src/hemlockhoist/standins/soak.py
+++ b/libs/standins/src/hemlockhoist/standins/soak.py
@@ -10,7 +10,10 @@
 import click
 
 from hemlockhoist.standins.randomised import run_seed
-from hemlockhoist.standins.randomised.queue_machine import QUEUE_COVERED, QueueMachine
+from hemlockhoist.standins.randomised.queue_machine import (
+    QUEUE_PROPERTIES,
+    QueueMachine,
+)
 
 # One batch alone may draw no call that is repeated after its answer.
 MIN_BATCHES = 3
@@ -40,7 +43,7 @@
     """Run a seed on the fleet of hosts and on one shard's queue, half the time each."""
     return (
         run_seed(number, seconds / 2, MIN_BATCHES),
-        run_seed(number, seconds / 2, MIN_BATCHES, QueueMachine, QUEUE_COVERED),
+        run_seed(number, seconds / 2, MIN_BATCHES, QueueMachine, QUEUE_PROPERTIES),
     )
 
 
