--- a/libs/host/src/hemlockhoist/host/message_router.py
+++ b/libs/host/src/hemlockhoist/host/message_router.py
@@ -71,7 +71,7 @@
     def on_connection_lost(self, host_id):
         """Handle the end of a connection to a peer."""
         if self._context is not None:
-            self._context.fleet.on_broken(host_id)
+            self._context.fleet.on_connection_lost(host_id)
 
 
 @functools.singledispatch
