--- a/libs/standins/src/hemlockhoist/standins/published/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/published/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak the users' published protocol: store, replicas, hosts."""
+"""Stand-ins for the platform's published protocol: a store, replicas and sites."""
 
 from hemlockhoist.standins.published.replica import Behaviour, ReceivedRequest, Replica
 from hemlockhoist.standins.published.site import Site, SkippingClock, route
--- a/libs/standins/src/hemlockhoist/standins/published/replica.py
+++ b/libs/standins/src/hemlockhoist/standins/published/replica.py
@@ -1,4 +1,4 @@
-"""A replica that answers as it is told, byte by byte, and notes what it ran."""
+"""A replica with configurable faults that records the requests it ran."""
 
 import asyncio
 import contextlib
@@ -10,24 +10,24 @@
 
 
 class Behaviour(enum.Enum):
-    """How a replica answers."""
+    """How a replica responds to requests."""
 
-    NORMAL = "well"
+    NORMAL = "normal"
     FAILS = "answers 500"
-    SHEDS = "says that it did not run the request"
-    MISDIRECTED = "says that it is another run"
+    SHEDS = "reports that it did not run the request"
+    MISDIRECTED = "reports that it is another instance"
     NO_RECEIPT = "answers without a receipt"
-    WRONG_ATTEMPT_ID = "answers another request"
-    TRUNCATED = "closes before its answer is whole"
+    WRONG_ATTEMPT_ID = "answers with the id of another request"
+    TRUNCATED = "closes before its answer is complete"
     RESETS = "runs the request and resets the connection"
     HANGS = "runs the request and never answers"
-    STOPS_MID_EVENT = "stops in the middle of an event"
-    SKIPS_EVENT = "leaves an event out"
+    STOPS_MID_EVENT = "closes in the middle of an event"
+    SKIPS_EVENT = "omits an event"
     EXTRA_RESPONSE = "sends a second answer after the first"
 
 
 class ReceivedRequest(msgspec.Struct):
-    """A request as it reached a replica."""
+    """A request as a replica received it."""
 
     method: str
     target: str
@@ -39,22 +39,25 @@
 
 
 class Replica:
-    """One replica; start it in a running event loop.
+    """An HTTP server that stands in for a replica; needs a running event loop.
 
     Parameters
     ==========
     replica_id : str
     events : int
-        Of a stream; 0 answers with one body.
+        Number of events of a stream; 0 for an answer with a plain body.
     slots : int
+        Capacity announced in rows and responses.
 
     Attributes
     ==========
     behaviour : Behaviour
     delay_ms, event_ms : int
-        Before the answer's head, and between events.
-    ran : list of SeenRequest
-        The requests that it began to work on.
+        Delay before the response head, and between events.
+    ran : list of ReceivedRequest
+        The requests that it began to run.
+    rejected : list of ReceivedRequest
+        The requests that it answered without running them.
     """
 
     def __init__(self, replica_id, events=0, slots=4):
@@ -71,20 +74,20 @@
         self._writers = set()
 
     async def start(self):
-        """Listen on a port of the kernel's choice."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     async def close(self):
-        """Close the port and all connections."""
+        """Stop listening and abort all connections."""
         self._server.close()
         for writer in self._writers:
             writer.transport.abort()
         await self._server.wait_closed()
 
     def row(self, service, zone="a", version="v1", state="ready"):
-        """Return what it says of itself in the store."""
+        """Return the row by which it registers itself in the store."""
         return {
             "service": service,
             "address": self.address,
@@ -111,7 +114,7 @@
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
         body = await reader.readexactly(int(headers.get("content-length", 0)))
         started_s = asyncio.get_running_loop().time()
-        seen = ReceivedRequest(
+        received = ReceivedRequest(
             method,
             target,
             headers,
@@ -119,50 +122,50 @@
             replica_id=self.replica_id,
             started_s=started_s,
         )
-        if await self._reject(seen, writer):
+        if await self._reject(received, writer):
             return
-        self.ran.append(seen)
+        self.ran.append(received)
         await asyncio.sleep(self.delay_ms / MS_PER_S)
-        watch = asyncio.create_task(self._watch_close(reader, seen))
+        watcher = asyncio.create_task(self._detect_disconnect(reader, received))
         try:
-            await self._run(seen, writer)
+            await self._respond(received, writer)
         finally:
-            watch.cancel()
+            watcher.cancel()
 
-    async def _watch_close(self, reader, seen):
+    async def _detect_disconnect(self, reader, received):
         with contextlib.suppress(OSError):
             await reader.read(1)
-        seen.closed = True
+        received.closed = True
 
-    async def _reject(self, seen, writer):
-        expected = seen.headers.get("expected-instance", self.replica_id)
+    async def _reject(self, received, writer):
+        expected = received.headers.get("expected-instance", self.replica_id)
         if self.behaviour is Behaviour.SHEDS:
             status, extra = "503 Service Unavailable", "Not-Executed: 1\r\n"
         elif self.behaviour is Behaviour.MISDIRECTED or expected != self.replica_id:
             status, extra = "421 Misdirected Request", "Instance-Id: other\r\n"
         else:
             return False
-        self.rejected.append(seen)
+        self.rejected.append(received)
         text = f"HTTP/1.1 {status}\r\n{extra}Content-Length: 0\r\n\r\n"
         writer.write(text.encode())
         await writer.drain()
         return True
 
-    async def _run(self, seen, writer):
+    async def _respond(self, received, writer):
         if self.behaviour is Behaviour.HANGS:
-            while not seen.closed:
+            while not received.closed:
                 await asyncio.sleep(0.01)
             return
         if self.behaviour is Behaviour.RESETS:
             writer.transport.abort()
             return
         if self.behaviour is Behaviour.FAILS or not self.events:
-            await self._send_body(seen, writer)
+            await self._send_body(received, writer)
         else:
-            await self._send_events(seen, writer)
+            await self._send_events(received, writer)
 
-    def _head(self, seen, status, framing):
-        attempt = seen.headers.get("attempt-id", "")
+    def _head(self, received, status, framing):
+        attempt = received.headers.get("attempt-id", "")
         if self.behaviour is Behaviour.WRONG_ATTEMPT_ID:
             attempt = "another"
         receipt = f"Response-Signature: receipt-of-{self.replica_id}\r\n"
@@ -173,11 +176,11 @@
             f"Server-Load: 1,0,{self.slots}\r\n{framing}\r\n"
         ).encode()
 
-    async def _send_body(self, seen, writer):
-        body = f"answer of {self.replica_id} to {seen.target}".encode()
+    async def _send_body(self, received, writer):
+        body = f"answer of {self.replica_id} to {received.target}".encode()
         failed = self.behaviour is Behaviour.FAILS
         status = "500 Internal Server Error" if failed else "200 OK"
-        head = self._head(seen, status, f"Content-Length: {len(body)}\r\n")
+        head = self._head(received, status, f"Content-Length: {len(body)}\r\n")
         if self.behaviour is Behaviour.TRUNCATED:
             body = body[:5]
         writer.write(head + body)
@@ -185,10 +188,10 @@
             writer.write(head + b"x" * len(body))
         await writer.drain()
 
-    async def _send_events(self, seen, writer):
+    async def _send_events(self, received, writer):
         framing = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
-        writer.write(self._head(seen, "200 OK", framing))
-        start = int(seen.headers.get("last-event-id", 0)) + 1
+        writer.write(self._head(received, "200 OK", framing))
+        start = int(received.headers.get("last-event-id", 0)) + 1
         for number in range(start, self.events + 1):
             if self.behaviour is Behaviour.SKIPS_EVENT and number == self.events // 2:
                 continue
--- a/libs/standins/src/hemlockhoist/standins/published/site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/site.py
@@ -1,4 +1,4 @@
-"""A whole site in one process: store, replicas and entry hosts on the platform."""
+"""A site in one process: a store, replicas and entry hosts."""
 
 import asyncio
 import contextlib
@@ -16,12 +16,12 @@
 
 HOST_NAME = "halls.example"
 KEY = "key-of-aulas"
-READY_WAIT_S = 5
+READY_TIMEOUT_S = 5
 REGIONS = {"a": "north", "b": "north", "c": "south"}
 
 
 def route(name, service, kind="idempotent", **fields):
-    """Return a declared route ``/NAME/``, as the operator writes it."""
+    """Return the declaration of a route with prefix ``/NAME/``."""
     values = {
         "name": name,
         "host": HOST_NAME,
@@ -38,10 +38,10 @@
 
 
 class SkippingClock:
-    """A clock that runs as the machine's does, and jumps ahead when told.
+    """A monotonic clock that can be advanced at will.
 
-    It stands for a suspension: the loop's own clock knows nothing of the time that
-    passed.
+    It simulates a suspension of the machine, during which the clock of the event loop
+    does not advance.
     """
 
     __slots__ = ("_skipped_ns",)
@@ -50,16 +50,16 @@
         self._skipped_ns = 0
 
     def skip_s(self, seconds):
-        """Let time pass at once."""
+        """Advance the clock by ``seconds``."""
         self._skipped_ns += seconds * 10**9
 
     def read_ns(self):
-        """Return nanoseconds."""
+        """Return the time in nanoseconds."""
         return time.monotonic_ns() + self._skipped_ns
 
 
 class Site:
-    """Starts and stops a site; use it as an asynchronous context manager.
+    """An asynchronous context manager that runs a site.
 
     Parameters
     ==========
@@ -67,12 +67,13 @@
         By service.
     routes : list of dict
     hosts : int
+        Number of entry hosts.
     bounds : FleetBounds, optional
     tenants : list of dict, optional
     boot_clock : SkippingClock, optional
-        The clock that counts suspensions.
+        The clock that advances during suspensions.
     services : dict of str to dict, optional
-        More fields of declared services.
+        Additional fields of declared services.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         self._tenants = tenants
         self._boot_clock = boot_clock
         self._version = 0
-        self._closers = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self):
         await self._open(self.store)
@@ -107,22 +108,22 @@
         await self.declare(self._routes)
         for number in range(self._host_count):
             await self.add_host(number)
-        self.session = await self._closers.enter_async_context(
+        self.session = await self._exit_stack.enter_async_context(
             aiohttp.ClientSession(auto_decompress=False)
         )
         await self.wait_ready()
         return self
 
     async def __aexit__(self, *error):
-        await self._closers.aclose()
+        await self._exit_stack.aclose()
 
     async def _open(self, part):
         await part.start()
-        self._closers.push_async_callback(part.close)
+        self._exit_stack.push_async_callback(part.close)
         return part
 
     async def declare(self, routes, **fields):
-        """Write a newer desired state."""
+        """Write a new version of the declarations to the store."""
         self._version += 3
         tenants = self._tenants
         if tenants is None:
@@ -145,20 +146,20 @@
         await self.store.put("op", "config", {**body, **fields})
 
     async def register_replica(self, service, replica, **fields):
-        """Enter a replica into the store, as it does itself."""
+        """Write the row of a replica to the store, as the replica does."""
         row = replica.row(service, **fields)
         await self.store.put("servers", replica.replica_id, row)
 
     async def evacuate(self, zone):
-        """Order that nothing more be sent to a zone's replicas."""
+        """Order the evacuation of a zone, so that its replicas get no more requests."""
         await self.store.put("op", f"evacuate/{zone}", {})
 
     async def end_evacuation(self, zone):
-        """End such an order."""
+        """End the evacuation of a zone."""
         await self.store.put("op", f"evacuate/{zone}", None)
 
     async def add_host(self, number):
-        """Start one more entry host."""
+        """Start an entry host and return it."""
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         port = listener.getsockname()[1]
@@ -183,8 +184,8 @@
         return host
 
     async def wait_ready(self):
-        """Wait until all hosts serve and know one another."""
-        async with asyncio.timeout(READY_WAIT_S):
+        """Wait until all hosts are ready and have discovered one another."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not all(self._is_ready(host) for host in self.hosts):
                 await asyncio.sleep(0.01)
 
@@ -196,12 +197,12 @@
         )
 
     def url(self, path, host=0):
-        """Return the URL of a path at one of the hosts, as it is encoded."""
+        """Return the URL of an already encoded path at one of the hosts."""
         address = self.hosts[host].settings.caller_address
         return yarl.URL(f"http://{address}{path}", encoded=True)
 
     def call(self, path, host=0, method="GET", body=None, **headers):
-        """Return the context manager of a caller's request."""
+        """Return a context manager that sends a request; None omits a header."""
         values = {
             "Host": HOST_NAME,
             "Attempt-Id": "a1",
--- a/libs/standins/src/hemlockhoist/standins/published/store.py
+++ b/libs/standins/src/hemlockhoist/standins/published/store.py
@@ -1,4 +1,4 @@
-"""A store of rows with one version counter, transactions and a feed, in memory."""
+"""An in-memory store of rows with a version counter, transactions and a feed."""
 
 import asyncio
 import base64
@@ -11,18 +11,18 @@
 
 
 class StoreFaults:
-    """What is wrong with the store now.
+    """The faults that the store injects.
 
     Attributes
     ==========
     status : int or None
-        Every call is answered with it.
+        Status with which every call is answered.
     hangs : bool
-        No call is answered.
+        Whether no call is answered.
     loses_answers : bool
-        Commits are done, and their connection is closed without an answer.
+        Whether connections are closed without an answer once a commit is done.
     delay_ms : int
-        Before each answer.
+        Delay before each answer.
     """
 
     __slots__ = ("delay_ms", "hangs", "loses_answers", "status")
@@ -31,7 +31,7 @@
         self.heal()
 
     def heal(self):
-        """Work well again."""
+        """Remove all faults."""
         self.status = None
         self.hangs = False
         self.loses_answers = False
@@ -46,14 +46,14 @@
 
 
 class StoreStandin:
-    """The store; start it in a running event loop.
+    """The store's HTTP server; needs a running event loop.
 
     Attributes
     ==========
     address : str
     faults : StoreFaults
     calls : list of str
-        The paths that were called.
+        The paths of all calls, in order.
     """
 
     def __init__(self):
@@ -62,14 +62,14 @@
         self.calls = []
         self._rows = {}
         self._history = []
-        self._oldest = 0
+        self._oldest_version = 0
         self._version = 0
         self._changed = asyncio.Condition()
         self._runner = None
 
     async def start(self):
-        """Listen on a port of the kernel's choice."""
-        application = web.Application(middlewares=[self._meet_faults])
+        """Listen on a free loopback port."""
+        application = web.Application(middlewares=[self._inject_faults])
         application.router.add_get("/v1/rows-get", self._get)
         application.router.add_get("/v1/rows-feed", self._feed)
         application.router.add_post("/v1/rows-tx", self._commit)
@@ -80,11 +80,11 @@
         self.address = f"{host}:{port}"
 
     async def close(self):
-        """Close all connections."""
+        """Stop the server and close all connections."""
         await self._runner.cleanup()
 
     async def put(self, table, key, payload):
-        """Write a row as the operator or a replica does; None drops it."""
+        """Write a row as the operator or a replica does; None deletes it."""
         value = None
         if payload is not None:
             raw = payload if isinstance(payload, bytes) else json.dumps(payload)
@@ -95,15 +95,15 @@
         await self._notify()
 
     def payload(self, table, key):
-        """Return the decoded JSON of a row, or None."""
+        """Return the decoded JSON payload of a row, or None."""
         row = self._rows.get((table, key))
         if row is None or row.value is None:
             return None
         return json.loads(base64.b64decode(row.value))
 
     def truncate_history(self):
-        """Drop all changes, so that followers have to read anew."""
-        self._oldest = self._version
+        """Drop the change history, so that feed readers must read all rows again."""
+        self._oldest_version = self._version
         self._history.clear()
 
     def _write(self, table, key, value):
@@ -119,7 +119,7 @@
             self._changed.notify_all()
 
     @web.middleware
-    async def _meet_faults(self, request, handler):
+    async def _inject_faults(self, request, handler):
         self.calls.append(request.path)
         faults = self.faults
         if faults.hangs:
@@ -157,19 +157,21 @@
                     latest[row.key] = row
             return list(latest.values())
 
-        if since < self._oldest:
+        if since < self._oldest_version:
             return web.Response(status=410)
         try:
             async with asyncio.timeout(wait_s), self._changed:
-                await self._changed.wait_for(lambda: changes() or self._is_cut(since))
+                await self._changed.wait_for(
+                    lambda: changes() or self._is_truncated(since)
+                )
         except TimeoutError:
             pass
-        if self._is_cut(since):
+        if self._is_truncated(since):
             return web.Response(status=410)
         return self._answer(changes())
 
-    def _is_cut(self, since):
-        return since < self._oldest
+    def _is_truncated(self, since):
+        return since < self._oldest_version
 
     async def _commit(self, request):
         body = await request.json()
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_domains.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_domains.py
@@ -1,4 +1,4 @@
-"""Failure domains that are evacuated, cold upstreams, and regions, end to end."""
+"""End-to-end tests of evacuations, cold starts and regions."""
 
 import asyncio
 import unittest
@@ -11,19 +11,19 @@
 REPORT = route("conflict-report", "asistente", "streaming", resumable=True)
 BOUNDS = FleetBounds(cold_overshoot=1.5, cold_tolerance=5)
 COLD = {"reservas": {"cold_start_s": 3.0, "cold_per_s": 6.6}}
-# An order is in force on all hosts within some round trips.
+# An order takes effect on all hosts within a few round trips.
 IN_FORCE_S = 0.15
 
 
 async def register_in_zones(site, service, zones, **fields):
-    """Enter a site's replicas into the store, each in its zone."""
+    """Register the replicas of a service, each in its zone."""
     for replica, zone in zip(site.replicas[service], zones, strict=True):
         await site.register_replica(service, replica, zone=zone, **fields)
     await asyncio.sleep(IN_FORCE_S)
 
 
-async def look_up(site, count, host=0):
-    """Return the statuses of some lookups."""
+async def send_lookups(site, count, host=0):
+    """Send ``count`` lookups and return their statuses."""
     statuses = []
     for number in range(count):
         async with site.call(f"/check-free/{number}", host=host) as answer:
@@ -42,43 +42,43 @@
     def ran(self, number=0):
         return len(self.replicas["reservas"][number].ran)
 
-    async def test_evacuated_zone_gets_nothing_until_it_is_taken_back(self):
-        """An operator empties a zone for repairs, and requests go on to it."""
+    async def test_evacuated_zone_gets_no_requests_until_evacuation_ends(self):
+        """Guards against requests to a zone that an operator evacuated for repairs."""
         await self.site.evacuate("a")
         await asyncio.sleep(IN_FORCE_S)
         before = self.ran()
         for host in range(3):
-            self.assertEqual(set(await look_up(self.site, 6, host)), {200})
+            self.assertEqual(set(await send_lookups(self.site, 6, host)), {200})
         self.assertEqual(self.ran(), before)
         await self.site.end_evacuation("a")
         await asyncio.sleep(IN_FORCE_S)
         for host in range(3):
-            await look_up(self.site, 8, host)
+            await send_lookups(self.site, 8, host)
         self.assertGreater(self.ran(), before)
 
-    async def test_host_that_joins_later_sends_nothing_there(self):
-        """A host starts while a zone is evacuated, and knows nothing of the order."""
+    async def test_host_that_joins_later_observes_evacuation(self):
+        """Guards against a host that starts in an evacuation and misses the order."""
         await self.site.evacuate("a")
         await self.site.add_host(3)
         await self.site.wait_ready()
         before = self.ran()
-        self.assertEqual(set(await look_up(self.site, 6, 3)), {200})
+        self.assertEqual(set(await send_lookups(self.site, 6, 3)), {200})
         self.assertEqual(self.ran(), before)
 
-    async def test_home_that_does_not_know_believes_a_host_that_does(self):
-        """The home reads late, and its grants of the zone go on being used."""
+    async def test_home_learns_of_evacuation_from_another_host(self):
+        """Guards against grants for the zone by a home that reads the order late."""
         contexts = [host.context for host in self.site.hosts]
         home_id = contexts[0].homes.home_of("reservas")
         home = next(c for c in contexts if c.identity.host_id == home_id)
         other = next(c for c in contexts if c is not home)
         other.store_view.on_domain_evacuated("a", 10_000)
         before = self.ran()
-        statuses = await look_up(self.site, 8, contexts.index(other))
+        statuses = await send_lookups(self.site, 8, contexts.index(other))
         self.assertEqual(set(statuses), {200})
         self.assertEqual(self.ran(), before)
         self.assertEqual(home.store_view.evacuated.names(), ("a",))
 
-    async def test_callers_are_told_when_all_zones_are_evacuated(self):
+    async def test_requests_are_refused_when_all_zones_are_evacuated(self):
         await self.site.evacuate("a")
         await self.site.evacuate("b")
         await asyncio.sleep(IN_FORCE_S)
@@ -88,18 +88,18 @@
             self.assertGreater(float(answer.headers["Retry-After"]), 0)
         self.assertEqual((self.ran(0), self.ran(1)), before)
 
-    async def test_rows_that_nobody_can_read_change_nothing(self):
+    async def test_malformed_evacuation_rows_are_ignored(self):
         await self.site.store.put("op", "evacuate/a", b"soon")
         await self.site.evacuate("nowhere")
         await asyncio.sleep(IN_FORCE_S)
         before = self.ran()
-        await look_up(self.site, 12)
+        await send_lookups(self.site, 12)
         self.assertGreater(self.ran(), before)
 
 
 class StreamTests(unittest.IsolatedAsyncioTestCase):
-    async def test_stream_under_way_in_an_evacuated_zone_ends_whole(self):
-        """An evacuation cuts the answers that callers are reading."""
+    async def test_open_stream_in_evacuated_zone_completes(self):
+        """Guards against an evacuation that cuts open streams."""
         replicas = {"asistente": [Replica("a1", events=8)]}
         replicas["asistente"][0].event_ms = 60
         async with Site(replicas, [REPORT]) as site:
@@ -113,8 +113,8 @@
 
 
 class ColdTests(unittest.IsolatedAsyncioTestCase):
-    async def test_cold_replica_gets_no_more_than_it_bears(self):
-        """A replica crashes again under the load of the whole fleet."""
+    async def test_cold_replica_load_stays_within_its_limit(self):
+        """Guards against a restarted replica that crashes under the full load."""
         replicas = {"reservas": [Replica("cold"), Replica("warm")]}
         replicas["reservas"][1].delay_ms = 30
         site = Site(replicas, [LOOKUP], hosts=2, bounds=BOUNDS, services=COLD)
@@ -124,7 +124,7 @@
             await site.store.put("servers", "cold", row)
             await asyncio.sleep(IN_FORCE_S)
             before = len(cold.ran)
-            callers = (look_up(site, 12, number % 2) for number in range(6))
+            callers = (send_lookups(site, 12, number % 2) for number in range(6))
             for statuses in await asyncio.gather(*callers):
                 self.assertEqual(set(statuses), {200})
             self.assertLessEqual(len(cold.ran) - before, 14)
@@ -132,8 +132,8 @@
 
 
 class RegionTests(unittest.IsolatedAsyncioTestCase):
-    async def test_body_stays_in_the_regions_of_route_and_customer(self):
-        """A customer's body reaches a region where it may not be kept."""
+    async def test_body_stays_in_allowed_regions(self):
+        """Guards against a customer's body in a region that is not allowed."""
         replicas = {"reservas": [Replica("north"), Replica("south")]}
         bound = route("check-free", "reservas", allowed_regions=["north", "south"])
         tenants = [
@@ -142,9 +142,9 @@
         async with Site(replicas, [bound], tenants=tenants) as site:
             await register_in_zones(site, "reservas", "ac")
             before = len(replicas["reservas"][0].ran)
-            self.assertEqual(set(await look_up(site, 8)), {200})
+            self.assertEqual(set(await send_lookups(site, 8)), {200})
             self.assertEqual(len(replicas["reservas"][0].ran), before)
             await site.store.put("servers", "south", None)
             await asyncio.sleep(2)
-            self.assertEqual(await look_up(site, 1), [503])
+            self.assertEqual(await send_lookups(site, 1), [503])
             self.assertEqual(len(replicas["reservas"][0].ran), before)
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_explained.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_explained.py
@@ -19,7 +19,7 @@
 
 
 class ExplainedTests(unittest.IsolatedAsyncioTestCase):
-    """On-call engineers have a request's id and the hosts' logs, and nothing else."""
+    """The request id and the logs of the hosts must suffice to explain an outcome."""
 
     def setUp(self):
         self.log = io.StringIO()
@@ -39,8 +39,8 @@
             ):
                 await asyncio.sleep(0.02)
 
-    async def test_refused_though_engines_are_free(self):
-        """A caller is refused while nobody else asks for anything."""
+    async def test_refusal_by_customer_quota(self):
+        """A caller over its quota is refused although all replicas are free."""
         tenants = [
             {
                 "name": "aulas",
@@ -60,7 +60,7 @@
         self.assertIn("code 214", text)
         self.assertIn("aulas asks for 1 units of 0 left", text)
 
-    async def test_booking_whose_outcome_is_unknown(self):
+    async def test_unknown_outcome(self):
         bad = Replica("s1")
         bad.behaviour = Behaviour.RESETS
         booking = route("book-hall", "reservas", "non_idempotent", max_attempts=1)
@@ -74,7 +74,7 @@
         self.assertIn("upstream=s1", text)
         self.assertIn("outcome=broke_off", text)
 
-    async def test_stream_that_was_cut(self):
+    async def test_cut_stream(self):
         bad = Replica("e1", events=8)
         bad.behaviour = Behaviour.STOPS_MID_EVENT
         summary = route("summary", "asistente", "streaming", max_attempts=1)
@@ -86,13 +86,13 @@
         self.assertIn("stream was cut", text)
         self.assertIn("the answer broke off before its end", text)
 
-    async def test_refused_by_a_host_without_the_store(self):
+    async def test_refusal_without_store(self):
         clock = SkippingClock()
         lookup = route("check-free", "reservas")
         replicas = {"reservas": [Replica("s1")]}
         async with Site(replicas, [lookup], boot_clock=clock) as site:
             site.store.faults.status = 503
-            # The call that waits for changes is answered first, with good news.
+            # A pending feed call is answered first, and successfully.
             await self.wait_for_line("event=store_lost", "table=op")
             clock.skip_s(6)
             async with site.call("/check-free/1") as answer:
@@ -101,7 +101,7 @@
         self.assertIn("code 216", text)
         self.assertIn("store_lost table=op", text)
 
-    async def test_unknown_id_is_said_so(self):
+    async def test_unknown_request_id(self):
         found = CliRunner().invoke(main, ["explain", "nobody"], self.log.getvalue())
         self.assertNotEqual(found.exit_code, 0)
         self.assertIn("no line names", found.output)
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
@@ -32,8 +32,8 @@
 SUMMARY = route("access-summary", "asistente", "streaming", max_attempts=1)
 
 
-class CalmTests(unittest.IsolatedAsyncioTestCase):
-    async def test_lookup_reaches_its_replica_as_it_was_sent(self):
+class ForwardingTests(unittest.IsolatedAsyncioTestCase):
+    async def test_lookup_is_forwarded_unchanged(self):
         replicas = services("s1")
         async with Site(replicas, [LOOKUP]) as site:
             path = "/check-free/7?day=mon&x=%2F"
@@ -52,7 +52,7 @@
         self.assertNotIn("authorization", seen.headers)
         self.assertNotIn("hold", seen.headers)
 
-    async def test_stream_is_passed_on_event_by_event(self):
+    async def test_stream_is_forwarded_event_by_event(self):
         replicas = engines("e1")
         replicas["asistente"][0].event_ms = 20
         async with (
@@ -64,7 +64,7 @@
         self.assertEqual(first, b"id: 1\ndata: piece 1\n\n")
         self.assertEqual(rest.count(b"data:"), 5)
 
-    async def test_refusals_for_good(self):
+    async def test_invalid_requests_are_refused(self):
         async with Site(services("s1"), [LOOKUP]) as site:
             async with site.call("/nowhere/1") as answer:
                 self.assertEqual(answer.status, 404)
@@ -73,7 +73,7 @@
             async with site.call("/check-free/1", Deadline_Ms="soon") as answer:
                 self.assertEqual(answer.status, 400)
 
-    async def test_routes_change_and_hosts_agree(self):
+    async def test_route_change_reaches_all_hosts(self):
         replicas = services("s1")
         async with Site(replicas, [LOOKUP], hosts=3) as site:
             await site.declare([LOOKUP, route("new", "reservas", anonymous=True)])
@@ -82,31 +82,31 @@
                 async with site.call("/new/1", host, Authorization=None) as answer:
                     self.assertEqual(answer.status, 200)
 
-    async def test_hosts_tell_callers_of_one_another(self):
+    async def test_hosts_resolve_to_all_hosts(self):
         async with Site(services("s1"), [LOOKUP], hosts=3) as site:
             address = site.hosts[0].status.addresses[0]
             url = f"http://{address}/v1/resolve?name=halls.example&region=r&zone=a"
             async with site.session.get(url) as answer:
-                told = await answer.json()
+                resolved = await answer.json()
             wanted = {host.settings.caller_address for host in site.hosts}
-            self.assertEqual(set(told["addresses"]), wanted)
+            self.assertEqual(set(resolved["addresses"]), wanted)
             async with site.session.get(f"http://{address}/v1/readyz") as answer:
                 self.assertEqual(answer.status, 200)
 
 
 class BrokenAnswerTests(unittest.IsolatedAsyncioTestCase):
-    async def ask(self, route_, behaviour, path, others=(), **call):
+    async def send(self, route_, behaviour, path, others=(), **call):
         replicas = {"reservas": [Replica("bad"), *others]}
         replicas["reservas"][0].behaviour = behaviour
         async with Site(replicas, [route_]) as site, site.call(path, **call) as answer:
             body = await answer.read()
         return answer.status, body, replicas["reservas"]
 
-    async def test_booking_that_may_have_run_is_never_sent_again(self):
-        """A hall is booked twice, and two groups stand before one door.
+    async def test_booking_that_may_have_run_is_not_retried(self):
+        """Guards against a booking that runs twice.
 
-        A replica runs the booking and its answer is lost on the way. The host sends it
-        to another replica, or says "not run" and the caller does.
+        A replica runs the booking and its answer is lost. The host must not send it to
+        another replica, nor report "not run", upon which the caller would retry.
         """
         for behaviour in (
             Behaviour.RESETS,
@@ -115,7 +115,7 @@
             Behaviour.NO_RECEIPT,
         ):
             with self.subTest(behaviour=behaviour):
-                status, _, replicas = await self.ask(
+                status, _, replicas = await self.send(
                     BOOKING,
                     behaviour,
                     "/book-hall/1",
@@ -125,30 +125,30 @@
                 self.assertEqual(status, 502)
                 self.assertEqual(sum(len(item.ran) for item in replicas), 1)
 
-    async def test_lookup_is_tried_at_another_replica(self):
+    async def test_lookup_is_retried_at_another_replica(self):
         for behaviour in (
             Behaviour.FAILS,
             Behaviour.RESETS,
             Behaviour.WRONG_ATTEMPT_ID,
         ):
             with self.subTest(behaviour=behaviour):
-                status, body, _ = await self.ask(
+                status, body, _ = await self.send(
                     LOOKUP, behaviour, "/check-free/1", others=[Replica("good")]
                 )
                 self.assertEqual(status, 200)
                 self.assertIn(b"good", body)
 
-    async def test_booking_that_a_replica_did_not_run_is_refused_with_a_time(self):
-        status, _, _ = await self.ask(
+    async def test_booking_that_was_not_run_is_refused(self):
+        status, _, _ = await self.send(
             BOOKING, Behaviour.SHEDS, "/book-hall/1", method="POST", body=b"x"
         )
         self.assertEqual(status, 503)
 
-    async def test_address_of_another_run_costs_a_booking_nothing(self):
-        """Bookings are refused though replicas are free.
+    async def test_misdirected_booking_uses_no_attempt(self):
+        """Guards against bookings that are refused although replicas are free.
 
-        Two replicas crashed and others began at their addresses; the list still shows
-        the former ones. Each answers "not me", and the request's attempts are used up.
+        Two replicas crashed and others started at their addresses, while the list still
+        names the former ones. Each answers 421, which must not use up the attempts.
         """
         gone = [Replica("gone-1"), Replica("gone-2")]
         for replica in gone:
@@ -161,32 +161,32 @@
             self.assertEqual(answer.status, 200)
         self.assertEqual(sum(len(item.ran) for item in replicas["reservas"]), 1)
 
-    async def test_booking_that_failed_is_passed_on_as_it_is(self):
-        status, body, _ = await self.ask(
+    async def test_failed_booking_response_is_forwarded(self):
+        status, body, _ = await self.send(
             BOOKING, Behaviour.FAILS, "/book-hall/1", method="POST", body=b"x"
         )
         self.assertEqual((status, body[:13]), (500, b"answer of bad"))
 
-    async def test_second_answer_on_a_connection_reaches_nobody(self):
-        status, body, _ = await self.ask(
+    async def test_extra_response_is_discarded(self):
+        status, body, _ = await self.send(
             LOOKUP, Behaviour.EXTRA_RESPONSE, "/check-free/1"
         )
         self.assertEqual((status, body), (200, b"answer of bad to /check-free/1"))
 
-    async def test_silent_replica_is_given_up_at_the_routes_time(self):
+    async def test_hanging_replica_times_out_at_route_timeout(self):
         short = route("check-free", "reservas", timeout_ms=300)
-        status, _, replicas = await self.ask(short, Behaviour.HANGS, "/check-free/1")
+        status, _, replicas = await self.send(short, Behaviour.HANGS, "/check-free/1")
         self.assertEqual(status, 504)
         await asyncio.sleep(0.1)
         self.assertTrue(replicas[0].ran[0].closed)
 
 
 class StaleHomeTests(unittest.IsolatedAsyncioTestCase):
-    """A home that missed that an upstream left goes on granting it."""
+    """The home did not learn that an upstream was removed, and grants it."""
 
     async def asyncSetUp(self):
         self.replicas = services("gone", "good")
-        # The good one is the slower, so that the other is granted first.
+        # The good replica is slower, so that the other one is granted first.
         self.replicas["reservas"][1].delay_ms = 40
         site = Site(self.replicas, [LOOKUP], hosts=2)
         self.site = await self.enterAsyncContext(site)
@@ -199,8 +199,8 @@
         listed = self.other.store_view.listing.get("gone", 0)
         self.row = StoreRow(key="gone", value=None, version=listed.listed_version + 50)
 
-    async def test_caller_is_served_and_the_home_believes_the_newer_list(self):
-        """Callers are refused, with other upstreams free, until the home reads anew."""
+    async def test_caller_is_served_and_home_adopts_newer_list(self):
+        """Guards against refusals, with free upstreams, until the home is up to date."""
         reading = Reading(
             rows=(self.row,), version=self.row.version, store_ms=0, sent_ms=0
         )
@@ -212,8 +212,8 @@
         self.assertEqual(len(self.replicas["reservas"][0].ran), 0)
         self.assertIsNone(self.home.store_view.listing.get("gone", 0))
 
-    async def test_home_that_knows_better_goes_on_granting(self):
-        """A host that is behind the list takes a new upstream for one that left."""
+    async def test_home_with_newer_list_keeps_granting(self):
+        """Guards against an outdated host that reports a new upstream as removed."""
         await self.site.register_replica("reservas", self.replicas["reservas"][0])
         async with asyncio.timeout(5):
             while not self._is_relisted():
@@ -240,8 +240,8 @@
             except aiohttp.ClientPayloadError:
                 return None, b"", replicas["asistente"]
 
-    async def test_resumable_stream_goes_on_at_another_replica(self):
-        """A report breaks off in its middle as its engine crashes."""
+    async def test_resumable_stream_resumes_at_another_replica(self):
+        """Guards against a report that ends half-way when its engine crashes."""
         for behaviour in (Behaviour.STOPS_MID_EVENT, Behaviour.SKIPS_EVENT):
             with self.subTest(behaviour=behaviour):
                 good = Replica("good", events=8)
@@ -253,7 +253,7 @@
                 self.assertEqual(body, wanted)
                 self.assertEqual(good.ran[0].headers["last-event-id"], "3")
 
-    async def test_stream_that_can_not_go_on_does_not_look_whole(self):
+    async def test_unresumable_stream_does_not_appear_complete(self):
         status, _, replicas = await self.read(
             SUMMARY, Behaviour.STOPS_MID_EVENT, Replica("o")
         )
@@ -261,9 +261,9 @@
         self.assertEqual(len(replicas[1].ran), 0)
 
 
-class CallerLeavesTests(unittest.IsolatedAsyncioTestCase):
-    async def test_upstream_is_told_when_the_caller_leaves(self):
-        """An engine goes on for nobody after its caller has closed the page."""
+class CallerDisconnectTests(unittest.IsolatedAsyncioTestCase):
+    async def test_upstream_connection_closes_when_caller_disconnects(self):
+        """Guards against an engine that works on after its caller has disconnected."""
         replicas = engines("e1", events=500)
         replicas["asistente"][0].event_ms = 10
         async with Site(replicas, [REPORT]) as site:
@@ -273,8 +273,8 @@
             await asyncio.sleep(0.3)
             self.assertTrue(replicas["asistente"][0].ran[0].closed)
 
-    async def test_callers_that_leave_without_an_answer_are_counted(self):
-        """Operators see late answers, and not those that nobody waited for."""
+    async def test_callers_that_disconnect_without_answer_are_counted(self):
+        """Guards against metrics that omit answers no caller waited for."""
         replicas = engines("e1")
         replicas["asistente"][0].behaviour = Behaviour.HANGS
         async with Site(replicas, [REPORT]) as site:
@@ -292,11 +292,11 @@
         left = {name: n for name, n in totals.items() if "callers.left" in name}
         self.assertEqual(list(left.values()), [2], totals)
 
-    async def test_answer_that_can_not_be_written_is_no_error(self):
-        """The log fills with tracebacks while callers leave.
+    async def test_failed_write_to_caller_is_not_logged_as_error(self):
+        """Guards against tracebacks in the log when callers disconnect.
 
-        A caller closes its connection between two events; the write of the next one
-        fails before the server has noticed the close.
+        A caller closes its connection between two events, and the next write fails
+        before the server has detected it.
         """
         replicas = engines("e1")
         broken = unittest.mock.patch.object(
@@ -313,8 +313,8 @@
     def setUp(self):
         self.clock = SkippingClock()
 
-    async def test_host_cut_off_from_the_store_honours_no_key_for_long(self):
-        """A key was taken away, and a host that did not hear of it still serves it."""
+    async def test_host_without_store_refuses_keys(self):
+        """Guards against a host without the store that goes on serving a revoked key."""
         replicas = services("s1")
         async with Site(replicas, [LOOKUP], boot_clock=self.clock) as site:
             site.store.faults.status = 503
@@ -326,13 +326,13 @@
                 self.assertEqual(answer.status, 503)
         self.assertEqual(replicas["reservas"][0].ran, [])
 
-    async def test_stream_goes_on_when_the_proof_grows_old_and_is_cut_if_it_breaks(
+    async def test_stream_that_breaks_with_stale_proof_is_cut(
         self,
     ):
-        """A caller's answer is followed by a refusal in the middle of its events.
+        """Guards against a refusal written into the events of an open stream.
 
-        The host was suspended while it passed a stream on. The engine broke off, and
-        the proof was too old to go on at another; the refusal went into the open answer.
+        The host is suspended while it forwards a stream. The engine breaks off, and the
+        proof of the declarations is too old to resume at another replica.
         """
         bad = Replica("bad", events=8)
         bad.behaviour = Behaviour.STOPS_MID_EVENT
@@ -349,7 +349,7 @@
 
 
 class StopTests(unittest.IsolatedAsyncioTestCase):
-    async def test_planned_stop_cuts_no_stream_and_answers_newcomers(self):
+    async def test_planned_stop_completes_streams_and_serves_new_requests(self):
         replicas = engines("e1", events=30)
         replicas["asistente"][0].event_ms = 20
         async with Site(replicas, [REPORT], hosts=2) as site:
@@ -363,12 +363,12 @@
             self.assertEqual(rest.count(b"data:"), 29)
             self.assertFalse(site.hosts[0].status.is_ready())
 
-    async def test_request_that_comes_late_in_a_stop_is_sent_elsewhere(self):
-        """A stream is cut in its middle by a planned stop.
+    async def test_late_request_during_stop_is_refused(self):
+        """Guards against a stream that a planned stop cuts.
 
-        Its caller had an older answer on which hosts to use, and sent on a connection
-        that it had kept, three seconds after the host was told to stop. The host took
-        the request, and was killed at the end of its time.
+        A caller with an outdated list of hosts sent a request on a kept connection, 3 s
+        after the host was told to stop. The host accepted it, and was killed at the end
+        of its stop period.
         """
         replicas = engines("e1")
         with unittest.mock.patch.object(process, "LISTEN_AFTER_STOP_MS", 100):
@@ -384,11 +384,11 @@
                     self.assertIn("Retry-After", late.headers)
         self.assertEqual(len(replicas["asistente"][0].ran), 1)
 
-    async def test_request_that_waits_for_a_place_is_refused_before_the_end(self):
-        """A caller's connection is closed without an answer by a planned stop.
+    async def test_queued_request_is_refused_before_stop_ends(self):
+        """Guards against a planned stop that closes connections without an answer.
 
-        All replicas are busy, and its request waits in the queue when the host is told
-        to stop. Nothing frees a place before the process ends.
+        All replicas are busy, and a request is queued when the host is told to stop. No
+        slot becomes free before the process ends.
         """
         replicas = {"reservas": [Replica("s1", slots=1)]}
         replicas["reservas"][0].behaviour = Behaviour.HANGS
@@ -397,10 +397,10 @@
         with unittest.mock.patch.object(process, "LISTEN_AFTER_STOP_MS", 100):
             async with Site(replicas, [slow], bounds=bounds) as site:
                 long = {"Deadline_Ms": "5000"}
-                first = asyncio.create_task(self.ask(site, "/check-free/1", **long))
+                first = asyncio.create_task(self.send(site, "/check-free/1", **long))
                 while not replicas["reservas"][0].ran:
                     await asyncio.sleep(0.01)
-                queued = asyncio.create_task(self.ask(site, "/check-free/2", **long))
+                queued = asyncio.create_task(self.send(site, "/check-free/2", **long))
                 await asyncio.sleep(0.1)
                 site.hosts[0].begin_drain()
                 status, headers = await queued
@@ -410,8 +410,8 @@
                 first.cancel()
                 await asyncio.gather(first, return_exceptions=True)
 
-    async def test_stream_that_pauses_late_in_a_stop_is_not_cut(self):
-        """A planned stop cuts a stream whose engine pauses, as no other is given."""
+    async def test_stream_with_gap_during_stop_is_not_cut(self):
+        """Guards against a stop that cuts a stream in a gap, when no grant is issued."""
         replicas = engines("e1", "e2", events=4)
         for engine in replicas["asistente"]:
             engine.event_ms = 600
@@ -430,27 +430,26 @@
             unittest.mock.patch.object(stream, "GAP_FACTOR", 0),
         ):
             async with Site(replicas, [resumable]) as site:
-                patient = {"Deadline_Ms": "9000"}
-                async with site.call("/conflict-report/1", **patient) as answer:
+                long_deadline = {"Deadline_Ms": "9000"}
+                async with site.call("/conflict-report/1", **long_deadline) as answer:
                     await answer.content.readuntil(b"\n\n")
                     site.hosts[0].begin_drain()
                     rest = await answer.content.read()
                 self.assertEqual(rest.count(b"data:"), 3)
 
-    async def test_process_ends_in_time_with_a_stream_still_open(self):
-        """A process outlasts its planned stop and is killed.
+    async def test_process_ends_in_time_with_open_stream(self):
+        """Guards against a process that exceeds its stop period and is killed.
 
-        A stream runs to the end of the stop. Closing the callers' connections waited
-        half a second more for it, and the rest of the process's end did not fit into
-        what was left.
+        A stream stays open to the end of the stop. Closing the callers' connections
+        waited another 0.5 s for it, which left too little time to end the process.
         """
         replicas = engines("e1", events=200)
         replicas["asistente"][0].event_ms = 50
         bounds = FleetBounds(stop_ms=1_500)
         with unittest.mock.patch.object(process, "LISTEN_AFTER_STOP_MS", 100):
             async with Site(replicas, [REPORT], bounds=bounds) as site:
-                patient = {"Deadline_Ms": "9000"}
-                async with site.call("/conflict-report/1", **patient) as answer:
+                long_deadline = {"Deadline_Ms": "9000"}
+                async with site.call("/conflict-report/1", **long_deadline) as answer:
                     await answer.content.readuntil(b"\n\n")
                     site.hosts[0].begin_drain()
                     await site.hosts[0].finished.wait()
@@ -459,7 +458,7 @@
                     with self.assertRaises(aiohttp.ClientPayloadError):
                         await answer.read()
 
-    async def ask(self, site, path, **headers):
+    async def send(self, site, path, **headers):
         async with site.call(path, **headers) as answer:
             await answer.read()
             return answer.status, answer.headers
--- a/libs/standins/src/hemlockhoist/standins/randomised/machine.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/machine.py
@@ -131,7 +131,7 @@
     @rule(index=_RECENT, answered=st.integers(0, 3))
     @step
     def end_sent(self, index, answered):
-        """End a sent call by its answer or, in one of four cases, a broken connection."""
+        """End a sent call by its answer or, in one of four cases, a connection loss."""
         number, call = self._pick(CallPhase.SENT, index)
         if not answered:
             self.tally.fault("upstream connection broke")
--- a/libs/standins/src/hemlockhoist/standins/randomised/tests/test_runner.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/tests/test_runner.py
@@ -23,7 +23,8 @@
     def test_fixed_queue_seeds_violate_nothing(self):
         """
         Seed 4: the home moves, two of three upstreams leave and the third fails. With
-        no free slot and requests queued, each new request failed with an internal error.
+        no free slot and queued requests, each new request failed with an internal
+        error.
         """
         for seed in QUEUE_SEEDS:
             with self.subTest(seed):
