--- a/libs/cli/src/hemlockhoist/cli/codes.py
+++ b/libs/cli/src/hemlockhoist/cli/codes.py
@@ -1,17 +1,17 @@
-"""``hemlockhoist codes``: the table of result codes."""
+"""The command ``hemlockhoist codes``, which shows the table of result codes."""
 
 import click
 
 from hemlockhoist.base import RESULTS
 from hemlockhoist.cli.options import json_option
-from hemlockhoist.cli.output import show
+from hemlockhoist.cli.output import print_output
 
 
 @click.command()
 @click.argument("number", type=int, required=False)
 @json_option
 def codes(number, as_json):
-    """Show the result codes, or the one with NUMBER."""
+    """Show all result codes, or the one with NUMBER."""
     rows = [
         {
             "code": int(row.code),
@@ -26,5 +26,5 @@
         if number is None or int(row.code) == number
     ]
     if not rows:
-        raise click.BadParameter(f"{number} is no result code", param_hint="NUMBER")
-    show(rows, as_json)
+        raise click.BadParameter(f"{number} is not a result code", param_hint="NUMBER")
+    print_output(rows, as_json)
--- a/libs/cli/src/hemlockhoist/cli/status.py
+++ b/libs/cli/src/hemlockhoist/cli/status.py
@@ -1,17 +1,17 @@
-"""``hemlockhoist status``: what a host knows of the fleet."""
+"""The command ``hemlockhoist status``, which shows the state of the fleet."""
 
 import click
 
-from hemlockhoist.cli.errors import reports_errors
-from hemlockhoist.cli.options import asks_a_host, host_options, json_option
-from hemlockhoist.cli.output import show
+from hemlockhoist.cli.errors import report_errors
+from hemlockhoist.cli.options import host_options, json_option, with_client
+from hemlockhoist.cli.output import print_output
 
 
 @click.command()
 @host_options
 @json_option
-@reports_errors
-@asks_a_host
+@report_errors
+@with_client
 async def status(client, as_json):
-    """Show hosts, upstreams, pools, tiers and leases, as one host sees them."""
-    show(await client.status(), as_json)
+    """Show hosts, upstreams, pools, tiers and leases as known to one host."""
+    print_output(await client.status(), as_json)
--- a/libs/host/src/hemlockhoist/host/chat.py
+++ b/libs/host/src/hemlockhoist/host/chat.py
@@ -11,7 +11,7 @@
     HemlockhoistError,
     ResultCode,
     get_logger,
-    info,
+    result_info,
 )
 from hemlockhoist.base.traces import Hop
 from hemlockhoist.decisions import OutcomeKind
@@ -138,7 +138,7 @@
             return await sink.finish()
         except CallerDisconnected:
             self._start_resume_wait(exchange.hold, work.request_id)
-            return web.Response(status=info(ResultCode.CANCELLED).http_status)
+            return web.Response(status=result_info(ResultCode.CANCELLED).http_status)
         except HemlockhoistError as error:
             if not sink.started:
                 raise
@@ -191,7 +191,7 @@
         except StreamHandedOver:
             return await sink.finish()
         except CallerDisconnected:
-            return web.Response(status=info(ResultCode.CANCELLED).http_status)
+            return web.Response(status=result_info(ResultCode.CANCELLED).http_status)
         except HemlockhoistError as error:
             if not sink.started:
                 raise
