--- a/libs/standins/src/hemlockhoist/standins/published/soak/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomised soak of the real program on the published protocol."""
+"""Randomised soak test of the real program on the published protocol."""
 
 from hemlockhoist.standins.published.soak.run import SoakResult, SoakRun
 
--- a/libs/standins/src/hemlockhoist/standins/published/soak/__main__.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak: ``python -m hemlockhoist.standins.published.soak --seed N``."""
+"""Run the soak test: ``python -m hemlockhoist.standins.published.soak --seed N``."""
 
 import asyncio
 import pathlib
@@ -10,8 +10,8 @@
 from hemlockhoist.standins.published.soak.run import SoakRun
 
 
-async def play(seed, seconds, folder):
-    """Play one seed and print its verdict; return whether it is green."""
+async def run_seed(seed, seconds, folder):
+    """Run one seed and print its result; return whether it is green."""
     run = SoakRun(seed, folder)
     result = await run.run(seconds)
     is_green = not result.violations
@@ -29,20 +29,22 @@
 
 @click.command()
 @click.option("--seed", default=1, help="First seed.")
-@click.option("--seeds", default=1, help="How many seeds are run in turn.")
-@click.option("--seconds", default=12.0, help="How long each seed is disturbed.")
+@click.option("--seeds", default=1, help="Number of consecutive seeds.")
+@click.option(
+    "--seconds", default=12.0, help="How long faults are injected for each seed."
+)
 @click.option("--logs", default=None, help="Folder that keeps the hosts' logs.")
 def main(seed, seeds, seconds, logs):
-    """Run entry hosts as processes under random faults, and judge what was seen."""
-    red = []
+    """Run entry hosts as processes under random faults, and check their answers."""
+    red_seeds = []
     for number in range(seed, seed + seeds):
         with tempfile.TemporaryDirectory() as scratch:
             folder = pathlib.Path(logs or scratch, f"seed-{number}")
             folder.mkdir(parents=True, exist_ok=True)
-            if not asyncio.run(play(number, seconds, folder)):
-                red.append(number)
-    click.echo(f"{seeds} seeds, {len(red)} red: {red}")
-    sys.exit(1 if red else 0)
+            if not asyncio.run(run_seed(number, seconds, folder)):
+                red_seeds.append(number)
+    click.echo(f"{seeds} seeds, {len(red_seeds)} red: {red_seeds}")
+    sys.exit(1 if red_seeds else 0)
 
 
 if __name__ == "__main__":
--- a/libs/standins/src/hemlockhoist/standins/published/soak/callers.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: what they sent, and what they saw."""
+"""Callers of the soak test, which record their requests and the answers."""
 
 import asyncio
 import itertools
@@ -10,10 +10,10 @@
 from hemlockhoist.base import MS_PER_S
 from hemlockhoist.standins.published.site import HOST_NAME
 
-PAUSE_S = 0.03
-# A caller goes away in the middle of its answer once in so many requests.
-LEAVES_EVERY = 25
-LEAVE_AFTER_S = 0.03
+MAX_REQUEST_GAP_S = 0.03
+# One in this many requests is abandoned by its caller before the answer is complete.
+DISCONNECT_EVERY = 25
+DISCONNECT_AFTER_S = 0.03
 
 
 class RequestKind(msgspec.Struct, frozen=True):
@@ -42,21 +42,21 @@
 
 
 class Call(msgspec.Struct):
-    """One request, and its end.
+    """A request and its outcome.
 
     Parameters
     ==========
     attempt_id, key, host : str
-    kind : Kind
+    kind : RequestKind
     sent_s, ended_s : float
-        On the run's clock; ``ended_s`` is 0 while it is under way.
+        On the clock of the event loop; ``ended_s`` is 0 while in progress.
     status : int
-        0 where no answer came.
+        0 without an answer.
     receipt, body : str and bytes
     is_complete : bool
-        Whether the answer ended as complete.
+        Whether the answer was received to its end.
     disconnects : bool
-        Whether its caller left early.
+        Whether the caller abandons the request early.
     """
 
     attempt_id: str
@@ -73,17 +73,18 @@
 
 
 class Callers:
-    """A few tasks that send requests one after the other.
+    """Tasks that send requests one after the other.
 
-    Open connections are used until they end, also to hosts that stop.
+    Connections are reused until they are closed, also those to stopping hosts.
 
     Parameters
     ==========
     hosts : callable
-        ``hosts()`` gives the addresses to send to.
+        ``hosts()`` returns the addresses to send to.
     keys : list of str
-        Those that may be used; taken-away ones are tried now and then as well.
+        The valid keys; one request in 5 uses a revoked key, if there is one.
     count : int
+        Number of tasks.
     rng : random.Random
     """
 
@@ -99,21 +100,23 @@
         self._tasks = []
 
     async def start(self):
-        """Begin to send."""
-        self._tasks = [asyncio.create_task(self._send_on()) for _ in range(self._count)]
+        """Start the tasks."""
+        self._tasks = [
+            asyncio.create_task(self._send_repeatedly()) for _ in range(self._count)
+        ]
 
     async def finish(self):
-        """Send no more, and wait for the last answers."""
+        """Stop sending, and wait for the last answers."""
         self._stopped = True
         await asyncio.gather(*self._tasks)
 
     async def close(self):
-        """End at once."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _send_on(self):
+    async def _send_repeatedly(self):
         rng = random.Random(self._rng.random())
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
@@ -121,7 +124,7 @@
         ) as session:
             while not self._stopped:
                 await self._send(session, rng)
-                await asyncio.sleep(PAUSE_S * rng.random())
+                await asyncio.sleep(MAX_REQUEST_GAP_S * rng.random())
 
     async def _send(self, session, rng):
         hosts = self._hosts()
@@ -136,10 +139,10 @@
             "Authorization": f"Bearer {call.key}",
         }
         url = f"http://{call.host}/{call.kind.path}/{call.attempt_id}"
-        limit_s = LEAVE_AFTER_S if call.disconnects else 10.0
+        timeout_s = DISCONNECT_AFTER_S if call.disconnects else 10.0
         try:
             async with (
-                asyncio.timeout(limit_s),
+                asyncio.timeout(timeout_s),
                 session.request(
                     call.kind.method, url, headers=headers, data=b"x" * 200
                 ) as answer,
@@ -149,7 +152,7 @@
                 call.body = await answer.read()
                 call.is_complete = True
         except (aiohttp.ClientError, TimeoutError, OSError):
-            # What such an end may mean is judged from what the replicas ran.
+            # The checks compare such an outcome with the requests that replicas ran.
             pass
         call.ended_s = now_s()
 
@@ -164,15 +167,15 @@
             key=rng.choice(keys),
             host=rng.choice(hosts),
             sent_s=now_s(),
-            disconnects=number % LEAVES_EVERY == 0,
+            disconnects=number % DISCONNECT_EVERY == 0,
         )
 
 
 def now_s():
-    """Return the run's clock."""
+    """Return the time on the clock of the event loop."""
     return asyncio.get_running_loop().time()
 
 
 def elapsed_ms(start_s, end_s):
-    """Return the milliseconds between two moments."""
+    """Return the milliseconds between two times in seconds."""
     return (end_s - start_s) * MS_PER_S
--- a/libs/standins/src/hemlockhoist/standins/published/soak/hosts.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Entry hosts as processes of their own, ended and paused from outside."""
+"""Entry hosts as separate processes, controlled by signals."""
 
 import asyncio
 import os
@@ -31,15 +31,15 @@
 
 
 class HostProcess:
-    """One entry host of the soak.
+    """An entry host process of the soak test.
 
     Parameters
     ==========
     number : int
-        Gives it a loopback address of its own, so that a restart finds its ports free.
+        Number of its own loopback address, so that its ports are free at a restart.
     store_address : str
     folder : pathlib.Path
-        For its settings and its log.
+        Folder for its settings and its log.
     bounds : dict
         ``revocation_ms`` and ``drain_ms``.
     """
@@ -49,8 +49,8 @@
         self.ip = f"127.0.7.{number + 1}"
         self.process = None
         self.is_paused = False
-        # When it was last disturbed; a started one needs a while as well.
-        self.stopping = False
+        # Whether the process was killed or told to stop, and not started again since.
+        self.is_stopping = False
         ports = _free_ports(self.ip, 3)
         self.address = f"{self.ip}:{ports[0]}"
         self.ready_address = f"{self.ip}:{ports[1]}"
@@ -71,11 +71,11 @@
 
     @property
     def is_running(self):
-        """Whether the process is there and has not been told to stop."""
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self):
-        """Start the process; it may still be loading when this returns."""
+        """Start the process, without waiting until it is ready."""
         environment = {
             **os.environ,
             "HEMLOCKHOIST_SETTINGS": str(self._settings_path),
@@ -90,31 +90,31 @@
                 stderr=log,
                 env=environment,
             )
-        self.is_paused = self.stopping = False
+        self.is_paused = self.is_stopping = False
 
     def send(self, number):
-        """Send a signal, where the process is still there."""
+        """Send a signal, if the process is running."""
         if self.is_running:
             self.process.send_signal(number)
 
     def pause(self):
-        """Freeze the process."""
+        """Suspend the process."""
         self.send(signal.SIGSTOP)
         self.is_paused = True
 
     def resume(self):
-        """Let a frozen process go on."""
+        """Resume the suspended process."""
         self.send(signal.SIGCONT)
         self.is_paused = False
 
     async def kill(self):
-        """End the process without notice."""
+        """Kill the process and wait for its end."""
         self.send(signal.SIGKILL)
         await self.process.wait()
 
     async def stop(self):
-        """Stop by plan, as the platform does; return whether it ended by itself."""
-        self.stopping = True
+        """Stop as the platform does; return whether the process ended by itself."""
+        self.is_stopping = True
         self.send(signal.SIGTERM)
         try:
             async with asyncio.timeout(STOP_MS / MS_PER_S):
@@ -125,13 +125,13 @@
         return True
 
     async def close(self):
-        """End the process at the end of the run."""
+        """Kill the process if it is still running."""
         if self.is_running:
             await self.kill()
 
 
 def _free_ports(ip, count):
-    """Return ports that are free now; another address of the loopback each host."""
+    """Return ports that are free now on a loopback address that only one host uses."""
     sockets = [socket.create_server((ip, 0)) for _ in range(count)]
     ports = [item.getsockname()[1] for item in sockets]
     for item in sockets:
--- a/libs/standins/src/hemlockhoist/standins/published/soak/proxy.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections go wrong as they are told."""
+"""A loopback proxy that injects faults into connections."""
 
 import asyncio
 import contextlib
@@ -14,18 +14,18 @@
 
 
 class Mode(enum.Enum):
-    """What happens to bytes on the way."""
+    """How the proxy treats the bytes of connections."""
 
     PASS = "pass"
-    # Nothing comes through and nobody is told, also on connections made meanwhile.
-    BLACKHOLE = "silent"
-    # Requests get there; answers do not come back.
-    BLACKHOLE_REPLIES = "one way"
+    # Nothing is forwarded, while connections stay open and new ones are accepted.
+    BLACKHOLE = "blackhole"
+    # Requests are forwarded; answers are not.
+    BLACKHOLE_REPLIES = "blackhole replies"
     REFUSE = "refuse"
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Parameters
     ==========
@@ -35,10 +35,10 @@
     Attributes
     ==========
     address : str
-        Where it listens.
+        Its listening address.
     mode : Mode
     delay_ms : int
-        Of each chunk, in both directions.
+        Delay of each chunk, in both directions.
     """
 
     def __init__(self, target):
@@ -51,7 +51,7 @@
         self._tasks = set()
 
     async def start(self):
-        """Listen on a port of the kernel's choice."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         ip, port = self._server.sockets[0].getsockname()
         self.address = f"{ip}:{port}"
@@ -65,7 +65,7 @@
         self.reset_all()
 
     def heal(self):
-        """Pass everything on; what was silent for good stays so."""
+        """Remove all faults; connections that were blocked stay blocked."""
         self.mode = Mode.PASS
         self.delay_ms = 0
 
@@ -81,34 +81,34 @@
         self._writers.add(writer)
         try:
             ip, _, port = self.target.rpartition(":")
-            there_reader, there = await asyncio.open_connection(ip, int(port))
+            target_reader, target_writer = await asyncio.open_connection(ip, int(port))
         except OSError:
             self._writers.discard(writer)
             _reset(writer)
             return
-        self._writers.add(there)
+        self._writers.add(target_writer)
         tasks = [
-            asyncio.create_task(self._pump(reader, there, Mode.BLACKHOLE)),
+            asyncio.create_task(self._forward(reader, target_writer, Mode.BLACKHOLE)),
             asyncio.create_task(
-                self._pump(there_reader, writer, Mode.BLACKHOLE_REPLIES)
+                self._forward(target_reader, writer, Mode.BLACKHOLE_REPLIES)
             ),
         ]
         self._tasks.update(tasks)
         await asyncio.gather(*tasks, return_exceptions=True)
         self._tasks.difference_update(tasks)
-        for side in (writer, there):
+        for side in (writer, target_writer):
             self._writers.discard(side)
             side.close()
 
-    async def _pump(self, reader, writer, stopped_by):
-        """Pass bytes on until either side ends, as the mode allows."""
+    async def _forward(self, reader, writer, blocking_mode):
+        """Forward bytes in one direction until a side closes or the mode blocks."""
         try:
             while chunk := await reader.read(CHUNK_BYTES):
                 if self.delay_ms:
                     await asyncio.sleep(self.delay_ms / MS_PER_S)
-                if self.mode in (Mode.BLACKHOLE, stopped_by):
-                    # Held for good: what was under way in a cut is lost with its
-                    # connection, which never ends by itself.
+                if self.mode in (Mode.BLACKHOLE, blocking_mode):
+                    # Blocked permanently: bytes in transit during a cut are lost with
+                    # their connection, which never closes by itself.
                     await asyncio.Event().wait()
                 writer.write(chunk)
                 await writer.drain()
@@ -119,9 +119,9 @@
 
 
 def _reset(writer):
-    found = writer.get_extra_info("socket")
-    # The other side may have closed it since.
+    sock = writer.get_extra_info("socket")
+    # The peer may have closed the connection meanwhile.
     with contextlib.suppress(OSError):
-        if found is not None:
-            found.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+        if sock is not None:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     writer.transport.abort()
--- a/libs/standins/src/hemlockhoist/standins/published/soak/run.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed's run: callers, faults, and the verdict."""
+"""The soak run of one seed: processes, callers, faults and the result."""
 
 import asyncio
 import contextlib
@@ -17,18 +17,23 @@
 from hemlockhoist.standins.published.soak.proxy import Proxy
 from hemlockhoist.standins.published.store import StoreStandin
 
-HOSTS = 3
-REPLICAS = 3
-CALLERS = 8
-EVENTS = 6
-KEYS = 12
+HOST_COUNT = 3
+REPLICA_COUNT = 3
+CALLER_COUNT = 8
+EVENT_COUNT = 6
+KEY_COUNT = 12
 REVOCATION_MS = 3_000
 DRAIN_MS = 2_000
-FAULT_PAUSE_S = (0.1, 0.9)
-# After the last fault: leases and pauses run out, and every host serves again.
-RECOVERY_LIMIT_S = 20.0
-# Lines that no run may write: an assertion of the program, or an error it did not expect.
-BAD_LINES = ("property_violated", "Traceback", "request_failed", "level=error")
+FAULT_INTERVAL_S = (0.1, 0.9)
+# Time after the last fault in which leases and backoffs expire and all hosts get ready.
+RECOVERY_TIMEOUT_S = 20.0
+# Texts of log lines that fail a run: violated invariants and unexpected errors.
+FORBIDDEN_LOG_TEXTS = (
+    "property_violated",
+    "Traceback",
+    "request_failed",
+    "level=error",
+)
 
 ROUTES = (
     route("check-free", "reservas", timeout_ms=1_000),
@@ -39,14 +44,15 @@
 
 
 class SoakResult(msgspec.Struct):
-    """What a run found.
+    """The result of a run.
 
     Parameters
     ==========
     violations : list of str
     check_counts, fault_counts : dict of str to int
-        How often each check was made, and each fault.
+        How often each check was made, and each fault injected.
     calls, served : int
+        Number of requests, and of those answered completely with status 200.
     """
 
     violations: list[str]
@@ -57,13 +63,13 @@
 
 
 class SoakRun:
-    """Starts the processes of one seed, disturbs and judges them.
+    """Starts the processes of one seed, injects faults and checks the outcome.
 
     Parameters
     ==========
     seed : int
     folder : pathlib.Path
-        For settings and logs.
+        Folder for settings and logs.
     """
 
     default_delay_ms = 15
@@ -78,49 +84,51 @@
         self._ended_replicas = []
         self._numbers = itertools.count(1)
         self._version = 0
-        self._keys = [f"key-{number}" for number in range(KEYS)]
+        self._keys = [f"key-{number}" for number in range(KEY_COUNT)]
         self._revoked = {}
-        self._closers = contextlib.AsyncExitStack()
-        self.callers = Callers(self._addresses, list(self._keys), CALLERS, self._rng)
+        self._exit_stack = contextlib.AsyncExitStack()
+        self.callers = Callers(
+            self._addresses, list(self._keys), CALLER_COUNT, self._rng
+        )
         self.faults = SoakFaults(self, self._rng)
 
     async def run(self, seconds):
-        """Play the seed; return the ``SoakResult``."""
-        async with self._closers:
+        """Run the seed, with faults for ``seconds``, and return the ``SoakResult``."""
+        async with self._exit_stack:
             await self._start()
             await self._open(self.callers)
             await asyncio.sleep(0.5)
-            await self.faults.disturb(seconds, FAULT_PAUSE_S)
+            await self.faults.inject(seconds, FAULT_INTERVAL_S)
             await self.faults.heal()
             recovered = await self._wait_ready()
             await asyncio.sleep(0.5)
             await self.callers.finish()
-            return self._judge(recovered)
+            return self._evaluate(recovered)
 
     async def _open(self, part):
         await part.start()
-        self._closers.push_async_callback(part.close)
+        self._exit_stack.push_async_callback(part.close)
         return part
 
     async def _start(self):
         await self._open(self.store)
-        for service, events in (("reservas", 0), ("asistente", EVENTS)):
-            for _ in range(REPLICAS):
+        for service, events in (("reservas", 0), ("asistente", EVENT_COUNT)):
+            for _ in range(REPLICA_COUNT):
                 await self._add_replica(service, events)
         await self.declare()
         bounds = {"revocation_ms": REVOCATION_MS, "drain_ms": DRAIN_MS}
-        for number in range(HOSTS):
+        for number in range(HOST_COUNT):
             proxy = await self._open(Proxy(self.store.address))
             self.store_proxies.append(proxy)
             host = HostProcess(number, proxy.address, self._folder, bounds)
             self.hosts.append(await self._open(host))
-        self._closers.push_async_callback(self.faults.close)
+        self._exit_stack.push_async_callback(self.faults.close)
         if not await self._wait_ready():
             raise TimeoutError("the hosts did not become ready")
 
     async def _wait_ready(self):
-        """Wait until all hosts serve; return whether they did."""
-        end_s = now_s() + max(RECOVERY_LIMIT_S, START_TIMEOUT_S)
+        """Wait until all hosts are ready; return whether they became so."""
+        end_s = now_s() + max(RECOVERY_TIMEOUT_S, START_TIMEOUT_S)
         while now_s() < end_s:
             ready = await asyncio.gather(*(_is_ready(host) for host in self.hosts))
             if all(ready):
@@ -134,11 +142,11 @@
     # Replicas.
 
     def live_replicas(self):
-        """Return the replicas that answer."""
+        """Return the replicas that have not ended."""
         return [replica for replica, _, _ in self._replicas.values()]
 
     def replica_proxies(self):
-        """Return the proxies before them."""
+        """Return the proxies in front of the replicas."""
         return [proxy for _, proxy, _ in self._replicas.values()]
 
     async def _add_replica(self, service, events, version="v1", target=None):
@@ -151,16 +159,16 @@
             proxy = await self._open(Proxy(replica.address))
         proxy.target = replica.address
         self._replicas[replica.replica_id] = (replica, proxy, (service, version))
-        await self._list(replica)
+        await self._register(replica)
 
-    async def _list(self, replica, **fields):
+    async def _register(self, replica, **fields):
         _, proxy, (service, version) = self._replicas[replica.replica_id]
         row = replica.row(service, version=version, **fields)
         row["address"] = proxy.address
         await self.store.put("servers", replica.replica_id, row)
 
     async def replace_replica(self, replica, pause_s):
-        """End a replica; another one begins where it was, before the list says so."""
+        """End a replica and start another at its address, before the list shows it."""
         entry = self._replicas.pop(replica.replica_id, None)
         if entry is None:
             return
@@ -173,10 +181,10 @@
         await self.store.put("servers", replica.replica_id, None)
 
     async def drain_replica(self, replica):
-        """Let a replica leave as its page says, and another take its place."""
+        """Drain a replica as the protocol prescribes, and start another one."""
         if replica.replica_id not in self._replicas:
             return
-        await self._list(replica, state="draining")
+        await self._register(replica, state="draining")
         service, version = self._replicas[replica.replica_id][2]
         await self._add_replica(service, replica.events, version)
         await asyncio.sleep(DRAIN_MS / 1_000 + 1.0)
@@ -187,7 +195,7 @@
     # Operators.
 
     async def declare(self):
-        """Write a newer version of the routes, with the keys that are left."""
+        """Write a new version of the declarations, without the revoked keys."""
         self._version += self._rng.randint(1, 4)
         added = route(f"added-{self._version}", "reservas")
         tenants = [
@@ -211,39 +219,41 @@
         return f"customer-of-{key}"
 
     async def revoke_key(self):
-        """Take one key away, and go on sending with it."""
-        left = self.callers.keys
-        if len(left) <= KEYS // 2:
+        """Revoke a key, with which callers go on sending."""
+        valid_keys = self.callers.keys
+        if len(valid_keys) <= KEY_COUNT // 2:
             return
-        key = self._rng.choice(left)
-        left.remove(key)
-        # Noted before the store has confirmed: no later than that.
+        key = self._rng.choice(valid_keys)
+        valid_keys.remove(key)
+        # A time no later than the confirmation by the store, replaced after it.
         self._revoked[key] = now_s()
         await self.declare()
         self._revoked[key] = now_s()
         self.callers.revoked_keys.append(key)
 
     async def order_rollout(self):
-        """Order the bookings' service to move to a version that two replicas have."""
+        """Order the move of the booking service to a version with two replicas."""
         version = f"v{next(self._numbers)}"
         for _ in range(2):
             await self._add_replica("reservas", 0, version)
         body = {"service": "reservas", "target": version, "duration_s": 6}
         await self.store.put("op", "rollout/reservas", body)
 
-    # The verdict.
+    # The result.
 
-    def _judge(self, recovered):
+    def _evaluate(self, recovered):
         replicas = [*self.live_replicas(), *self._ended_replicas]
-        checker = RunChecker(self.callers.calls, replicas, EVENTS)
+        checker = RunChecker(self.callers.calls, replicas, EVENT_COUNT)
         tenants = {key: self._tenant(key) for key in self._keys}
         faults = self.faults
         checker.check(
             self._revoked, REVOCATION_MS, tenants, faults.stops, faults.disturbances
         )
         if not recovered:
-            checker.violations.append("a host was not ready after all was healed")
-        checker.violations += self._bad_lines()
+            checker.violations.append(
+                "a host was not ready after all faults were removed"
+            )
+        checker.violations += self._forbidden_lines()
         calls = self.callers.calls
         served = sum(call.status == 200 and call.is_complete for call in calls)
         return SoakResult(
@@ -254,13 +264,13 @@
             served=served,
         )
 
-    def _bad_lines(self):
-        found = []
+    def _forbidden_lines(self):
+        lines = []
         for host in self.hosts:
             for line in host.log_path.read_text(errors="replace").splitlines():
-                if any(text in line for text in BAD_LINES):
-                    found.append(f"log of {host.name}: {line[:300]}")
-        return found
+                if any(text in line for text in FORBIDDEN_LOG_TEXTS):
+                    lines.append(f"log of {host.name}: {line[:300]}")
+        return lines
 
 
 async def _is_ready(host):
--- a/libs/standins/src/hemlockhoist/standins/published/soak/tests/test_checks.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/tests/test_checks.py
@@ -6,7 +6,7 @@
 
 LOOKUP, BOOKING, REPORT, _ = REQUEST_KINDS
 EVENTS = 2
-WHOLE_STREAM = b"id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"
+COMPLETE_STREAM = b"id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"
 TENANTS = {"k1": "t1"}
 
 
@@ -22,76 +22,95 @@
     return Call(attempt_id="c1", kind=kind, key="k1", host="h", **{**values, **fields})
 
 
-def replica(*runs):
-    found = Replica("i-1")
-    for fields in runs:
+def replica(*executions):
+    instance = Replica("i-1")
+    for fields in executions:
         headers = {
             "attempt-id": "c1",
             "tenant": "t1",
             "expected-instance": "i-1",
             **fields,
         }
-        seen = ReceivedRequest("GET", "/check-free/c1", headers, b"", replica_id="i-1")
-        found.ran.append(seen)
-    return found
+        received = ReceivedRequest(
+            "GET", "/check-free/c1", headers, b"", replica_id="i-1"
+        )
+        instance.ran.append(received)
+    return instance
 
 
 class RunCheckerTests(unittest.TestCase):
-    """A check that can not fail shows nothing: each is met by what it looks for."""
+    """Each check is given a record that violates it, so that none passes trivially."""
 
-    def found(self, one_call, *runs, revoked=(), stops=(), disturbances=()):
-        checker = RunChecker([one_call], [replica(*runs)], EVENTS)
+    def violations_of(
+        self, one_call, *executions, revoked=(), stops=(), disturbances=()
+    ):
+        checker = RunChecker([one_call], [replica(*executions)], EVENTS)
         checker.check(dict(revoked), 3_000, TENANTS, stops, disturbances)
         return [text.partition(":")[0] for text in checker.violations]
 
-    def test_good_requests_are_no_findings(self):
-        self.assertEqual(self.found(call(), {}), [])
-        self.assertEqual(self.found(call(BOOKING), {}), [])
-        stream = call(REPORT, body=WHOLE_STREAM)
-        self.assertEqual(self.found(stream, {}), [])
+    def test_correct_requests_are_no_violations(self):
+        self.assertEqual(self.violations_of(call(), {}), [])
+        self.assertEqual(self.violations_of(call(BOOKING), {}), [])
+        stream = call(REPORT, body=COMPLETE_STREAM)
+        self.assertEqual(self.violations_of(stream, {}), [])
         refused = call(BOOKING, status=503, receipt="", body=b"")
-        self.assertEqual(self.found(refused), [])
+        self.assertEqual(self.violations_of(refused), [])
 
     def test_booking_that_ran_twice(self):
-        self.assertEqual(self.found(call(BOOKING), {}, {}), ["ran more than once"])
-        self.assertEqual(self.found(call(LOOKUP), {}, {}), [])
+        self.assertEqual(
+            self.violations_of(call(BOOKING), {}, {}), ["ran more than once"]
+        )
+        self.assertEqual(self.violations_of(call(LOOKUP), {}, {}), [])
 
-    def test_refusal_that_is_not_true(self):
+    def test_refused_request_that_ran(self):
         refused = call(BOOKING, status=503, receipt="", body=b"")
-        self.assertEqual(self.found(refused, {}), ["answered 503, and ran"])
+        self.assertEqual(self.violations_of(refused, {}), ["answered 503, and ran"])
 
-    def test_request_that_nobody_sent(self):
-        found = self.found(call(), {"attempt-id": "c9"})
-        self.assertIn("a request ran that nobody sent", found)
+    def test_execution_without_request(self):
+        violations = self.violations_of(call(), {"attempt-id": "c9"})
+        self.assertIn("ran a request that no caller sent", violations)
 
-    def test_wrong_customer_key_and_run(self):
-        self.assertEqual(self.found(call(), {"tenant": "t2"}), ["another customer"])
-        found = self.found(call(), {"authorization": "Bearer k1"})
-        self.assertEqual(found, ["the key was passed on"])
-        found = self.found(call(), {"expected-instance": "i-2"})
-        self.assertEqual(found, ["ran at another run"])
+    def test_wrong_customer_key_or_instance(self):
+        self.assertEqual(
+            self.violations_of(call(), {"tenant": "t2"}),
+            ["attributed to another customer"],
+        )
+        violations = self.violations_of(call(), {"authorization": "Bearer k1"})
+        self.assertEqual(violations, ["API key forwarded to a replica"])
+        violations = self.violations_of(call(), {"expected-instance": "i-2"})
+        self.assertEqual(violations, ["ran at an unexpected instance"])
 
-    def test_key_that_was_taken_away(self):
+    def test_revoked_key(self):
         late = call(sent_s=5.0)
-        found = self.found(late, {}, revoked={"k1": 1.0})
-        self.assertEqual(found, ["sent 4000 ms after its key was taken away, and ran"])
-        self.assertEqual(self.found(call(sent_s=3.5), {}, revoked={"k1": 1.0}), [])
+        violations = self.violations_of(late, {}, revoked={"k1": 1.0})
+        self.assertEqual(
+            violations, ["sent 4000 ms after its key was revoked, and ran"]
+        )
+        self.assertEqual(
+            self.violations_of(call(sent_s=3.5), {}, revoked={"k1": 1.0}), []
+        )
 
-    def test_success_of_another(self):
+    def test_answer_of_another_request(self):
+        self.assertEqual(
+            self.violations_of(call(receipt="receipt-of-i-7"), {}),
+            ["success without a valid receipt"],
+        )
         self.assertEqual(
-            self.found(call(receipt="receipt-of-i-7"), {}),
-            ["a success without its receipt"],
+            self.violations_of(call(body=b"else"), {}), ["answer of another request"]
         )
-        self.assertEqual(self.found(call(body=b"else"), {}), ["another's answer"])
 
-    def test_stream_that_only_looks_whole(self):
-        broken = call(REPORT, body=WHOLE_STREAM[:20])
-        self.assertEqual(self.found(broken, {}), ["a stream looks whole and is not"])
+    def test_incomplete_stream(self):
+        broken = call(REPORT, body=COMPLETE_STREAM[:20])
+        self.assertEqual(
+            self.violations_of(broken, {}), ["incomplete stream delivered as complete"]
+        )
 
-    def test_answer_that_a_planned_stop_cut(self):
+    def test_answer_cut_by_planned_stop(self):
         cut = call(status=0, is_complete=False, receipt="", body=b"", sent_s=1.0)
         stop = ("h", 0.5, 3.0)
-        self.assertEqual(self.found(cut, {}, stops=[stop]), ["cut by a planned stop"])
         self.assertEqual(
-            self.found(cut, {}, stops=[stop], disturbances=[(2.0, 2.5)]), []
+            self.violations_of(cut, {}, stops=[stop]), ["cut by a planned stop"]
+        )
+        self.assertEqual(
+            self.violations_of(cut, {}, stops=[stop], disturbances=[(2.0, 2.5)]), []
         )
--- a/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
+++ b/libs/standins/src/hemlockhoist/standins/published/tests/test_site.py
@@ -200,7 +200,7 @@
         self.row = StoreRow(key="gone", value=None, version=listed.listed_version + 50)
 
     async def test_caller_is_served_and_home_adopts_newer_list(self):
-        """Guards against refusals, with free upstreams, until the home is up to date."""
+        """Guards against refusals with free upstreams until the home is up to date."""
         reading = Reading(
             rows=(self.row,), version=self.row.version, store_ms=0, sent_ms=0
         )
@@ -314,7 +314,7 @@
         self.clock = SkippingClock()
 
     async def test_host_without_store_refuses_keys(self):
-        """Guards against a host without the store that goes on serving a revoked key."""
+        """Guards against a host without the store that keeps serving a revoked key."""
         replicas = services("s1")
         async with Site(replicas, [LOOKUP], boot_clock=self.clock) as site:
             site.store.faults.status = 503
@@ -411,7 +411,7 @@
                 await asyncio.gather(first, return_exceptions=True)
 
     async def test_stream_with_gap_during_stop_is_not_cut(self):
-        """Guards against a stop that cuts a stream in a gap, when no grant is issued."""
+        """Guards against a stop that cuts a stream in a gap, as no grant is issued."""
         replicas = engines("e1", "e2", events=4)
         for engine in replicas["asistente"]:
             engine.event_ms = 600
--- a/libs/standins/src/hemlockhoist/standins/randomised/machine.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/machine.py
@@ -305,17 +305,17 @@
         calls = self._calls(phase)
         return calls[index % len(calls)]
 
-    def _check_stop(self, leaver):
+    def _check_stop(self, stopping_host):
         """Check that a planned stop cut no call and handed over all answers."""
-        in_progress = leaver.ledger.in_progress_count
-        detail = f"{leaver.address} stopped with {in_progress} calls in progress"
+        in_progress = stopping_host.ledger.in_progress_count
+        detail = f"{stopping_host.address} stopped with {in_progress} calls in progress"
         self.check(Property.PLANNED_STOP_CUTS_NOTHING, in_progress == 0, detail)
         for host in self.fleet.hosts.values():
-            if host.member.incarnation == leaver.successor:
-                self._check_records(leaver, host)
+            if host.member.incarnation == stopping_host.successor:
+                self._check_records(stopping_host, host)
 
-    def _check_records(self, leaver, successor):
-        for record in leaver.ledger.table:
+    def _check_records(self, stopping_host, successor):
+        for record in stopping_host.ledger.table:
             # After the retention period the successor may have dropped a key that the
             # leaving host, which learned of it later, still has.
             age_ms = self.fleet.now_ms - self.minted_ms[record.key.text]
@@ -323,5 +323,5 @@
                 continue
             kept = successor.ledger.table.get(record.customer, record.key.text)
             settled = kept is not None and kept.state is RecordState.DONE
-            detail = f"{record.key.text}, answered at {leaver.address}, is lost"
+            detail = f"{record.key.text}, answered at {stopping_host.address}, is lost"
             self.check(Property.PLANNED_STOP_CUTS_NOTHING, settled, detail)
