--- a/libs/standins/src/hemlockhoist/standins/measure/runs.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/runs.py
@@ -1,4 +1,4 @@
-"""Runs of load × policy × seed, several processes side by side."""
+"""Runs of load × policy × seed on a pool of worker processes."""
 
 import concurrent.futures
 import multiprocessing
@@ -9,19 +9,20 @@
 from hemlockhoist.decisions.scheduling import PoolScheduler
 from hemlockhoist.declarations import Pool, PoolKind
 from hemlockhoist.standins.measure.baselines import (
-    FirstComeRoundRobin,
+    FifoRoundRobin,
     LeastConnections,
-    RandomOfTwo,
+    PowerOfTwoChoices,
 )
-from hemlockhoist.standins.measure.first_policy import FirstPolicy
-from hemlockhoist.standins.measure.loads import build
+from hemlockhoist.standins.measure.fifo_policy import FifoPolicy
+from hemlockhoist.standins.measure.loads import build_load
 from hemlockhoist.standins.measure.results import summarise
 from hemlockhoist.standins.measure.simulation import Simulation
 
-# The declared bound; the scheduler has to find each engine's own knee below it.
+# Declared limit; the scheduler has to find the saturation point of each engine below
+# it.
 MAX_IN_FLIGHT = 64
-# Baselines with a fixed limit get the default of the declarations.
-FIXED_LIMIT = 32
+# Default of the declarations, for baselines with a fixed concurrency limit.
+FIXED_CONCURRENCY_LIMIT = 32
 WORKERS = 4
 
 
@@ -39,13 +40,19 @@
     return PoolScheduler.from_config(_pool(MAX_IN_FLIGHT), tiers, "m", invariants=log)
 
 
-class LateFirstTokens:
-    """The scheduler, told of first tokens only with the outcome.
+class NoFirstTokenReports:
+    """Scheduler that learns the time of the first token only with the outcome.
 
-    Shows what the earlier message is worth.
+    Comparing it with the full scheduler shows the benefit of first token reports.
     """
 
-    __slots__ = ("release", "set_upstreams", "observe_load", "submit", "tick")
+    __slots__ = (
+        "observe_load",
+        "release",
+        "set_upstreams",
+        "submit",
+        "tick",
+    )
 
     def __init__(self, scheduler):
         self.release = scheduler.release
@@ -56,18 +63,24 @@
 
 
 POLICIES = {
-    "round robin": lambda tiers: FirstComeRoundRobin(_pool(FIXED_LIMIT), tiers),
-    "random of two": lambda tiers: RandomOfTwo(_pool(FIXED_LIMIT), tiers),
-    "least connections": lambda tiers: LeastConnections(_pool(FIXED_LIMIT), tiers),
-    "first policy": lambda tiers: FirstPolicy.from_config(_pool(FIXED_LIMIT), tiers),
-    "scheduler, late": lambda tiers: LateFirstTokens(_scheduler(tiers)),
+    "round robin": lambda tiers: FifoRoundRobin(_pool(FIXED_CONCURRENCY_LIMIT), tiers),
+    "random of two": lambda tiers: PowerOfTwoChoices(
+        _pool(FIXED_CONCURRENCY_LIMIT), tiers
+    ),
+    "least connections": lambda tiers: LeastConnections(
+        _pool(FIXED_CONCURRENCY_LIMIT), tiers
+    ),
+    "first policy": lambda tiers: FifoPolicy.from_config(
+        _pool(FIXED_CONCURRENCY_LIMIT), tiers
+    ),
+    "scheduler, late": lambda tiers: NoFirstTokenReports(_scheduler(tiers)),
     "scheduler": _scheduler,
 }
-PRODUCT = "scheduler"
+PRODUCT_POLICY = "scheduler"
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """What to run: load, deployment, policy and seed."""
+    """Load, deployment, policy and seed of one run."""
 
     load: str
     deployment: object
@@ -76,14 +89,14 @@
 
 
 def execute(run):
-    """Run one combination and return its ``RunResult``."""
-    load = build(run.load, run.deployment, run.seed)
+    """Execute a run and return its ``RunResult``."""
+    load = build_load(run.load, run.deployment, run.seed)
     policy = POLICIES[run.policy](load.tiers)
     return summarise(load, Simulation(load, policy).run())
 
 
 def execute_all(runs, workers=WORKERS):
-    """Run all combinations; return the results in the same order."""
+    """Execute all runs; return the results in the same order."""
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(workers, mp_context=context) as pool:
         return list(pool.map(execute, runs, chunksize=1))
