--- a/libs/standins/src/hemlockhoist/standins/published/soak/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/published/soak/faults.py
@@ -7,7 +7,7 @@
 from hemlockhoist.standins.published.soak.callers import now_s
 from hemlockhoist.standins.published.soak.proxy import Mode
 
-# The effects of a fault, such as the loss of a host, last up to this long after its end.
+# The effects of a fault, such as a lost host, last up to this long after its end.
 SETTLE_S = 2.0
 _FAULTY_BEHAVIOURS = (
     Behaviour.FAILS,
