--- a/libs/standins/src/hemlockhoist/standins/randomised/world.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""The hosts, the links between them, the store and the service, and the time."""
+"""A simulated fleet: hosts, the links between them, a store, a service and a clock."""
 
 from hemlockhoist.base import Property
 from hemlockhoist.decisions.membership import ListedHost
@@ -13,8 +13,8 @@
 STEP_MS = 500
 
 
-class World:
-    """Everything that one example runs on.
+class SimulatedFleet:
+    """The simulated system under test of one example.
 
     Parameters
     ==========
@@ -22,11 +22,11 @@
     """
 
     __slots__ = (
-        "contents",
+        "declarations_by_version",
         "hosts",
+        "incarnation_count",
         "link",
         "now_ms",
-        "runs",
         "service",
         "store",
         "tally",
@@ -39,44 +39,44 @@
         self.store = FaultyTable()
         self.service = CountingService(tally)
         self.hosts = {}
-        self.runs = 0
-        self.contents = {}
+        self.incarnation_count = 0
+        self.declarations_by_version = {}
         for number in range(HOSTS):
             self.start(number)
         self.advance(2_000)
 
     def start(self, number):
-        """Start a host process, at the address of its number."""
-        self.runs += 1
+        """Start host ``number`` as a new incarnation, and return it."""
+        self.incarnation_count += 1
         member = Member(
             address=f"h{number}",
-            incarnation=f"h{number}-{self.runs}",
-            started_unix_ms=self.runs,
+            incarnation=f"h{number}-{self.incarnation_count}",
+            started_unix_ms=self.incarnation_count,
             caller_address=f"c{number}",
             failure_domain=f"d{number % 2}",
         )
-        host = SoakHost(member, self.tally, self.service, self.runs)
+        host = SoakHost(member, self.tally, self.service, self.incarnation_count)
         listed = [ListedHost(address=f"h{n}") for n in range(HOSTS)]
         host.membership.set_list(listed, self.now_ms)
         self.hosts[number] = host
         return host
 
-    def awake(self):
-        """Return the hosts that run."""
+    def running_hosts(self):
+        """Return the hosts whose processes are not frozen."""
         return [host for host in self.hosts.values() if not host.is_frozen]
 
     def send(self, host, outgoing):
-        """Put a host's messages on their way, and deliver what arrives at once."""
+        """Send a host's messages, and deliver those that are due now."""
         for item in outgoing:
             self.link.send(host.address, item.address, item.message, self.now_ms)
         self.deliver()
 
     def deliver(self):
-        """Deliver what has arrived; a frozen host's messages wait in its socket."""
+        """Deliver the messages that are due; those of a frozen host stay queued."""
         waiting = []
         while due := self.link.take_due(self.now_ms):
             for item in due:
-                host = self._find(item[2])
+                host = self._host_at(item[2])
                 if host is None:
                     continue
                 if host.is_frozen:
@@ -89,37 +89,39 @@
         self.link.messages += waiting
 
     def advance(self, duration_ms):
-        """Let time pass; hosts that run do what is due."""
+        """Advance the clock by ``duration_ms`` in steps, ticking the running hosts."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms = min(end_ms, self.now_ms + STEP_MS)
             self.deliver()
-            for host in self.awake():
+            for host in self.running_hosts():
                 self.send(host, host.tick(self.now_ms))
                 self._read_store(host)
                 self.check_serving(host)
 
     def check_serving(self, host):
-        """Have a host serve, and compare with all that was served before."""
+        """Check that a host serves the same content of a version as all before."""
         declarations = host.serve(self.now_ms)
         if declarations is None:
             return
-        known = self.contents.setdefault(declarations.version, declarations)
+        known = self.declarations_by_version.setdefault(
+            declarations.version, declarations
+        )
         self.tally.invariants.check(
             Property.CONFIGURATION_NEVER_REVERTS,
             known == declarations,
-            f"{host.address} serves another content of {declarations.version}",
+            f"{host.address} serves different content of {declarations.version}",
         )
 
     def freeze(self, host):
-        """Stop a host process without ending it."""
+        """Suspend a host process without ending it."""
         host.is_frozen = True
 
-    def wake(self, host):
-        """Let a frozen process go on where it stood."""
+    def resume(self, host):
+        """Resume a frozen process at the point where it was suspended."""
         host.is_frozen = False
         for call in host.calls:
-            if call.phase is CallPhase.STUCK:
+            if call.phase is CallPhase.DISPATCHED:
                 host.send(call)
         self.check_serving(host)
         self.deliver()
@@ -133,7 +135,7 @@
         else:
             self.send(host, host.configuration.on_store_answer(row, self.now_ms))
 
-    def _find(self, address):
+    def _host_at(self, address):
         for host in self.hosts.values():
             if host.address == address:
                 return host
