--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -41,7 +41,7 @@
 MAX_RESPONSE_BYTES = 8_388_608
 _OK = 200
 _SERVER_ERROR = 500
-# Prefix of the incarnation in attempt ids; long enough to tell a fleet's hosts apart.
+# Prefix of the incarnation in attempt ids; long enough to distinguish a fleet's hosts.
 INCARNATION_DIGITS = 6
 # Retry-After of requests that are refused as no upstream responded.
 RETRY_AFTER_MS = 300
--- a/libs/entry/src/hemlockhoist/entry/gate.py
+++ b/libs/entry/src/hemlockhoist/entry/gate.py
@@ -84,7 +84,7 @@
         self.on_takeover_begun()
 
     def on_usage_report(self, host, held, now_ms):
-        """Count usage granted by the former home, as reported by a host."""
+        """Count usage granted by the previous home, as reported by a host."""
         self.quotas.add_reported((held.incarnation, held.pool), held.usage, now_ms)
         if self._coverage is not None:
             self._coverage.record_report(host, held.up_ms)
@@ -96,7 +96,7 @@
 
         Failure prevented: a sixth of the hosts lose power, the home among them. The
         usage of their requests is reported by no host, and a customer at its bound is
-        granted as much again. The usage record of the former home contains it.
+        granted as much again. The usage record of the previous home contains it.
         """
         coverage = self._coverage
         return coverage is not None and coverage.unknown().fraction > 0
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -222,7 +222,7 @@
         """Start an order's move, or report its state to the operators.
 
         Failure prevented: a host becomes home just after the end of a move, and knows
-        only an earlier announcement of the former home. Operators to whom the end was
+        only an earlier announcement of the previous home. Operators to whom the end was
         reported would then be informed that the move is in progress. The store is
         therefore read before the first report.
         """
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -420,10 +420,8 @@
 
 
 async def _main(settings, make_platform, listener, writer):
-    rate_limiter = LogRateLimiter(Clock.from_running_loop().now_ms)
-    configure_logs(
-        "info", writer, rate_limiter, {"host": settings.name}, cache_loggers=True
-    )
+    limiter = LogRateLimiter(Clock.from_running_loop().now_ms)
+    configure_logs("info", writer, limiter, {"host": settings.name}, cache_loggers=True)
     boot_clock = SuspendAwareClock.from_system()
     platform = make_platform(settings, boot_clock)
     host = EntryProcess(settings, platform, boot_clock, listener)
@@ -435,7 +433,7 @@
         await host.start()
         report = PeriodicTask(
             DROPPED_REPORT_INTERVAL_MS,
-            lambda: _report_dropped_lines(rate_limiter, writer, host.context.metrics),
+            lambda: _report_dropped_lines(limiter, writer, host.context.metrics),
         )
         await report.start()
         await host.finished.wait()
@@ -444,12 +442,12 @@
         await host.close()
 
 
-def _report_dropped_lines(rate_limiter, writer, metrics):
+def _report_dropped_lines(limiter, writer, metrics):
     """Report the number of dropped log lines, so that a gap is visible as such."""
-    by_event, unread_count = rate_limiter.take_dropped_by_event(), writer.take_dropped()
-    if by_event or unread_count:
-        metrics.count(LOG_LINES_DROPPED, value=sum(by_event.values()) + unread_count)
-        _log.warning("lines_left_out", **by_event, unread=unread_count)
+    dropped_by_event, dropped = limiter.take_dropped_by_event(), writer.take_dropped()
+    if dropped_by_event or dropped:
+        metrics.count(LOG_LINES_DROPPED, value=sum(dropped_by_event.values()) + dropped)
+        _log.warning("lines_left_out", **dropped_by_event, unread=dropped)
 
 
 def run(settings, make_platform, listener=None):
--- a/libs/upstreams/src/hemlockhoist/upstreams/client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/client.py
@@ -320,10 +320,7 @@
 
 
 async def cancel_stream(client, address, request_id):
-    """Request an engine to stop an abandoned stream; failures of this are ignored.
-
-    If the request fails, the stream ends at the engine by a timeout.
-    """
+    """Cancel an abandoned stream at its engine; if that fails, it times out there."""
     call = UpstreamCall(
         address=address,
         method="DELETE",
