--- a/libs/cli/src/hemlockhoist/cli/move.py
+++ b/libs/cli/src/hemlockhoist/cli/move.py
@@ -121,7 +121,7 @@
 @report_errors
 @with_client
 async def cancel(client, move_id, reason, author, as_json):
-    """Cancel the move with MOVE_ID, and return all traffic to the former version."""
+    """Cancel the move with MOVE_ID, and return all traffic to the previous version."""
     move_view = await client.cancel_move(move_id, reason, author)
     print_output(move_view, as_json, describe_move(move_view))
 
