--- a/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/backoff.py
@@ -38,7 +38,7 @@
         """Count a first attempt."""
         self._refill(self._share_permille, now_ms)
 
-    def try_retry(self, now_ms):
+    def acquire(self, now_ms):
         """Return whether a retry is allowed; if so, consume it."""
         self._refill(0, now_ms)
         if self._tokens < _TOKENS_PER_RETRY:
@@ -102,7 +102,7 @@
     def on_failure(self, now_ms):
         """Schedule the next read after a longer random delay."""
         self._failures = min(_MAX_DOUBLINGS, self._failures + 1)
-        if not self._budget.try_retry(now_ms):
+        if not self._budget.acquire(now_ms):
             self._failures = _MAX_DOUBLINGS
         self._due_ms = now_ms + self._delay_ms()
 
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
@@ -35,7 +35,7 @@
 ACK_INTERVAL_MS = 15_000
 # A host that was not scheduled for this long may have missed a change that came into
 # force everywhere before it resumed.
-FROZEN_MS = 5_000
+SUSPENSION_LIMIT_MS = 5_000
 # How long such a host waits for a peer's confirmation. Without one it then serves the
 # version that it has.
 CONFIRM_TIMEOUT_MS = 3_000
@@ -340,7 +340,11 @@
 
     def _is_frozen(self, now_ms):
         last_ms = self._last_tick_ms
-        return last_ms is not None and now_ms - last_ms >= FROZEN_MS and self._peers
+        return (
+            last_ms is not None
+            and now_ms - last_ms >= SUSPENSION_LIMIT_MS
+            and self._peers
+        )
 
     def _record_tick(self, now_ms):
         last_ms = self._last_tick_ms
@@ -348,7 +352,7 @@
         if last_ms is None:
             self._digest_due_ms = now_ms + self._rng.randrange(DIGEST_INTERVAL_MS)
             return not self.version
-        if now_ms - last_ms < FROZEN_MS or not self._peers:
+        if now_ms - last_ms < SUSPENSION_LIMIT_MS or not self._peers:
             return False
         # A host may be frozen while a change comes into force "everywhere". If it
         # resumed under the old version, the change would revert for some callers. It
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
@@ -33,12 +33,12 @@
     def test_budget_bounds_retries(self):
         """A hundred first attempts allow ten retries; elapsed time allows more."""
         budget = RetryBudget(share_permille=100, max_retries=5, refill_ms=10_000)
-        while budget.try_retry(0):
+        while budget.acquire(0):
             pass
         retries = 0
         for _ in range(100):
             budget.on_attempt(0)
-            retries += budget.try_retry(0)
+            retries += budget.acquire(0)
         self.assertEqual(retries, 10)
-        self.assertFalse(budget.try_retry(5_000))
-        self.assertTrue(budget.try_retry(15_000))
+        self.assertFalse(budget.acquire(5_000))
+        self.assertTrue(budget.acquire(15_000))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/__init__.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/__init__.py
@@ -4,12 +4,12 @@
 from hemlockhoist.decisions.entry.copies import TableCopy
 from hemlockhoist.decisions.entry.evacuation import DomainOrder, EvacuatedDomains
 from hemlockhoist.decisions.entry.freshness import Freshness
-from hemlockhoist.decisions.entry.halted import HaltedVersions
+from hemlockhoist.decisions.entry.halted import HaltedOrders
 from hemlockhoist.decisions.entry.listing import UpstreamListing
 from hemlockhoist.decisions.entry.locality import nearby_members
 from hemlockhoist.decisions.entry.move_orders import (
     MoveOrder,
-    OrderState,
+    MoveOrderState,
     WithheldVersionPolicy,
     live_versions,
     order_state,
@@ -31,10 +31,10 @@
     "DomainOrder",
     "EvacuatedDomains",
     "Freshness",
-    "HaltedVersions",
+    "HaltedOrders",
     "WithheldVersionPolicy",
     "MoveOrder",
-    "OrderState",
+    "MoveOrderState",
     "PoolChooser",
     "StaleEntries",
     "Step",
--- a/libs/decisions/src/hemlockhoist/decisions/entry/halted.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/halted.py
@@ -1,7 +1,7 @@
 """Versions that must get no requests because their move orders were halted."""
 
 
-class HaltedVersions:
+class HaltedOrders:
     """Tracks which versions were halted, and under which operators' orders.
 
     A halt applies to its own order only. It may be announced after the next order for
@@ -10,7 +10,7 @@
     Examples
     ========
 
-    >>> halted = HaltedVersions()
+    >>> halted = HaltedOrders()
     >>> halted.record("halls", "v2", "halls@8")
     >>> halted.has("halls", "v2", "halls@8"), halted.has("halls", "v2", "halls@14")
     (True, False)
--- a/libs/decisions/src/hemlockhoist/decisions/entry/move_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/move_orders.py
@@ -28,7 +28,7 @@
     duration_ms: int
 
 
-class OrderState(enum.Enum):
+class MoveOrderState(enum.Enum):
     """The state of an order as reported to operators."""
 
     IN_PROGRESS = "in progress"
@@ -87,10 +87,10 @@
         Number of requests in flight on the old version's upstreams.
     """
     if row.state is MoveState.FINISHED:
-        return OrderState.IN_PROGRESS if old_in_flight else OrderState.COMPLETED
+        return MoveOrderState.IN_PROGRESS if old_in_flight else MoveOrderState.COMPLETED
     if row.state is MoveState.RUNNING:
-        return OrderState.IN_PROGRESS
-    return OrderState.ROLLED_BACK
+        return MoveOrderState.IN_PROGRESS
+    return MoveOrderState.ROLLED_BACK
 
 
 class WithheldVersionPolicy(VersionPolicy):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
@@ -1,13 +1,13 @@
 import doctest
 import unittest
 
-from hemlockhoist.decisions.entry import HaltedVersions, halted
+from hemlockhoist.decisions.entry import HaltedOrders, halted
 
 
 class HaltedVersionsTests(unittest.TestCase):
     def test_late_announcement_of_an_old_halt_leaves_the_next_order_in_force(self):
         """A fixed version, ordered again, is rolled back by its previous halt."""
-        versions = HaltedVersions()
+        versions = HaltedOrders()
         versions.record("halls", "v2", "halls@8")
         versions.keep_only("halls", "v2", "halls@14")
         versions.record("halls", "v2", "halls@8")
@@ -15,7 +15,7 @@
 
     def test_halt_announced_before_its_order_applies_to_that_order(self):
         """A host uses grants of a halted version because the order arrived last."""
-        versions = HaltedVersions()
+        versions = HaltedOrders()
         versions.record("halls", "v2", "halls@14")
         self.assertTrue(versions.has("halls", "v2"))
         versions.keep_only("halls", "v2", "halls@14")
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_move_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_move_orders.py
@@ -3,7 +3,7 @@
 from hemlockhoist.decisions import Upstream, UpstreamState, VersionPolicy, WorkRequest
 from hemlockhoist.decisions.entry import (
     MoveOrder,
-    OrderState,
+    MoveOrderState,
     WithheldVersionPolicy,
     live_versions,
     order_state,
@@ -73,14 +73,14 @@
     def test_completion_is_reported_when_the_old_version_is_idle(self):
         """Answers in progress are lost if old upstreams stop on an early report."""
         row = move()
-        self.assertIs(order_state(row, 0), OrderState.IN_PROGRESS)
+        self.assertIs(order_state(row, 0), MoveOrderState.IN_PROGRESS)
         row = type(row)(**{**_fields(row), "state": MoveState.FINISHED})
-        self.assertIs(order_state(row, 2), OrderState.IN_PROGRESS)
-        self.assertIs(order_state(row, 0), OrderState.COMPLETED)
+        self.assertIs(order_state(row, 2), MoveOrderState.IN_PROGRESS)
+        self.assertIs(order_state(row, 0), MoveOrderState.COMPLETED)
 
     def test_move_that_was_rolled_back(self):
         row = roll_back_move(move(), ORDER.order_id, "bad", "home")
-        self.assertIs(order_state(row, 3), OrderState.ROLLED_BACK)
+        self.assertIs(order_state(row, 3), MoveOrderState.ROLLED_BACK)
 
 
 class WithheldVersionTests(unittest.TestCase):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
@@ -28,7 +28,7 @@
     incarnation : str
         Of this home; makes grant ids unique across restarts.
     queue : RequestQueue
-    fleet : Fleet
+    upstreams : ShardUpstreams
     grants : GrantTable
     overtaking_check : OvertakingCheck
     overtaking_budget : OvertakingBudget
@@ -39,7 +39,7 @@
 
     __slots__ = (
         "_admission",
-        "_fleet",
+        "_upstreams",
         "_grants",
         "_incarnation",
         "_invariants",
@@ -57,7 +57,7 @@
         pool,
         incarnation,
         queue,
-        fleet,
+        upstreams,
         grants,
         overtaking_check,
         overtaking_budget,
@@ -68,7 +68,7 @@
         self._pool = pool
         self._incarnation = incarnation
         self._queue = queue
-        self._fleet = fleet
+        self._upstreams = upstreams
         self._grants = grants
         self._overtaking_check = overtaking_check
         self._overtaking_budget = overtaking_budget
@@ -96,7 +96,7 @@
         =======
         list of Granted
         """
-        free = self._fleet.free_upstreams(now_ms)
+        free = self._upstreams.free_upstreams(now_ms)
         decisions = self._grant_overtaking(free, changed, now_ms)
         skipped = []
         for rank in self._queue.ranks:
@@ -116,7 +116,7 @@
                     continue
                 self._check_tier_order(waiting.request)
                 decisions.append(self._grant(waiting, upstream, now_ms))
-                if not self._fleet.has_free_slot(upstream, now_ms):
+                if not self._upstreams.has_free_slot(upstream, now_ms):
                     free.remove(upstream)
         for waiting, due_ms in skipped:
             self._queue.push(waiting, due_ms)
@@ -148,10 +148,10 @@
                     self._queue.push(waiting, due_ms)
                     break
                 self._overtaking_budget.charge(
-                    self._fleet.tracker.hold_ms(waiting.request)
+                    self._upstreams.tracker.hold_ms(waiting.request)
                 )
                 decisions.append(self._grant(waiting, upstream, now_ms))
-                if not self._fleet.has_free_slot(upstream, now_ms):
+                if not self._upstreams.has_free_slot(upstream, now_ms):
                     free.remove(upstream)
         return decisions
 
@@ -162,7 +162,7 @@
         for version in self._policy.candidates(request, versions, now_ms):
             choices = [item for item in free if item.version == version]
             choices = _untried(request, _in_allowed_regions(request, choices))
-            upstream = self._fleet.tracker.choose(
+            upstream = self._upstreams.tracker.choose(
                 request, choices, self._grants.in_flight, now_ms, ahead
             )
             if upstream is not None:
@@ -183,11 +183,11 @@
             address=upstream.address,
             version=upstream.version,
             expires_ms=now_ms + GRANT_TTL_MS,
-            is_cold=self._fleet.tracker.is_cold(upstream.upstream_id, now_ms),
+            is_cold=self._upstreams.tracker.is_cold(upstream.upstream_id, now_ms),
         )
         held = InFlightGrant(request, grant, now_ms, waiting.cost_ms)
         self._grants.add(held)
-        self._fleet.on_grant(held, now_ms)
+        self._upstreams.on_grant(held, now_ms)
         self._policy.on_grant(request, upstream.version, now_ms, upstream.upstream_id)
         return Granted(request=request, grant=grant)
 
@@ -201,7 +201,7 @@
     def _check_not_leaving(self, request, upstream):
         self._invariants.check(
             Property.LEAVING_UPSTREAM_NO_WORK,
-            not self._fleet.table.is_leaving(upstream.upstream_id),
+            not self._upstreams.table.is_leaving(upstream.upstream_id),
             f"{request.request_id} granted to leaving {upstream.upstream_id}",
         )
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
@@ -7,15 +7,15 @@
     Parameters
     ==========
     queue : RequestQueue
-    fleet : Fleet
+    upstreams : ShardUpstreams
     overtaking_budget : OvertakingBudget
     """
 
-    __slots__ = ("_fleet", "_overtaking_budget", "_queue")
+    __slots__ = ("_upstreams", "_overtaking_budget", "_queue")
 
-    def __init__(self, queue, fleet, overtaking_budget):
+    def __init__(self, queue, upstreams, overtaking_budget):
         self._queue = queue
-        self._fleet = fleet
+        self._upstreams = upstreams
         self._overtaking_budget = overtaking_budget
 
     def may_overtake(self, request, now_ms):
@@ -33,7 +33,7 @@
         callable
             ``may_overtake(request)``.
         """
-        tracker = self._fleet.tracker
+        tracker = self._upstreams.tracker
         max_hold_ms = {}
 
         def may_overtake(request):
@@ -46,8 +46,8 @@
         return may_overtake
 
     def _max_hold_ms(self, rank, now_ms):
-        tracker = self._fleet.tracker
+        tracker = self._upstreams.tracker
         above = [item.request for item in self._queue.first_above(rank)]
         overtaken = [(item.tier_rank, tracker.hold_ms(item) or 0.0) for item in above]
-        slots = self._fleet.slots(now_ms)
+        slots = self._upstreams.slots(now_ms)
         return self._overtaking_budget.max_hold_ms(rank, overtaken, slots, now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
@@ -30,9 +30,9 @@
     >>> from hemlockhoist.decisions import OutcomeKind
     >>> from hemlockhoist.decisions.scheduling.retries import RetryBudget
     >>> budget = RetryBudget()
-    >>> budget.take(OutcomeKind.CONNECT_FAILED, attempts=1, now_ms=0)
+    >>> budget.acquire(OutcomeKind.CONNECT_FAILED, attempts=1, now_ms=0)
     True
-    >>> budget.take(OutcomeKind.BROKE_OFF, attempts=1, now_ms=0)
+    >>> budget.acquire(OutcomeKind.BROKE_OFF, attempts=1, now_ms=0)
     False
     """
 
@@ -47,7 +47,7 @@
         """Add the share of a request from a caller to the budget."""
         self._tokens = min(MAX_BUDGET, self._tokens + RETRY_RATIO)
 
-    def take(self, kind, attempts, now_ms):
+    def acquire(self, kind, attempts, now_ms):
         """Return whether a request may be retried, and charge the budget if so.
 
         Parameters
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -12,10 +12,10 @@
 from hemlockhoist.decisions.scheduling.assignment import SlotAssigner
 from hemlockhoist.decisions.scheduling.estimates import ServiceEstimate
 from hemlockhoist.decisions.scheduling.experiments import Experiments
-from hemlockhoist.decisions.scheduling.fleet import Fleet
 from hemlockhoist.decisions.scheduling.grants import GrantTable, InFlightGrant
 from hemlockhoist.decisions.scheduling.overtaking import OvertakingCheck
 from hemlockhoist.decisions.scheduling.queue import QueuedRequest, RequestQueue
+from hemlockhoist.decisions.scheduling.shard_upstreams import ShardUpstreams
 from hemlockhoist.decisions.scheduling.shedding import Shedder
 from hemlockhoist.decisions.work import Granted, OutcomeKind
 
@@ -40,7 +40,7 @@
         "_client_retries",
         "_estimate",
         "_experiments",
-        "_fleet",
+        "_upstreams",
         "_grants",
         "_overtaking",
         "_policy",
@@ -57,15 +57,17 @@
         self._queue = RequestQueue([tier.rank for tier in tiers])
         self._estimate = ServiceEstimate()
         self._grants = GrantTable()
-        self._fleet = Fleet(self._grants, tracker)
+        self._upstreams = ShardUpstreams(self._grants, tracker)
         overtaking_budget = experiments.overtaking_budget()
         self._client_retries = experiments.client_retries()
-        self._overtaking = OvertakingCheck(self._queue, self._fleet, overtaking_budget)
+        self._overtaking = OvertakingCheck(
+            self._queue, self._upstreams, overtaking_budget
+        )
         self._assigner = SlotAssigner(
             pool.name,
             incarnation,
             self._queue,
-            self._fleet,
+            self._upstreams,
             self._grants,
             self._overtaking,
             overtaking_budget,
@@ -139,7 +141,7 @@
 
     def evacuated_domains(self):
         """Return the evacuated failure domains, whose upstreams get no work, sorted."""
-        return self._fleet.table.evacuated_domains()
+        return self._upstreams.table.evacuated_domains()
 
     def in_flight_at(self, version):
         """Return the number of grants in flight at upstreams of a version."""
@@ -147,12 +149,12 @@
 
     def cached_elsewhere(self, request, upstream_id):
         """Return the most prompt tokens that any other upstream probably has cached."""
-        return self._fleet.tracker.cached_elsewhere(request, upstream_id)
+        return self._upstreams.tracker.cached_elsewhere(request, upstream_id)
 
     def reconfigure(self, pool, tiers, now_ms):
         """Apply changed declarations; the queue and the grants are kept."""
         self._admission.set_tiers(tiers)
-        self._fleet.tracker.set_max_limit(pool.max_in_flight_per_upstream)
+        self._upstreams.tracker.set_max_limit(pool.max_in_flight_per_upstream)
         return self._decide_everywhere(now_ms)
 
     def submit(self, request, now_ms):
@@ -208,7 +210,7 @@
         held = self._grants.get(grant_id)
         if held is None:
             return []
-        self._fleet.tracker.on_first_token(held, first_token_ms, now_ms)
+        self._upstreams.tracker.on_first_token(held, first_token_ms, now_ms)
         return self._decide(now_ms, held.grant.upstream_id)
 
     def adopt(self, request, grant, now_ms):
@@ -221,23 +223,23 @@
         cost_ms = self._estimate.hold_ms(request)
         held = InFlightGrant(request, grant, now_ms, cost_ms)
         if self._grants.add(held):
-            self._fleet.on_adopt(held, now_ms)
+            self._upstreams.on_adopt(held, now_ms)
             self._policy.on_adopt(request, grant.version, now_ms, grant.upstream_id)
         return []
 
     def begin_recovery(self, now_ms):
         """Begin the phase in which grants of a former home are still unknown."""
-        self._fleet.recovery.begin(now_ms)
-        self._fleet.tracker.begin_takeover(now_ms)
+        self._upstreams.recovery.begin(now_ms)
+        self._upstreams.tracker.begin_takeover(now_ms)
         return []
 
     def set_share(self, share):
         """Set the share of the fleet-wide bounds that this home may use."""
-        self._fleet.tracker.set_share(share)
+        self._upstreams.tracker.set_share(share)
 
     def end_recovery(self, now_ms):
         """End the recovery phase: all entry hosts have reported their grants."""
-        self._fleet.recovery.end()
+        self._upstreams.recovery.end()
         return self._decide_everywhere(now_ms)
 
     def forget_entry_host(self, host_id, now_ms):
@@ -250,12 +252,12 @@
 
     def set_upstreams(self, upstreams, now_ms):
         """Replace the list of upstreams; an empty list is ignored."""
-        self._fleet.replace(upstreams, now_ms)
+        self._upstreams.replace(upstreams, now_ms)
         return self._decide_everywhere(now_ms)
 
     def observe_load(self, report, now_ms):
         """Record an upstream's load report."""
-        self._fleet.observe(report, now_ms)
+        self._upstreams.observe(report, now_ms)
         return self._decide_everywhere(now_ms)
 
     def tick(self, now_ms):
@@ -265,7 +267,7 @@
         """
         self._grants.forget_ended(now_ms)
         self._queue.forget_idle()
-        self._fleet.on_tick(self._estimate, now_ms)
+        self._upstreams.on_tick(self._estimate, now_ms)
         for grant_id in self._grants.past_deadline(now_ms - LOST_GRANT_MS):
             self._drop_grant(grant_id, now_ms)
         return self._decide_everywhere(now_ms)
@@ -290,7 +292,7 @@
         if is_retry:
             wait_ms = latest_start_ms(request, self._estimate) - now_ms
         due_ms = int(now_ms + max(1, wait_ms))
-        sort_key_ms = self._fleet.tracker.sort_key_ms(now_ms, cost_ms, due_ms)
+        sort_key_ms = self._upstreams.tracker.sort_key_ms(now_ms, cost_ms, due_ms)
         waiting = QueuedRequest(
             request, cost_ms, sort_key_ms, self._arrival_count, is_retry=is_retry
         )
@@ -298,7 +300,7 @@
         return decisions
 
     def _refusal_code(self, request, is_retry, now_ms):
-        if not self._fleet.table.serves(request.regions):
+        if not self._upstreams.table.serves(request.regions):
             return ResultCode.NO_UPSTREAM
         held = self._grants.of_customer(request.customer)
         held += self._queue.of_customer(request.customer)
@@ -312,7 +314,7 @@
             return None
         if self._admission.is_shedding_above(request.tier_rank, self._queue):
             return ResultCode.OVERLOADED
-        slots = self._fleet.slots(now_ms)
+        slots = self._upstreams.slots(now_ms)
         return self._admission.refusal_code(
             request, self._queue, slots, self._estimate, now_ms
         )
@@ -326,7 +328,7 @@
         """Decide after a change at one upstream, or at none."""
         if not len(self._queue):
             return []
-        if self._fleet.table.is_evacuated():
+        if self._upstreams.table.is_evacuated():
             return self._refuse_all(now_ms)
         decisions = self._assigner.assign(now_ms, changed)
         return decisions + self._refuse_due(now_ms)
@@ -382,14 +384,14 @@
         held = self._grants.get(grant_id)
         self._grants.remove(grant_id)
         if held is not None:
-            self._fleet.tracker.forget(held, now_ms)
+            self._upstreams.tracker.forget(held, now_ms)
             self._policy.on_forget(held.request, held.grant.version, now_ms)
 
     def _record_outcome(self, held, outcome, now_ms):
         request = held.request
         hold_ms = now_ms - held.granted_ms
         predicted_ms = self._estimate.hold_ms(request)
-        self._fleet.tracker.on_outcome(held, outcome, hold_ms, predicted_ms, now_ms)
+        self._upstreams.tracker.on_outcome(held, outcome, hold_ms, predicted_ms, now_ms)
         if outcome.kind is OutcomeKind.SUCCESS:
             self._estimate.observe(request, hold_ms, outcome.first_token_ms)
         if outcome.kind not in _NOT_SENT:
@@ -400,10 +402,10 @@
         )
 
     def _retry_after_ms(self, request, now_ms):
-        slots = self._fleet.slots(now_ms)
-        hold_ms = self._fleet.tracker.hold_ms(request)
+        slots = self._upstreams.slots(now_ms)
+        hold_ms = self._upstreams.tracker.hold_ms(request)
         wait_ms = self._client_retries.wait_before_retry_ms(request, hold_ms, now_ms)
-        has_upstreams = slots or self._fleet.table.is_evacuated()
+        has_upstreams = slots or self._upstreams.table.is_evacuated()
         if has_upstreams and wait_ms is not None:
             return wait_ms
         return self._admission.retry_after_ms(
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/shard_upstreams.py
@@ -13,7 +13,7 @@
 OVERDUE_CHECK_INTERVAL_MS = 1_000
 
 
-class Fleet:
+class ShardUpstreams:
     """Finds the upstreams with a free slot, and updates what is known of them.
 
     Parameters
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_retries.py
@@ -10,7 +10,7 @@
         for kind in OutcomeKind:
             with self.subTest(kind=kind):
                 expected = kind in (OutcomeKind.CONNECT_FAILED, OutcomeKind.NOT_SENT)
-                self.assertEqual(RetryBudget().take(kind, 1, 0), expected)
+                self.assertEqual(RetryBudget().acquire(kind, 1, 0), expected)
 
     def test_an_unreachable_failure_domain_adds_a_tenth_of_the_load(self):
         """
@@ -22,7 +22,7 @@
         for now_ms in range(0, 10_000, 10):
             budget.on_request()
             attempts = 1
-            while budget.take(OutcomeKind.CONNECT_FAILED, attempts, now_ms):
+            while budget.acquire(OutcomeKind.CONNECT_FAILED, attempts, now_ms):
                 attempts += 1
                 retries += 1
         self.assertLess(retries, 100 + MAX_BUDGET + 10 + 1)
@@ -34,8 +34,8 @@
         for minute in range(30):
             budget.on_request()
             kind = OutcomeKind.CONNECT_FAILED
-            self.assertTrue(budget.take(kind, 1, minute * 60_000))
+            self.assertTrue(budget.acquire(kind, 1, minute * 60_000))
 
     def test_attempts_are_bounded(self):
         """A request is not tried on every upstream of the pool."""
-        self.assertFalse(RetryBudget().take(OutcomeKind.CONNECT_FAILED, 3, 0))
+        self.assertFalse(RetryBudget().acquire(OutcomeKind.CONNECT_FAILED, 3, 0))
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -11,7 +11,7 @@
     TakenBack,
     Widened,
 )
-from hemlockhoist.decisions.versions.halts import HaltSet
+from hemlockhoist.decisions.versions.halts import HaltReasons
 from hemlockhoist.decisions.versions.lanes import LaneTable
 from hemlockhoist.decisions.versions.move import (
     FULL_PERMILLE,
@@ -32,7 +32,7 @@
 # A home whose clock jumps by this much was suspended, and peers may have halted the
 # version meanwhile. It grants the new version nothing until a peer or the store has
 # reported the state of the move.
-PAUSE_LIMIT_MS = 3_000
+SUSPENSION_LIMIT_MS = 3_000
 # Interval between planning rounds. Planning costs more than recording one answer, and
 # only few answers arrive in between.
 PLAN_INTERVAL_MS = 1_000
@@ -75,7 +75,7 @@
         self._watch_ms = watch_ms
         self._unix_offset_ms = unix_offset_ms
         self._invariants = invariants
-        self._halts = HaltSet()
+        self._halts = HaltReasons()
         self._events = []
         self._row = None
         self._last_time_ms = now_ms
@@ -421,7 +421,7 @@
         return widen_move(self._row, self._row.move_id, tuple(known.values()), fencing)
 
     def _record_time(self, now_ms):
-        if now_ms - self._last_time_ms > PAUSE_LIMIT_MS:
+        if now_ms - self._last_time_ms > SUSPENSION_LIMIT_MS:
             self._is_stale = True
         self._last_time_ms = max(self._last_time_ms, now_ms)
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/halts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/halts.py
@@ -1,7 +1,7 @@
 """Grow-only set of versions that get no more work."""
 
 
-class HaltSet:
+class HaltReasons:
     """Halted versions of each move.
 
     Entries are removed only together with a move that is no longer current, so hosts
--- a/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
@@ -16,7 +16,7 @@
 RESEND_MS = 5_000
 # A suspended process is assumed to resume, or to be restarted by its supervisor, within
 # this time.
-MAX_PAUSE_MS = 60_000
+MAX_SUSPENSION_MS = 60_000
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
@@ -101,7 +101,7 @@
         fencing,
         lease_until_ms,
         now_ms,
-        max_pause_ms=MAX_PAUSE_MS,
+        max_suspension_ms=MAX_SUSPENSION_MS,
     ):
         """Return the tracker of a host that has just acquired the lease.
 
@@ -111,10 +111,10 @@
             Whether the pool's upstreams reject old fencing tokens.
         fencing : int
         lease_until_ms, now_ms : int
-        max_pause_ms : int, optional
+        max_suspension_ms : int, optional
             How long a former holder may be suspended and still send an order.
         """
-        pause_ms = 0 if checks_fencing else max_pause_ms
+        pause_ms = 0 if checks_fencing else max_suspension_ms
         return cls(fencing, lease_until_ms, now_ms + pause_ms)
 
     def renew(self, lease_until_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
@@ -140,8 +140,8 @@
 MUTATIONS = {
     "shares are not counted": (Lane, "is_due", property(_always(True))),
     "halts are ignored": (MoveController, "_is_halted", _always(False)),
-    "halts are not announced": (halts.HaltSet, "of_move", _always({})),
-    "a suspended home is not detected": (controller, "PAUSE_LIMIT_MS", 10**9),
+    "halts are not announced": (halts.HaltReasons, "of_move", _always({})),
+    "a suspended home is not detected": (controller, "SUSPENSION_LIMIT_MS", 10**9),
     "an older row is applied": (controller, "is_newer", _always(True)),
     "a new home starts at a full share": (
         lanes.LaneTable,
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
@@ -16,7 +16,7 @@
 
 def new_tracker(checks_fencing=True, fencing=1, now_ms=0):
     return OrderTracker.from_config(
-        checks_fencing, fencing, now_ms + LEASE_MS, now_ms, max_pause_ms=PAUSE_MS
+        checks_fencing, fencing, now_ms + LEASE_MS, now_ms, max_suspension_ms=PAUSE_MS
     )
 
 
@@ -89,7 +89,7 @@
             fencing,
             self.now_ms + LEASE_MS,
             self.now_ms,
-            max_pause_ms=self.pause_ms,
+            max_suspension_ms=self.pause_ms,
         )
         tracker.set_target("e1", f"v{fencing + 1}")
         return tracker
--- a/libs/entry/src/hemlockhoist/entry/__init__.py
+++ b/libs/entry/src/hemlockhoist/entry/__init__.py
@@ -1,6 +1,6 @@
 """The entry host that serves declared routes on a platform."""
 
-from hemlockhoist.decisions.entry import DomainOrder, MoveOrder, OrderState
+from hemlockhoist.decisions.entry import DomainOrder, MoveOrder, MoveOrderState
 from hemlockhoist.decisions.scheduling import Experiments
 from hemlockhoist.entry.platform import Platform
 from hemlockhoist.entry.settings import EntrySettings, FleetBounds
@@ -21,7 +21,7 @@
     "Experiments",
     "FleetBounds",
     "MoveOrder",
-    "OrderState",
+    "MoveOrderState",
     "Platform",
     "UpstreamDirectives",
     "WireFormat",
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -10,8 +10,8 @@
     get_logger,
 )
 from hemlockhoist.decisions.entry import (
-    HaltedVersions,
-    OrderState,
+    HaltedOrders,
+    MoveOrderState,
     WithheldVersionPolicy,
     live_versions,
     order_state,
@@ -49,7 +49,7 @@
 # Duration of the lease on a pool's moves. An order has to finish within seconds, and a
 # new home widens nothing before its predecessor's lease has expired.
 LEASE_MS = 2_000
-_FINAL_STATES = frozenset({OrderState.COMPLETED, OrderState.ROLLED_BACK})
+_FINAL_STATES = frozenset({MoveOrderState.COMPLETED, MoveOrderState.ROLLED_BACK})
 
 
 def trial_bound(bounds):
@@ -94,7 +94,7 @@
         super().__init__(context, rows, send)
         self._orders = {}
         self._received_ms = {}
-        self._halted = HaltedVersions()
+        self._halted = HaltedOrders()
         self._reported = {}
         self._retry_due_ms = 0
         self._task = PeriodicTask(self._check_interval_ms, self._follow_orders)
@@ -252,7 +252,7 @@
         if not versions[order.to_version]:
             return None
         if not previous:
-            await self._report_state(order, OrderState.COMPLETED)
+            await self._report_state(order, MoveOrderState.COMPLETED)
             return None
         return await self._update_row(
             order.pool, lambda row: self._started_row(row, order, previous)
--- a/libs/entry/src/hemlockhoist/entry/platform.py
+++ b/libs/entry/src/hemlockhoist/entry/platform.py
@@ -56,7 +56,7 @@
         Parameters
         ==========
         order : MoveOrder
-        state : OrderState
+        state : MoveOrderState
         """
 
     @abc.abstractmethod
--- a/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
+++ b/libs/entry/src/hemlockhoist/entry/tests/test_moves.py
@@ -2,7 +2,7 @@
 import unittest
 
 from hemlockhoist.base import PlatformError, Refused, SuspendAwareClock
-from hemlockhoist.decisions.entry import MoveOrder, OrderState
+from hemlockhoist.decisions.entry import MoveOrder, MoveOrderState
 from hemlockhoist.decisions.versions import Move, MoveState
 from hemlockhoist.entry.moves import OrderedMoveService
 from hemlockhoist.messages import VersionHalted
@@ -107,7 +107,7 @@
     async def test_new_home_does_not_reopen_a_completed_move(self):
         """Operators read "in progress" of a move already reported as completed."""
         await self.moves._follow_order(order(1), self.new_home)
-        self.assertEqual(self.rows.reported, [OrderState.COMPLETED])
+        self.assertEqual(self.rows.reported, [MoveOrderState.COMPLETED])
 
     async def test_new_home_reports_nothing_while_the_store_is_unreachable(self):
         self.rows.fails = True
--- a/libs/host/src/hemlockhoist/host/dispatcher.py
+++ b/libs/host/src/hemlockhoist/host/dispatcher.py
@@ -179,7 +179,7 @@
                 return await self._run_attempt(work, hold, consume, on_dispatch)
             except Refused as error:
                 kind = _OUTCOME_KINDS.get(error.code, OutcomeKind.FAILED)
-                if not budget.take(kind, attempt, self._clock.now_ms()):
+                if not budget.acquire(kind, attempt, self._clock.now_ms()):
                     raise
                 _log.warning(
                     "dispatch_retried",
--- a/libs/standins/src/hemlockhoist/standins/measure/simulation.py
+++ b/libs/standins/src/hemlockhoist/standins/measure/simulation.py
@@ -175,7 +175,7 @@
         record.attempts += 1
         self.failed_connects += 1
         kind = OutcomeKind.CONNECT_FAILED
-        if self._budget.take(kind, record.attempts, self._now_ms):
+        if self._budget.acquire(kind, record.attempts, self._now_ms):
             self._apply_decisions(self._policy.submit(record.request, self._now_ms))
         else:
             record.record_failure(self._now_ms)
--- a/libs/store/src/hemlockhoist/store/retries.py
+++ b/libs/store/src/hemlockhoist/store/retries.py
@@ -42,7 +42,7 @@
         """Add the fraction of a retry that one call earns."""
         self._tokens = min(self._max_tokens, self._tokens + self._permille)
 
-    def take(self):
+    def acquire(self):
         """Consume one retry; return whether one was available."""
         if self._tokens < _PERMILLE:
             return False
--- a/libs/store/src/hemlockhoist/store/tests/test_retries.py
+++ b/libs/store/src/hemlockhoist/store/tests/test_retries.py
@@ -15,7 +15,7 @@
         retries = 0
         for _ in range(1_000):
             budget.on_call()
-            retries += sum(budget.take() for _ in range(3))
+            retries += sum(budget.acquire() for _ in range(3))
         self.assertLessEqual(retries, 210)
         self.assertGreaterEqual(retries, 200)
 
--- a/libs/store/src/hemlockhoist/store/transport.py
+++ b/libs/store/src/hemlockhoist/store/transport.py
@@ -187,7 +187,7 @@
         attempt : int
             Number of attempts made so far.
         """
-        if attempt >= self._config.max_attempts or not self._budget.take():
+        if attempt >= self._config.max_attempts or not self._budget.acquire():
             return False
         await asyncio.sleep(self._backoff.delay_ms(attempt) / MS_PER_S)
         return True
