--- a/libs/base/src/hemlockhoist/base/tests/test_metrics.py
+++ b/libs/base/src/hemlockhoist/base/tests/test_metrics.py
@@ -67,8 +67,8 @@
     async def test_gauge_that_is_no_longer_set_is_sent_as_zero(self):
         """A gauge that is no longer set is sent as 0, and then not at all.
 
-        When a pool's home moved to another host, the former home continued to send the
-        last length of its queue, and the sum over the fleet stayed too high.
+        When a pool's home moved to another host, the previous home continued to send
+        the last length of its queue, and the sum over the fleet stayed too high.
         """
         server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.addCleanup(server.close)
--- a/libs/base/src/hemlockhoist/base/traces.py
+++ b/libs/base/src/hemlockhoist/base/traces.py
@@ -146,7 +146,7 @@
     def context_for_peer(self):
         """Return the current context for a message to a host; empty if not recording.
 
-        It is left out then, as it makes up a quarter of the size of a request for a
+        It is omitted then, as it makes up a quarter of the size of a request for a
         slot.
         """
         return context_to_text() if self._records else ""
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
@@ -57,8 +57,8 @@
     def on_ack(self, ack):
         """Record a host's acknowledgement; an outdated one changes nothing."""
         known = self._acks.get(ack.address)
-        same_run = known is not None and known.incarnation == ack.incarnation
-        if same_run and known.version >= ack.version:
+        same_incarnation = known is not None and known.incarnation == ack.incarnation
+        if same_incarnation and known.version >= ack.version:
             return
         self._acks[ack.address] = ack
 
@@ -87,8 +87,8 @@
         confirmed = 0
         for member in members:
             ack = self._acks.get(member.address)
-            same_run = ack is not None and ack.incarnation == member.incarnation
-            if same_run and ack.version >= version:
+            same_incarnation = ack is not None and ack.incarnation == member.incarnation
+            if same_incarnation and ack.version >= version:
                 confirmed += 1
             else:
                 lagging.append(member.address)
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/content.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/content.py
@@ -4,9 +4,9 @@
 
 
 class FullContent:
-    """Sends declarations in full.
+    """Encodes declarations in full.
 
-    A subclass may send only the changes if it has the receiver's version, and falls
+    A subclass may encode only the changes if it knows the receiver's version, and falls
     back to the full declarations otherwise.
     """
 
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
@@ -39,9 +39,9 @@
 # How long such a host waits for a peer's confirmation. Without one it then serves the
 # version that it has.
 CONFIRM_TIMEOUT_MS = 3_000
-# A new host first leaves the store to the readers, and then draws the time of its read
-# from a span that grows with the fleet: 1,300 hosts that start together cause 50 reads
-# per second.
+# A new host first waits for a peer to send the declarations. Then it draws the time of
+# its own read from a span that grows with the fleet: 1,300 hosts that start together
+# cause 50 reads per second.
 FIRST_WAIT_MS = 5_000
 FIRST_SPREAD_MS_PER_HOST = 20
 # After a change of a collector, its hosts report again, spread over this time.
@@ -154,7 +154,7 @@
         return self._acknowledged
 
     def set_view(self, members, collectors, now_ms):
-        """Update the fleet from the membership.
+        """Set the live hosts and the collectors, as the membership reports them.
 
         Parameters
         ==========
@@ -187,8 +187,8 @@
         return self.version > 0 and not self.is_confirming(now_ms)
 
     def is_confirming(self, now_ms):
-        """Return whether this host was frozen and waits for a peer's confirmation."""
-        if self._is_frozen(now_ms):
+        """Return whether this host was suspended and waits for a peer to confirm."""
+        if self._was_suspended(now_ms):
             return True
         if self._confirm_by_ms is None or now_ms >= self._confirm_by_ms:
             return False
@@ -198,7 +198,7 @@
         """Record that an up-to-date peer confirms ``version`` as the newest it knows.
 
         Only replies to digests sent since the host resumed count: messages that waited
-        in a socket during the freeze describe the state before it.
+        in a socket during the suspension describe the state before it.
         """
         if number >= self._confirm_number:
             known = self._confirm_version or 0
@@ -237,7 +237,7 @@
         return self._digest_messages(self._sample_peers(), False, now_ms)
 
     def mark_in_force(self, version, now_ms):
-        """Record that ``version`` governs all decisions from now on; return the ack."""
+        """Record that ``version`` is in force here; return the acknowledgement."""
         self.invariants.check(
             Property.CONFIGURATION_NEVER_REVERTS,
             self._acknowledged <= version <= self.version,
@@ -247,7 +247,7 @@
         return self._acknowledge(now_ms)
 
     def halt(self, halted, now_ms):
-        """Halt a version and return the messages, whether or not the store is up.
+        """Halt a version and return the messages that spread it; needs no store.
 
         Parameters
         ==========
@@ -338,7 +338,7 @@
         """Return the messages that forward new halted versions to a few peers."""
         return self.halted_messages(self._sample_peers(), items) if items else []
 
-    def _is_frozen(self, now_ms):
+    def _was_suspended(self, now_ms):
         last_ms = self._last_tick_ms
         return (
             last_ms is not None
@@ -354,7 +354,7 @@
             return not self.version
         if now_ms - last_ms < SUSPENSION_LIMIT_MS or not self._peers:
             return False
-        # A host may be frozen while a change comes into force "everywhere". If it
+        # A host may be suspended while a change comes into force "everywhere". If it
         # resumed under the old version, the change would revert for some callers. It
         # serves again once an up-to-date peer has confirmed the newest version.
         self._resumed_ms = now_ms
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/fleet.py
@@ -28,12 +28,16 @@
         for number in range(count):
             self.add(number)
 
-    def add(self, number, run=1):
+    def add(self, number, incarnation_number=1):
         name = f"h{number}"
         self.members = [item for item in self.members if item.address != name]
-        self.members.append(Member(address=name, incarnation=f"{name}-{run}"))
+        self.members.append(
+            Member(address=name, incarnation=f"{name}-{incarnation_number}")
+        )
         log = InvariantLog(True)
-        state = ConfigurationState.from_config(name, f"{name}-{run}", log, number)
+        state = ConfigurationState.from_config(
+            name, f"{name}-{incarnation_number}", log, number
+        )
         self.states[name] = state
         return state
 
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
@@ -145,7 +145,7 @@
         fleet.run(CONFIRM_TIMEOUT_MS)
         self.assertTrue(fleet.states["h0"].is_ready(fleet.now_ms))
 
-    def test_lagging_and_restarted_hosts_are_named(self):
+    def test_lagging_and_restarted_hosts_are_listed(self):
         """A frozen host lags, and a restarted one until it has acknowledged itself."""
         fleet = ConfigurationFleet(6)
         fleet.run(10_000)
@@ -157,7 +157,7 @@
         fleet.frozen.clear()
         fleet.run(5_000)
         self.assertTrue(fleet.states["h0"].report(2).is_everywhere)
-        fleet.add(4, run=2)
+        fleet.add(4, incarnation_number=2)
         fleet.frozen.add("h4")
         fleet.run(2_000)
         self.assertEqual(fleet.states["h0"].report(2).lagging, ("h4",))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/freshness.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/freshness.py
@@ -6,8 +6,9 @@
 
     A host that is cut off from the store keeps serving from its last reading; a key
     revoked by an operator in the meantime must not remain valid for longer than
-    declared. Each reading proves the state of the store at one time of the store's
-    clock, and that time is mapped to this host's clock, never too late.
+    declared. Each reading proves the state of the store at one time on the store's
+    clock. That time is converted to this host's clock so that the result is never later
+    than the true time.
 
     The two clocks run at the same rate. An answer is produced after its call was sent,
     so each call gives a bound on the offset between the clocks, and the tightest bound
--- a/libs/decisions/src/hemlockhoist/decisions/entry/listing.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/listing.py
@@ -81,7 +81,7 @@
         return self._removed.get(upstream_id)
 
     def mark_removed(self, upstream_id, version, now_ms):
-        """Remove an entry that another host knows to be gone; return whether it was.
+        """Remove an entry on another host's report; return whether it was removed.
 
         A host that was cut off from the store when an upstream left would otherwise
         keep granting it to hosts that know of the removal. An entry newer than their
--- a/libs/decisions/src/hemlockhoist/decisions/entry/sweep.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/sweep.py
@@ -1,4 +1,4 @@
-"""Removal of entries of hosts that are gone from the store."""
+"""Removal of the store entries of hosts that are gone."""
 
 # A host that was cut off for less than this finds its entry unchanged. Regions may be
 # partitioned for an hour; after that, hosts are replaced and their addresses reused.
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/handover.py
@@ -86,7 +86,7 @@
             ledger.successors.register(ledger.incarnation, self.successor)
 
     def adopt(self, ledger, message, now_ms):
-        """Apply a message and return its acknowledgement, or None to get it again."""
+        """Apply a message; return its acknowledgement, or None to get it sent again."""
         if message.successor != ledger.incarnation:
             return None
         leaver = message.leaver
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/ledger.py
@@ -260,7 +260,7 @@
     def adopt_handover(self, message, now_ms):
         """Apply a leaving host's ``Handover`` and return the ``HandoverAck`` to send.
 
-        Returns None for a message that can not be applied yet or is addressed to
+        Returns None for a message that cannot be applied yet or is addressed to
         another incarnation at this address; the leaving host sends it again.
         """
         self.advance(now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/lookups.py
@@ -210,7 +210,7 @@
 def _(reply: messages.LookupFull, ledger, record):
     # "Not run" was true when the holder sent it, but another copy of the call may reach
     # the holder and run before the reply arrives here. Only the holder itself may
-    # report "not run"; this host tells the caller to retry.
+    # report "not run"; this host reports "in progress", so that the caller retries.
     return InProgress()
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/results.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/results.py
@@ -93,6 +93,6 @@
 
 
 class Full(msgspec.Struct, frozen=True):
-    """The ledger is full and can not record the key, so the request was not run."""
+    """The ledger is full and cannot record the key, so the request was not run."""
 
     code: ClassVar[ResultCode] = ResultCode.LEDGER_FULL
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/table.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/table.py
@@ -31,7 +31,7 @@
 
     @property
     def is_full(self):
-        """Whether the table can not hold a further record."""
+        """Whether the table cannot hold a further record."""
         return len(self._records) >= self.max_records
 
     def get(self, customer, key_text):
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_lookups.py
@@ -41,7 +41,7 @@
 
     def test_unseen_key_is_granted_to_the_requester(self):
         """
-        The caller can not reach host a and uses a's key at host b. a has never seen the
+        The caller cannot reach host a and uses a's key at host b. a has never seen the
         key, so b may run it, and from then on callers at a are directed to b.
         """
         proceed = look_up(self.b, self.a, begin(self.b, self.key).lookup)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/partitions.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/partitions.py
@@ -2,7 +2,7 @@
 
 # Fraction of its part of the fleet's bounds that an isolated host grants. An isolated
 # host serves only some of the callers, and only until its proof of the routes is too
-# old; the home notices only after a while that the host is no longer reachable.
+# old; the home detects only after a while that the host is no longer reachable.
 ISOLATED_FRACTION = 0.5
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/quotas.py
@@ -28,7 +28,7 @@
     overshoot : float
         Fraction of its quota by which a customer may exceed it.
     tolerance : float
-        Units by which it may exceed it in addition.
+        Units by which it may exceed its quota in addition.
     """
 
     __slots__ = ("overshoot", "tolerance", "window_ms")
@@ -269,7 +269,7 @@
     def report(self, pool, requesting_incarnation, now_ms):
         """Return ``(customer, ((age_ms, units), …))`` of the current window.
 
-        Usage that the requesting incarnation has counted itself is left out.
+        Usage that the requesting incarnation has counted itself is omitted.
         """
         found = []
         for key, usage in list(self._windows.items()):
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
@@ -125,7 +125,7 @@
         tracker.add_recorded("former", [("port", [(300, 3_900)])], 1_000, 1_000)
         self.assertEqual(tracker.units_left("port", 1_000), int(0.88 * BOUND) - 4_000)
 
-    def test_customer_without_allowance_is_not_counted(self):
+    def test_customer_without_quota_is_not_counted(self):
         tracker = new_tracker()
         tracker.declare([KeyedCustomer(name="port")])
         self.assertEqual(tracker.acquire("port", 10**9, 0), 0)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_retry_limiter.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_retry_limiter.py
@@ -4,7 +4,7 @@
 from hemlockhoist.decisions.limits import RetryLimiter, UnknownUsage, retry_limiter
 
 
-class RetryWindowTests(unittest.TestCase):
+class RetryLimiterTests(unittest.TestCase):
     def test_outage_does_not_multiply_the_load(self):
         """Every request of a pool fails and is retried.
 
--- a/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/addresses.py
@@ -5,9 +5,9 @@
 from hemlockhoist.decisions.membership.records import AddressAnswer
 
 MAX_ADDRESSES = 4
-# Long enough that address requests cause no load (40,000 requests per second from
-# callers that cache the answer), short enough that a leaving host gets no requests from
-# new callers after half a minute.
+# Long enough that address requests cause no load, even with callers that send 40,000
+# requests per second, as these cache the answer; short enough that a leaving host gets
+# no requests from new callers after half a minute.
 ANSWER_TTL_MS = 30_000
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/membership/prober.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/prober.py
@@ -71,18 +71,18 @@
     def record_time(self, now_ms):
         """Record the time; return how long this process was suspended, in milliseconds.
 
-        After a process was frozen for a minute, every pending probe and suspicion looks
-        overdue, and it would declare live hosts gone, although their answers may wait
-        unread. Pending probes are therefore dropped, and the time during which the
+        After a process was suspended for a minute, every pending probe and suspicion
+        looks overdue, and it would declare live hosts gone, although their answers may
+        wait unread. Pending probes are therefore dropped, and the time during which the
         process did not run must not be counted against any host.
         """
         last_ms = now_ms if self._last_ms is None else self._last_ms
         self._last_ms = max(now_ms, last_ms)
-        frozen_ms = max(0, now_ms - last_ms - PERIOD_MS)
-        if frozen_ms:
+        suspended_ms = max(0, now_ms - last_ms - PERIOD_MS)
+        if suspended_ms:
             self._pending.clear()
             self.relays.clear()
-        return frozen_ms
+        return suspended_ms
 
     def is_due(self, now_ms):
         """Return whether a period has passed, and start the next one if so."""
--- a/libs/decisions/src/hemlockhoist/decisions/membership/records.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/records.py
@@ -59,7 +59,7 @@
 
 
 class AddressAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The addresses returned to a caller that asks which hosts to use.
+    """Answer to a caller that requests the addresses of the hosts to use.
 
     Parameters
     ==========
--- a/libs/decisions/src/hemlockhoist/decisions/membership/table.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/table.py
@@ -33,7 +33,7 @@
 
     @property
     def is_leaving(self):
-        """Whether the host, or the platform's list for this incarnation, reports so."""
+        """Whether the host, or the list for this incarnation, reports it as leaving."""
         listed = self.listed_leaving
         return self.update.leaving or (listed and listed == self.member.incarnation)
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
@@ -20,10 +20,10 @@
 from hemlockhoist.decisions.scheduling.upstream_tracker import UpstreamTracker
 from hemlockhoist.decisions.work import OutcomeKind
 
-# Median ratio of holding time to prediction above which open grants eject an upstream:
-# a stuck upstream produces no outcomes to learn from.
+# Median ratio of holding time to prediction above which the grants in flight eject an
+# upstream: one that hangs produces no outcomes to learn from.
 OVERDUE_RATIO = 4.0
-# Least number of open grants for which an upstream is ejected as overdue.
+# Minimum number of grants in flight for which an upstream is ejected as overdue.
 MIN_OVERDUE = 3
 
 # Shorter answers give no usable time per output token.
@@ -189,7 +189,7 @@
         return waiting_ms < MAX_PROMPT_WAIT_MS
 
     def hold_ms(self, request):
-        """Return None: holding times aren't known until the limits are found."""
+        """Return None: holding times are not known until the limits are found."""
         return
 
     def sort_key_ms(self, arrived_ms, cost_ms, due_ms):
@@ -267,10 +267,10 @@
         if tracked is not None:
             tracked.on_prompt_done(held, now_ms)
 
-    def on_overdue(self, upstream_id, overdue, ratio, now_ms):
+    def on_overdue(self, upstream_id, grant_count, ratio, now_ms):
         """Eject an upstream whose grants are held far longer than predicted."""
         tracked = self._tracked.get(upstream_id)
-        if tracked is None or tracked.health.is_ejected or overdue < MIN_OVERDUE:
+        if tracked is None or tracked.health.is_ejected or grant_count < MIN_OVERDUE:
             return
         reference = reference_slowness(tracked.health, self._peers(tracked)) or 1.0
         if ratio > OVERDUE_RATIO * reference and self._may_eject():
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -13,12 +13,12 @@
 DEFAULT_MAX_QUEUED = 256
 # Time constant of the measured rate of granted work by tier.
 RATE_WINDOW_MS = 5_000
-# A tier is assumed to get at least this fraction of the slots. The measured load of
-# the tiers above it is short-lived, and clients that are told never to retry would not
-# do so when that load falls.
+# A tier is assumed to get at least this fraction of the slots. The measured load of the
+# tiers above it is short-lived, and a client that got the longest Retry-After because
+# of it would not retry when that load falls.
 MIN_SLOT_FRACTION = 0.05
 # Where even an idle pool cannot meet the first token target, only the deadline counts:
-# this fraction of the time to the deadline may be spent waiting.
+# a request may wait for this fraction of the time to it.
 LATE_WAIT_FRACTION = 0.25
 # A tier is refused for lack of slots only if no lower tier was assigned one for this
 # long. Otherwise a top tier that needs almost all slots would be refused for being late
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/candidates.py
@@ -110,8 +110,8 @@
 def cost_ms(work, tracked, first_ms, held, now_ms):
     """Return the cost of a request at an upstream, as time of its caller.
 
-    Engines differ several times in speed: a slow one is as good as any for a short
-    prompt, and unsuitable for a long one.
+    Engines differ in speed by a factor of several: a slow one is as good as any for a
+    short prompt, and unsuitable for a long one.
     """
     token_ms = tracked.pace.token_ms
     batch_tokens = held * work.base_cost / max(1, tracked.limit.slots)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/client_retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/client_retries.py
@@ -26,7 +26,7 @@
     retried. Retrying before the stated time gains nothing.
 
     A retry has a new request id, so it is recognised by route, customer and size. A
-    request without a size cannot be told apart from others.
+    request without a size cannot be distinguished from others.
 
     Attributes
     ==========
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_tracker.py
@@ -104,11 +104,11 @@
         return self._warmup.allows(upstream_id, now_ms)
 
     def begin_takeover(self, now_ms):
-        """Start deciding as a new home, possibly after another one."""
+        """Begin as a new home, possibly as the successor of another one."""
         self._warmup.assume_limit_used(now_ms)
 
     def set_share(self, share):
-        """Set the fraction of bounds over all hosts that applies to this one."""
+        """Set the share of the fleet-wide bounds that this home may use."""
         self._warmup.set_share(share)
 
     def is_cold(self, upstream_id, now_ms):
@@ -116,7 +116,7 @@
         return self._warmup.is_cold(upstream_id, now_ms)
 
     def on_adopt(self, held, now_ms):
-        """Record a grant of a former home."""
+        """Record a grant of a previous home."""
         self._warmup.record_grant(held.grant.upstream_id, now_ms)
 
     def with_free_slot(self, upstreams, in_flight, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
@@ -151,7 +151,7 @@
     Returns
     =======
     float or None
-        Median of the peers that aren't ejected and have enough samples; None without
+        Median of the peers that are not ejected and have enough samples; None without
         such peers. The only upstream of a generation is not compared, as slower
         hardware is not a fault.
     """
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/limits.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/limits.py
@@ -2,10 +2,10 @@
 
 import math
 
-# The limit is changed only on answers that began under the current limit. First token
-# times up to this multiple of an unqueued one are normal: the request shares its first
-# step with other prompts. Beyond the knee, the engine's own queue adds the remaining
-# time of a running answer, which is many times as long.
+# First token times up to this multiple of an unqueued one are normal: the request
+# shares its first step with other prompts. Beyond the knee, with more requests than the
+# engine's batch holds, its own queue adds the remaining time of a running answer, which
+# is many times as long. Only answers that began under the current limit are evaluated.
 CONGESTED_RATIO = 3.0
 # Added to that multiple, for prompts so short that one step of the batch dominates.
 CONGESTED_MARGIN_MS = 40.0
@@ -117,7 +117,7 @@
         self._limit = min(self._limit, float(self._max))
 
     def raise_to(self, in_flight):
-        """Raise the limit to the number of grants of a former home."""
+        """Raise the limit to the number of grants of a previous home."""
         self._limit = min(float(self._max), max(self._limit, float(in_flight)))
 
     def observe(self, excess_ratio, granted_ms, in_flight, now_ms):
@@ -204,7 +204,7 @@
         """Do nothing: the upstream's own declaration is the bound."""
 
     def raise_to(self, in_flight):
-        """Do nothing: grants of a former home beyond the limit are left to end."""
+        """Do nothing: grants of a previous home beyond the limit are left to end."""
 
     def observe(self, excess_ratio, granted_ms, in_flight, now_ms):
         """Do nothing: the limit is declared and need not be estimated."""
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking_budget.py
@@ -17,7 +17,7 @@
 
     In a burst, a higher tier can hold all slots for seconds while requests of a lower
     one need some hundredths of a second each. Without overtaking, the whole lower tier
-    is refused for an amount of slot time that the higher tier would not notice.
+    is refused for an amount of slot time that is negligible for the higher tier.
 
     A higher tier is never shed before a lower one because of it: a tier's requests
     overtake only while its recent refusal rate is at least that of every tier above,
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/placement.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/placement.py
@@ -46,7 +46,7 @@
             return
         sample = max(0.0, prompt_ms - self.token_ms) / computed_tokens
         # Short prompts say little about the cost of a token. Slow samples count much
-        # less than fast ones, as their time may have been spent waiting.
+        # less than fast ones, as their time may include waiting.
         weight = _EWMA_WEIGHT * min(1.0, computed_tokens / 1_000)
         if sample > self.prompt_token_ms:
             weight *= _SLOWER_SAMPLE_FACTOR
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/recovery.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/recovery.py
@@ -1,4 +1,4 @@
-"""The phase after a takeover in which a home doesn't yet know all grants."""
+"""The phase after a takeover in which a home does not yet know all grants."""
 
 # Entry hosts report the grants they hold within a second of learning of a new home. The
 # remaining time allows for one resend of a lost report.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/retries.py
@@ -1,4 +1,4 @@
-"""The budget for retrying requests that were not sent on another upstream."""
+"""Budget for retries, on another upstream, of requests that were not sent."""
 
 from hemlockhoist.base import MS_PER_S
 from hemlockhoist.decisions.work import OutcomeKind
@@ -44,7 +44,7 @@
         self.refused = 0
 
     def on_request(self):
-        """Add the share of a request from a caller to the budget."""
+        """Credit the budget for one request from a caller."""
         self._tokens = min(MAX_BUDGET, self._tokens + RETRY_RATIO)
 
     def acquire(self, kind, attempts, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -214,7 +214,7 @@
         return self._decide(now_ms, held.grant.upstream_id)
 
     def adopt(self, request, grant, now_ms):
-        """Count a grant of a former home that an entry host still holds.
+        """Count a grant of a previous home that an entry host still holds.
 
         A copy of the request that was queued here before the report arrived is
         removed, as the request is already dispatched.
@@ -228,7 +228,7 @@
         return []
 
     def begin_recovery(self, now_ms):
-        """Begin the phase in which grants of a former home are still unknown."""
+        """Begin the phase in which grants of a previous home are still unknown."""
         self._upstreams.recovery.begin(now_ms)
         self._upstreams.tracker.begin_takeover(now_ms)
         return []
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/shard_upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/shard_upstreams.py
@@ -74,7 +74,7 @@
         self.recovery.record_grant(upstream_id, now_ms)
 
     def on_adopt(self, held, now_ms):
-        """Record a grant that a former home issued, raising the limit to hold it."""
+        """Record a grant that a previous home issued, raising the limit to hold it."""
         upstream_id = held.grant.upstream_id
         tracked = self.tracker.get(upstream_id)
         if tracked is not None:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
@@ -13,12 +13,12 @@
 
 FAST_US = 2_000
 SLOW_US = 9_000
-PLACES = 4
+SLOTS = 4
 
 
 def upstream(name, **fields):
     values = {"pool": "dossiers", "version": "v1", "address": "127.0.0.1:1"}
-    return Upstream(upstream_id=name, slot_count=PLACES, **(values | fields))
+    return Upstream(upstream_id=name, slot_count=SLOTS, **(values | fields))
 
 
 def scheduler(*names):
@@ -132,11 +132,15 @@
 
     def test_equal_failure_rates_avoid_no_upstream(self):
         """If all upstreams fail equally often, none is avoided."""
-        turn = {"n": 0}
+        ended_count = {"n": 0}
 
         def outcome_of(name):
-            turn["n"] += 1
-            return ended(OutcomeKind.FAILED) if turn["n"] % 3 == 0 else success(FAST_US)
+            ended_count["n"] += 1
+            return (
+                ended(OutcomeKind.FAILED)
+                if ended_count["n"] % 3 == 0
+                else success(FAST_US)
+            )
 
         sender = RequestSender(scheduler("a", "b"))
         placed = sender.send(outcome_of, count=200, every_ms=20)
@@ -176,10 +180,10 @@
 
     def test_no_more_is_granted_than_the_upstreams_declare(self):
         placed = []
-        for _ in range(3 * PLACES):
+        for _ in range(3 * SLOTS):
             request = b.request(now_ms=self.sender.now_ms)
             placed += self.sender.sched.submit(request, self.sender.now_ms)
-        self.assertEqual(len(placed), 2 * PLACES)
+        self.assertEqual(len(placed), 2 * SLOTS)
 
 
 class StallTests(unittest.TestCase):
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
@@ -61,7 +61,7 @@
 
     def test_adopted_request_is_not_granted_a_second_time(self):
         """
-        An entry host submits a request again to the new home, though the former home
+        An entry host submits a request again to the new home, though the previous home
         had sent a grant. The grant arrives late and is used; its report reaches the new
         home while the second submission is queued, which must then be removed.
         """
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/upstream_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/upstream_tracker.py
@@ -83,17 +83,17 @@
         raise NotImplementedError
 
     def begin_takeover(self, now_ms):
-        """Start deciding as a new home, possibly after another one."""
+        """Begin as a new home, possibly as the successor of another one."""
 
     def set_share(self, share):
-        """Set the fraction of bounds over all hosts that applies to this one."""
+        """Set the share of the fleet-wide bounds that this home may use."""
 
     def is_cold(self, upstream_id, now_ms):
         """Return whether an upstream is still warming up after its start."""
         return False
 
     def on_adopt(self, held, now_ms):
-        """Record a grant of a former home."""
+        """Record a grant of a previous home."""
 
     def set_max_limit(self, max_limit):
         """Set the upper bound of adaptive limits."""
@@ -130,14 +130,14 @@
         """Return the total number of slots of the given upstreams."""
         return sum(self.slots(item.upstream_id, now_ms) for item in upstreams)
 
-    def on_overdue(self, upstream_id, overdue, ratio, now_ms):
-        """Handle grants that are held far longer than predicted.
+    def on_overdue(self, upstream_id, grant_count, ratio, now_ms):
+        """Evaluate for how long the grants in flight at an upstream have been held.
 
         Parameters
         ==========
         upstream_id : str
-        overdue : int
-            Number of such grants.
+        grant_count : int
+            Number of grants in flight at the upstream.
         ratio : float
             Median ratio of their holding time to the predicted time.
         now_ms : int
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/warmup.py
@@ -69,7 +69,7 @@
         self._share = 1.0
 
     def set_share(self, share):
-        """Set the fraction of the limit that applies to this home."""
+        """Set the share of the limit that this home may use."""
         self._share = share
 
     def assume_limit_used(self, now_ms):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/confirm.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/confirm.py
@@ -2,10 +2,10 @@
 
 A failing dependency affects both versions at once, but may show first in the answers of
 the new one; compared with the old version's past rate, a good version then looks bad.
-So a suspicion is decided by the answers of both versions since it was raised. The factor
-states how much likelier the new version's answers are under a rate of its own than under
-the old version's rate. The uncertainty of that rate is included: it enters as a
-distribution, not as a point estimate.
+So a suspicion is decided by the answers of both versions since it was raised. The
+factor states how much likelier the new version's answers are under a rate of its own
+than under the old version's rate. The uncertainty of that rate is included: it enters
+as a distribution, not as a point estimate.
 """
 
 import math
@@ -68,7 +68,8 @@
     """Return the log weight and beta distribution of each hypothesis on the old rate.
 
     Either the old version's rate is unchanged, or a fault common to both versions has
-    just begun. Each is weighted by its marginal likelihood of the old version's answers.
+    just begun. Each is weighted by its marginal likelihood of the old version's
+    answers.
     """
     past = (_PRIOR_ANSWERS * reference, _PRIOR_ANSWERS * (1 - reference))
     usual = math.log(1 - _COMMON_FAULT_PRIOR) + _log_marginal(past, bad, good)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -168,7 +168,7 @@
             lane.record_old_grant()
 
     def on_adopt(self, request, version, now_ms, upstream_id=""):
-        """Count an in-flight grant that a former home issued."""
+        """Count an in-flight grant that a previous home issued."""
         if not self._is_counted(version):
             return
         self._evaluator.loads.count_grant(version, upstream_id, now_ms)
@@ -258,11 +258,11 @@
             return
         self._is_stale = False
         self._last_time_ms = now_ms
-        former = self._row
-        if former is None or row.move_id != former.move_id:
-            if former is None or row.started_unix_ms > former.started_unix_ms:
+        previous = self._row
+        if previous is None or row.move_id != previous.move_id:
+            if previous is None or row.started_unix_ms > previous.started_unix_ms:
                 self._begin_move(row, now_ms)
-        elif is_newer(row, former):
+        elif is_newer(row, previous):
             self._apply_row(row, now_ms)
 
     def announcement(self):
@@ -358,7 +358,7 @@
         self._halt_if_rolled_back(now_ms)
 
     def _apply_row(self, row, now_ms):
-        former, self._row = self._row, row
+        previous, self._row = self._row, row
         for lane in self._lanes.apply_row(row, now_ms):
             self._emit(
                 Widened,
@@ -368,7 +368,7 @@
                 idempotent=lane.idempotent,
                 share_permille=lane.share_permille,
             )
-        if row.state is not former.state:
+        if row.state is not previous.state:
             self._end_move(row, now_ms)
 
     def _end_move(self, row, now_ms):
@@ -394,8 +394,8 @@
     def _may_widen(self, fencing):
         """Return whether the host's lease permits larger shares.
 
-        A holder that was paused past its lease has an older fencing token than the
-        row, or has not yet learned what happened during the pause.
+        A holder that was suspended past its lease has an older fencing token than the
+        row, or has not yet learned what happened during the suspension.
         """
         if fencing is None or self._is_stale:
             return False
--- a/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/delays.py
@@ -2,7 +2,8 @@
 
 from hemlockhoist.decisions.versions.events import Late
 
-# Interval between checks. The estimate is based on minutes of traffic and changes slowly.
+# Interval between checks. The estimate is based on minutes of traffic and changes
+# slowly.
 CHECK_INTERVAL_MS = 5_000
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
@@ -42,8 +42,8 @@
 # many slow answers would be compared with a reference measured before the rise.
 _COMPARED_PER_REFERENCE = 4
 _MAX_COMPARISON_CREDIT = 16
-# When the new version has all traffic, there are no simultaneous answers of the old one.
-# Its latencies are compared with the last known thresholds times this factor.
+# When the new version has all traffic, there are no simultaneous answers of the old
+# one. Its latencies are compared with the last known thresholds times this factor.
 FULL_SHARE_SLOW_FACTOR = 1.5
 # With fewer answers of the old version, there is no reference to compare with.
 _MIN_OLD_ANSWERS = 8
@@ -87,7 +87,7 @@
         return self.tests[Measure.FAILURES].count
 
     def observe_old(self, outcome, load):
-        """Add an answer of the old version, at a load per upstream, to the reference."""
+        """Add an answer of the old version, at a load per upstream, as a reference."""
         if _is_uninformative(outcome, self.reference, load):
             return
         reference = self.reference
@@ -252,8 +252,8 @@
     if outcome.first_token_ms >= 0:
         latencies.append((Measure.FIRST_TOKEN, float(outcome.first_token_ms)))
         if outcome.output_tokens > 1:
-            spent = outcome.total_ms - outcome.first_token_ms
+            decode_ms = outcome.total_ms - outcome.first_token_ms
             latencies.append(
-                (Measure.TIME_PER_TOKEN, spent / (outcome.output_tokens - 1))
+                (Measure.TIME_PER_TOKEN, decode_ms / (outcome.output_tokens - 1))
             )
     return tuple(latencies)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/fault_attribution.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/fault_attribution.py
@@ -5,9 +5,9 @@
 # A fault can be attributed to one upstream only if another one has answered as well.
 MIN_UPSTREAMS = 2
 # The other upstreams are cleared if none of their answers is bad, or if their answers
-# are likelier by 9 to 1 under the old version's rate than under the bad upstream's rate.
-# A wrong attribution costs only a few more bad answers, as the test continues with the
-# other upstreams.
+# are likelier by 9 to 1 under the old version's rate than under the bad upstream's
+# rate. A wrong attribution costs only a few more bad answers, as the test continues
+# with the other upstreams.
 _CLEAR_LIMIT = math.log(9)
 _MAX_RATE = 0.98
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lane.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lane.py
@@ -1,9 +1,9 @@
 """Traffic split of one lane: the idempotent or non-idempotent calls of one route.
 
 Shares are enforced by counting, not by random sampling: each grant of either version
-adds the share to the credit of the new version, which spends one whole grant at a time.
-So a share of 1 % is one grant in a hundred, also for a route with little traffic, and a
-burst does not exceed its share.
+adds the share to the credit of the new version, and each grant of the new version uses
+up one full credit. So a share of 1 % is one grant in a hundred, also for a route with
+little traffic, and a burst does not exceed its share.
 """
 
 from hemlockhoist.decisions.versions.evidence import LaneEvidence
@@ -122,8 +122,8 @@
     def max_outstanding(self):
         """Maximum number of requests that the new version may hold unanswered."""
         rest = max(1, FULL_PERMILLE - self.share_permille)
-        part = self.old_outstanding * self.share_permille / rest
-        return MIN_OUTSTANDING + int(_OUTSTANDING_FACTOR * part)
+        proportional = self.old_outstanding * self.share_permille / rest
+        return MIN_OUTSTANDING + int(_OUTSTANDING_FACTOR * proportional)
 
     @property
     def max_outstanding_at_full_share(self):
@@ -219,8 +219,9 @@
             due_ms = item.granted_ms + limit_ms
             if now_ms <= due_ms:
                 break
-            # An entry host that has not reported since then may have failed. Its missing
-            # reports must not count against a version that may have answered in time.
+            # An entry host that has not reported since then may have failed. Its
+            # missing reports must not count against a version that may have answered in
+            # time.
             if (
                 not item.is_overdue
                 and last_report_ms.get(item.entry_host, -1) >= due_ms
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
@@ -3,8 +3,8 @@
 from hemlockhoist.decisions.versions.lane import Lane
 from hemlockhoist.decisions.versions.move import FULL_PERMILLE, MoveState
 
-# Routes beyond this many lanes share one lane for each kind of call. This bounds memory,
-# whatever paths callers request.
+# Routes beyond this many lanes share one lane for each kind of call. This bounds
+# memory, whatever paths callers request.
 MAX_LANES = 64
 OTHER_ROUTES = "(other routes)"
 
@@ -52,8 +52,9 @@
         """Create the lanes that the row lists.
 
         Failure case: a new home gets only non-idempotent calls at first, and assumes
-        that the pool has no idempotent ones. It would send those calls to a version that
-        was not tested on idempotent ones, and finish the move by the lanes it has seen.
+        that the pool has no idempotent ones. It would send those calls to a version
+        that was not tested on idempotent ones, and finish the move by the lanes it has
+        seen.
         """
         for share in self._row.lanes:
             key = (share.route, share.idempotent)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/move.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/move.py
@@ -202,7 +202,8 @@
     ======
     LeaseLost
         If the row was written under a later lease. Without this check, a holder that
-        was paused past its lease could increase a share that its successor keeps low.
+        was suspended past its lease could increase a share that its successor keeps
+        low.
     MoveError
         If the move is unknown or has ended.
     """
@@ -247,18 +248,18 @@
     return _end(row, MoveState.ROLLED_BACK, reason, author)
 
 
-def is_newer(row, former):
-    """Return whether ``row`` is a later state of the same move than ``former``.
+def is_newer(row, previous):
+    """Return whether ``row`` is a later state of the same move than ``previous``.
 
     Shares only grow within a move and final states stay final, so rows can be
     compared in whatever order they arrive.
     """
-    if former.state is not MoveState.RUNNING:
+    if previous.state is not MoveState.RUNNING:
         is_rolled_back = row.state is MoveState.ROLLED_BACK
-        return is_rolled_back and former.state is MoveState.FINISHED
+        return is_rolled_back and previous.state is MoveState.FINISHED
     if row.state is not MoveState.RUNNING:
         return True
-    return (row.fencing, _total(row)) > (former.fencing, _total(former))
+    return (row.fencing, _total(row)) > (previous.fencing, _total(previous))
 
 
 def _total(row):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/orders.py
@@ -3,8 +3,9 @@
 Some engines reject an order with an old fencing token. Others ignore the token, so a
 host that was suspended past its lease can still change them when it resumes. There are
 three safeguards: orders are idempotent, the version that an upstream runs is read back
-and corrected, and a new lease holder delays its first order by the longest pause of its
-predecessor, so that the predecessor's order arrives first and is overwritten.
+and corrected, and a new lease holder delays its first order by the longest assumed
+suspension of the previous holder, so that the latter's order arrives first and is
+overwritten.
 """
 
 import enum
@@ -70,7 +71,9 @@
 
     Examples
     ========
-    >>> tracker = OrderTracker.from_config(checks_fencing=True, fencing=3, lease_until_ms=9_000, now_ms=0)
+    >>> tracker = OrderTracker.from_config(
+    ...     checks_fencing=True, fencing=3, lease_until_ms=9_000, now_ms=0
+    ... )
     >>> tracker.set_target("engine-1", "v2")
     >>> [order.version for order in tracker.due(10)]
     ['v2']
@@ -112,10 +115,10 @@
         fencing : int
         lease_until_ms, now_ms : int
         max_suspension_ms : int, optional
-            How long a former holder may be suspended and still send an order.
+            How long a previous holder may be suspended and still send an order.
         """
-        pause_ms = 0 if checks_fencing else max_suspension_ms
-        return cls(fencing, lease_until_ms, now_ms + pause_ms)
+        suspension_ms = 0 if checks_fencing else max_suspension_ms
+        return cls(fencing, lease_until_ms, now_ms + suspension_ms)
 
     def renew(self, lease_until_ms):
         """Extend the lease; the fencing token stays the same."""
@@ -137,8 +140,8 @@
     def due(self, now_ms):
         """Return the orders to send now.
 
-        Nothing is due after the end of the lease, so a holder that was suspended
-        notices the loss here, before it sends.
+        Nothing is due after the end of the lease, so a holder that was suspended sends
+        none when it resumes.
         """
         if self._is_lease_lost or now_ms >= self._lease_until_ms:
             return []
@@ -153,8 +156,8 @@
     def observe(self, upstream_id, version):
         """Record the version that an upstream was read back to run.
 
-        If the upstream no longer runs a version that was in force, a former holder that
-        resumed late has changed it, and the order is due again.
+        If the upstream no longer runs a version that was in force, a previous holder
+        that resumed late has changed it, and the order is due again.
         """
         entry = self._entries.get(upstream_id)
         if entry is None:
--- a/libs/decisions/src/hemlockhoist/decisions/versions/planner.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/planner.py
@@ -11,14 +11,14 @@
 _MIN_FIRST_ANSWERS = 5
 # Minimum number of answers in one step, whatever the tests say.
 _MIN_STEP_ANSWERS = 5
-# Traffic-weighted fraction of the idempotent lanes that must have reached the gate share
-# before non-idempotent calls begin.
+# Traffic-weighted fraction of the idempotent lanes that must have reached the gate
+# share before non-idempotent calls begin.
 _GATE_FRACTION = 0.8
 # After this many non-idempotent grants and no idempotent one, a pool is assumed to have
 # no idempotent traffic, and its calls begin one at a time.
 NON_IDEMPOTENT_ONLY_GRANTS = 100
-# Maximum number of non-idempotent calls, one at a time, that a version gets before it is
-# proven on them. The coarse test needs 13 to 20 good answers; if twice that has not
+# Maximum number of non-idempotent calls, one at a time, that a version gets before it
+# is proven on them. The coarse test needs 13 to 20 good answers; if twice that has not
 # proven the version, more calls are not expected to.
 MAX_TRIAL_CALLS = 40
 # A lane with at most this fraction of the traffic of its kind may rely on the evidence
@@ -108,8 +108,8 @@
             or not self._may_start(lane, lanes)
         ):
             return share
-        # Slow answers arrive last. A step that is evaluated before they can have arrived
-        # would be evaluated by the fast ones alone.
+        # Slow answers arrive last. A step that is evaluated before they can have
+        # arrived would be evaluated by the fast ones alone.
         if share and now_ms - lane.step_started_ms < lane.evidence.reference.longest_ms:
             return share
         if not self._may_be_proven(lane, lanes):
--- a/libs/decisions/src/hemlockhoist/decisions/versions/reference.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/reference.py
@@ -1,23 +1,23 @@
 """Reference rates and latencies of the old version.
 
 Load makes every version slower, and a failing dependency makes every version fail.
-Therefore no fixed thresholds are used: an answer is slow if it exceeds the old version's
-recent median latency by a factor, and the new version is tested against the rate at
-which the old version's latest answers are that slow.
+Therefore no fixed thresholds are used: an answer is slow if it exceeds the old
+version's recent median latency by a factor, and the new version is tested against the
+rate at which the old version's latest answers are that slow.
 """
 
 import array
 import bisect
 import math
 
-# An answer is slow above this multiple of the old version's recent median. With 1.5, the
-# load changes of a burst alone made one good answer in three slow.
+# An answer is slow above this multiple of the old version's recent median. With 1.5,
+# the load changes of a burst alone made one good answer in three slow.
 SLOW_FACTOR = 2.0
-# A request is overdue, and counts as a failure, after this multiple of the old version's
-# recent maximum duration.
+# A request is overdue, and counts as a failure, after this multiple of the old
+# version's recent maximum duration.
 OVERDUE_FACTOR = 2.0
 # Minimum overdue time, for when the old version has answered too few times, or so fast
-# that a pause of a process would exceed the limit.
+# that a suspension of a process would exceed the limit.
 OVERDUE_FLOOR_MS = 2_000
 _WINDOW = 64
 # With fewer latencies, the median is so uncertain that a good version may appear slow.
@@ -70,8 +70,8 @@
         self.count += 1
         self.bad_count += is_bad
         self._rate = None
-        # Until the window is full, the slow rate is a mean with a prior worth 20 answers,
-        # so that one early failure does not give a rate of 100 %.
+        # Until the window is full, the slow rate is a mean with a prior worth 20
+        # answers, so that one early failure does not give a rate of 100 %.
         weight = max(self._SLOW_WEIGHT, 1 / (self.count + 20))
         self._slow += weight * (is_bad - self._slow)
         self._fast += self._FAST_WEIGHT * (is_bad - self._fast)
@@ -132,9 +132,9 @@
     As the share of the new version grows, the load moves from the old version's
     upstreams to the new one's. Comparing simultaneous answers would compare idle with
     loaded upstreams and find every good version slow near the end of its move. Each
-    latency is therefore compared with the old version's latest ones at the same load per
-    upstream, and the rate of slow answers with the old version's current rate at its
-    current load.
+    latency is therefore compared with the old version's latest ones at the same load
+    per upstream, and the rate of slow answers with the old version's current rate at
+    its current load.
     """
 
     __slots__ = ("_base_slow_ms_by_level", "_by_load", "_log_drift", "rates")
@@ -172,7 +172,7 @@
 
     @property
     def drift(self):
-        """Slowdown of the old version against its usual latency at its load; at least 1.
+        """Factor by which the old version is slower than usual at its load; at least 1.
 
         A slow dependency affects both versions but is measured at the old version's
         current load; the same factor is allowed to the new version at another load.
@@ -187,8 +187,8 @@
         """Return the threshold of slow latencies at ``load``; infinite if unknown.
 
         If the old version was never observed at that load, the next higher load is
-        used. Its latencies are larger, so a good version is not found slow by it. Beyond
-        all observed loads, latency is assumed to grow in proportion to the load.
+        used. Its latencies are larger, so a good version is not found slow by it.
+        Beyond all observed loads, latency is assumed to grow in proportion to the load.
         """
         level = load_level(load)
         base_slow_ms = self._base_slow_ms_by_level.get(level)
@@ -266,8 +266,8 @@
     def overdue_ms(self, load):
         """Return how long an answer may take before it counts as a failure.
 
-        Beyond the observed loads the limit grows with the load, so that a burst does not
-        make a good version overdue, while one that hangs is still detected.
+        Beyond the observed loads the limit grows with the load, so that a burst does
+        not make a good version overdue, while one that hangs is still detected.
         """
         level = load_level(load)
         limit_ms = self._limits.get(level)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/schedule.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/schedule.py
@@ -2,8 +2,8 @@
 
 The steps are spread over the first part of the duration set by the operator, so that
 each share is observed for a while. If there is too little traffic for that, each step
-follows as soon as the evidence suffices. The number of steps, and the evidence that each
-requires, are the most that the remaining time allows.
+follows as soon as the evidence suffices. The number of steps, and the evidence that
+each requires, are the most that the remaining time allows.
 """
 
 import itertools
@@ -13,9 +13,9 @@
 from hemlockhoist.decisions.versions.evidence import EFFECT_COUNT
 from hemlockhoist.decisions.versions.move import FULL_PERMILLE
 
-# Fractions of the time from the start to the "moved by" time. Idempotent calls go first,
-# up to a share that shows the version under load, then non-idempotent calls. The rest
-# is slack in case the traffic decreases.
+# Fractions of the time from the start to the "moved by" time. Idempotent calls go
+# first, up to a share that shows the version under load, then non-idempotent calls. The
+# rest is slack in case the traffic decreases.
 _IDEMPOTENT_FRACTION = 0.35
 _NON_IDEMPOTENT_FRACTIONS = (0.3, 0.75)
 _SINGLE_PHASE_FRACTION = 0.75
--- a/libs/decisions/src/hemlockhoist/decisions/versions/sequential.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/sequential.py
@@ -18,13 +18,14 @@
 
 from hemlockhoist.decisions.versions.confirm import log_bayes_factor
 
-# The cumulative sum restarts at each zero, and each restart may raise a false suspicion.
-# Its limit is the logarithm of this number of restarts, and the comparison that follows
-# has to reach the stated error rate by itself, so that the rate holds for a whole move
-# and not for a single restart.
+# The cumulative sum restarts at each zero, and each restart may raise a false
+# suspicion. Its limit is the logarithm of this number of restarts, and the comparison
+# that follows has to reach the stated error rate by itself, so that the rate holds for
+# a whole move and not for a single restart.
 CUSUM_RESTARTS = 500
 # Assumed number of routes and measures tested in one move, each of which may raise a
-# false alarm. The limit of each is raised so that the error rate holds for all together.
+# false alarm. The limit of each is raised so that the error rate holds for all
+# together.
 _COMPARISONS = 10
 # A suspicion is cleared when the answers since then favour a good version by 9 to 1.
 _CLEAR_LIMIT = -math.log(9)
@@ -147,7 +148,8 @@
         old = (window.count - suspect.old_count, window.bad_count - suspect.old_bad)
         if old[0] < _MIN_COMPARED and new[1] >= _MIN_BAD_UNCOMPARED:
             return Verdict.BAD
-        # Good answers change the factor little, so it is computed for some of them only.
+        # Good answers change the factor little, so it is computed for some of them
+        # only.
         if new[1] == suspect.evaluated_bad and sum(new + old) % _EVALUATE_EVERY:
             return Verdict.SUSPECT
         suspect.evaluated_bad = new[1]
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/fleet.py
@@ -24,8 +24,8 @@
 
 MOVE_MS = 300_000
 # Grants that a version may get from one home after it became bad. A home that took over
-# at full share has no answers of the old version: its verdict needs 20 failures on either
-# of two lanes, and a burst of 40 may be in flight on each at that time.
+# at full share has no answers of the old version: its verdict needs 20 failures on
+# either of two lanes, and a burst of 40 may be in flight on each at that time.
 MAX_BAD_GRANTS = 120
 # Limit for each of up to three homes on the grants of a bad or hanging version, at any
 # share.
@@ -96,12 +96,12 @@
         )
         if not self.store_up:
             return
-        former = self.store
+        previous = self.store
         try:
-            row = start_move(former, order, UNIX_MS + self.now_ms)
+            row = start_move(previous, order, UNIX_MS + self.now_ms)
         except MoveError:
             return
-        assert former is None or former.state is not MoveState.RUNNING, (
+        assert previous is None or previous.state is not MoveState.RUNNING, (
             "second move started while one is running"
         )
         self.is_bad = self.hangs = False
@@ -126,8 +126,8 @@
 
     def write(self, row):
         """Write the row, as after a successful compare-and-set, and check it."""
-        former = self.store
-        assert former is None or row.fencing >= former.fencing, (
+        previous = self.store
+        assert previous is None or row.fencing >= previous.fencing, (
             "row written under an old lease"
         )
         state = self.ended.get(row.move_id)
@@ -247,16 +247,16 @@
             return
         announcement, was_halted = self.messages[index % len(self.messages)]
         for home in self.active():
-            former, halted = home.controller.row, self.has_halted(home)
+            previous, halted = home.controller.row, self.has_halted(home)
             for _ in range(times):
                 home.controller.observe_announcement(announcement, self.now_ms)
             home.was_suspended = False
             row = home.controller.row
             if row.move_id == announcement.row.move_id and was_halted:
                 assert self.has_halted(home), "halt of a peer was not applied"
-            if former is not None and row.move_id == former.move_id:
+            if previous is not None and row.move_id == previous.move_id:
                 assert self.has_halted(home) or not halted, "halt was undone"
-                ended = former.state is not MoveState.RUNNING
+                ended = previous.state is not MoveState.RUNNING
                 assert not ended or row.state is not MoveState.RUNNING, (
                     "final state reverted to running"
                 )
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_fleet.py
@@ -85,8 +85,8 @@
     """Checks that a bad version gets few grants in any sequence of events.
 
     Operators move the pool back and forth, homes fail, are suspended and resume with an
-    expired lease, the store becomes unavailable, and announcements of peers arrive late,
-    out of order and repeatedly.
+    expired lease, the store becomes unavailable, and announcements of peers arrive
+    late, out of order and repeatedly.
     """
 
     settings = settings(max_examples=40, stateful_step_count=40, deadline=None)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_orders.py
@@ -11,16 +11,20 @@
 )
 
 LEASE_MS = 10_000
-PAUSE_MS = 3_000
+SUSPENSION_MS = 3_000
 
 
 def new_tracker(checks_fencing=True, fencing=1, now_ms=0):
     return OrderTracker.from_config(
-        checks_fencing, fencing, now_ms + LEASE_MS, now_ms, max_suspension_ms=PAUSE_MS
+        checks_fencing,
+        fencing,
+        now_ms + LEASE_MS,
+        now_ms,
+        max_suspension_ms=SUSPENSION_MS,
     )
 
 
-class OrderBookTest(unittest.TestCase):
+class OrderTrackerTest(unittest.TestCase):
     def test_order_is_resent_until_it_is_read_back(self):
         """Guards against an order that is lost because its response was lost.
 
@@ -45,19 +49,19 @@
         self.assertEqual(len(orders.due(LEASE_MS)), 1)
 
     def test_first_order_is_delayed_if_the_engine_ignores_fencing(self):
-        """Guards against an order of a former lease holder that stays in force.
+        """Guards against an order of a previous lease holder that stays in force.
 
         A host is suspended between checking its lease and sending its order, and the
-        engine ignores fencing tokens. The successor waits for the longest pause first;
-        a later change is read back and corrected.
+        engine ignores fencing tokens. The successor waits for the longest assumed
+        suspension first; a later change is read back and corrected.
         """
         successor = new_tracker(checks_fencing=False, fencing=2)
         successor.set_target("e1", "v1")
-        self.assertEqual(successor.due(PAUSE_MS - 1), [])
-        self.assertEqual(len(successor.due(PAUSE_MS)), 1)
+        self.assertEqual(successor.due(SUSPENSION_MS - 1), [])
+        self.assertEqual(len(successor.due(SUSPENSION_MS)), 1)
         successor.observe("e1", "v1")
         successor.observe("e1", "v2")
-        self.assertEqual(len(successor.due(PAUSE_MS + 1)), 1)
+        self.assertEqual(len(successor.due(SUSPENSION_MS + 1)), 1)
 
     def test_rejection_with_a_higher_token_stops_all_orders(self):
         orders = new_tracker(fencing=1)
@@ -72,7 +76,7 @@
     """Successive lease holders; each may be suspended just before it sends an order."""
 
     checks_fencing = True
-    pause_ms = PAUSE_MS
+    suspension_ms = SUSPENSION_MS
 
     def __init__(self):
         super().__init__()
@@ -89,7 +93,7 @@
             fencing,
             self.now_ms + LEASE_MS,
             self.now_ms,
-            max_suspension_ms=self.pause_ms,
+            max_suspension_ms=self.suspension_ms,
         )
         tracker.set_target("e1", f"v{fencing + 1}")
         return tracker
@@ -118,11 +122,11 @@
     def read_back(self):
         self.trackers[-1].observe("e1", self.engine)
 
-    @rule(pause_ms=st.integers(1, PAUSE_MS))
+    @rule(suspension_ms=st.integers(1, SUSPENSION_MS))
     @precondition(lambda self: len(self.trackers) < 4)
-    def suspend_holder_before_sending(self, pause_ms):
+    def suspend_holder_before_sending(self, suspension_ms):
         for order in self.trackers[-1].due(self.now_ms):
-            self.suspended.append((self.now_ms + pause_ms, order))
+            self.suspended.append((self.now_ms + suspension_ms, order))
         self.trackers.append(self.new_holder(len(self.trackers) + 1))
         self.acquired_ms = self.now_ms
 
@@ -151,19 +155,19 @@
 
 
 class CheckingEnginesTest(OrderMachine.TestCase):
-    """No former holder undoes an order in force at engines that check tokens."""
+    """No previous holder undoes an order in force at engines that check tokens."""
 
 
 class IgnoringEnginesTest(IgnoringOrderMachine.TestCase):
-    """No former holder undoes an order in force at engines that ignore tokens."""
+    """No previous holder undoes an order in force at engines that ignore tokens."""
 
 
 class _UndelayedOrderMachine(IgnoringOrderMachine):
-    pause_ms = 0
+    suspension_ms = 0
 
 
-# Hypothesis also draws constants from the loaded sources, so whether sixty examples find
-# the failure depends on the state of the source tree.
+# Hypothesis also draws constants from the loaded sources, so whether sixty examples
+# find the failure depends on the state of the source tree.
 _SEARCH_SETTINGS = settings(_SETTINGS, max_examples=3_000)
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/tests/test_safety.py
@@ -25,8 +25,8 @@
     def test_bad_version_is_halted_before_the_row_is_written(self):
         """Guards against grants of a bad version while the store is unavailable.
 
-        The home cannot write the roll-back. It has to stop granting the version at once,
-        and to write the row when the store is available again.
+        The home cannot write the roll-back. It has to stop granting the version at
+        once, and to write the row when the store is available again.
         """
         traffic = Traffic()
         traffic.serve(good, 5_000)
@@ -101,7 +101,7 @@
         traffic.serve(good, 500)
         self.assertEqual(traffic.counts["v2"], before)
 
-    def test_grants_issued_by_a_former_home_count_as_outstanding(self):
+    def test_grants_issued_by_a_previous_home_count_as_outstanding(self):
         traffic = Traffic()
         for _ in range(5):
             request = traffic.request()
--- a/libs/entry/src/hemlockhoist/entry/admission.py
+++ b/libs/entry/src/hemlockhoist/entry/admission.py
@@ -176,7 +176,7 @@
 
         Failure prevented: a host is cut off from the store while a route or a key is
         added, and permanently refuses what all other hosts serve. Where the routes are
-        not proven fresh, the caller is therefore told to retry.
+        not proven fresh, the refusal therefore directs the caller to retry.
         """
         self._store_view.check_fresh()
         raise BadRequest(text, code)
--- a/libs/entry/src/hemlockhoist/entry/exchange.py
+++ b/libs/entry/src/hemlockhoist/entry/exchange.py
@@ -41,7 +41,7 @@
 MAX_RESPONSE_BYTES = 8_388_608
 _OK = 200
 _SERVER_ERROR = 500
-# Prefix of the incarnation in attempt ids; long enough to tell a fleet's hosts apart.
+# Prefix of the incarnation in attempt ids; long enough to distinguish a fleet's hosts.
 INCARNATION_DIGITS = 6
 # Retry-After of requests that are refused as no upstream responded.
 RETRY_AFTER_MS = 300
@@ -251,9 +251,10 @@
     def _check_before_send(self, hold):
         """Check all preconditions again, and mark the request as possibly run.
 
-        Raises an error while nothing has been sent. Failure prevented: while a request waits for a slot, its customer's key is
-        revoked, its upstream leaves or the host is suspended. The checks at admission
-        no longer hold then, and no later step would detect it.
+        Raises an error while nothing has been sent. Failure prevented: while a request
+        waits for a slot, its customer's key is revoked, its upstream leaves or the host
+        is suspended. The checks at admission no longer hold then, and no later step
+        would detect it.
         """
         if self._admitted.customer is not None:
             self._admission.customer_of(self._admitted.call)
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -442,10 +442,10 @@
 
 def _report_dropped_lines(limit, writer, metrics):
     """Report the number of dropped log lines, so that a gap is visible as such."""
-    left_out, dropped = limit.take_dropped_by_event(), writer.take_dropped()
-    if left_out or dropped:
-        metrics.count(LOG_LINES_DROPPED, value=sum(left_out.values()) + dropped)
-        _log.warning("lines_left_out", **left_out, unread=dropped)
+    dropped_by_event, dropped = limit.take_dropped_by_event(), writer.take_dropped()
+    if dropped_by_event or dropped:
+        metrics.count(LOG_LINES_DROPPED, value=sum(dropped_by_event.values()) + dropped)
+        _log.warning("lines_left_out", **dropped_by_event, unread=dropped)
 
 
 def run(settings, make_platform, listener=None):
--- a/libs/entry/src/hemlockhoist/entry/usage_recorder.py
+++ b/libs/entry/src/hemlockhoist/entry/usage_recorder.py
@@ -165,20 +165,20 @@
     async def _write(self):
         now_ms = self._context.clock.now_ms()
         quotas = self._context.gate.quotas
-        spent = quotas.usage_to_record(now_ms)
-        counted = {name: quotas.counted(name) for name, _ in spent}
+        usage_by_customer = quotas.usage_to_record(now_ms)
+        counted = {name: quotas.counted(name) for name, _ in usage_by_customer}
         if not self._is_write_due(counted):
             return
         platform = self._context.platform
-        record = UsageRow(self._context.store_view.store_now_ms(), spent)
-        value = msgspec.json.encode(record) if spent else None
+        record = UsageRow(self._context.store_view.store_now_ms(), usage_by_customer)
+        value = msgspec.json.encode(record) if usage_by_customer else None
         change = RowChange(
             table=platform.usage_table,
             key=self._context.identity.host_id,
             value=value,
         )
         await platform.store.commit((change,))
-        self._written = spent
+        self._written = usage_by_customer
         self._recorded = counted
 
     def _is_write_due(self, counted):
--- a/libs/host/src/hemlockhoist/host/chat.py
+++ b/libs/host/src/hemlockhoist/host/chat.py
@@ -344,7 +344,7 @@
 def _as_streaming(body):
     """Return the body of a non-streaming request, changed to request a stream.
 
-    The engine is always asked for a stream, since only streams can be resumed; a
+    A stream is always requested from the engine, since only streams can be resumed; a
     non-streaming caller receives the collected answer.
     """
     payload = msgspec.json.decode(body)
--- a/libs/host/src/hemlockhoist/host/dispatcher.py
+++ b/libs/host/src/hemlockhoist/host/dispatcher.py
@@ -90,6 +90,15 @@
     Parameters
     ==========
     guard : SendGuard
+
+    Attributes
+    ==========
+    kind : OutcomeKind
+        Set by the sender of the request; ``NOT_SENT`` until then.
+    first_ms : int or None
+        Time on the host's clock at which the answer began; None before.
+    output_tokens, cached_tokens : int
+        Counts for the outcome.
     """
 
     __slots__ = ("cached_tokens", "first_ms", "guard", "kind", "output_tokens")
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -183,7 +183,7 @@
         return self._live
 
     def count_responsive(self, within_ms):
-        """Return the number of hosts heard from within a time, this one included."""
+        """Return how many hosts sent a message within a time, this one included."""
         own = self._context.identity.host_id
         bus = self._context.bus
         return sum(
@@ -205,7 +205,7 @@
         return len(self.live_hosts()) + self._membership.count_lost(now_ms, lost_ms)
 
     def stable_members(self):
-        """Return this host's own member, and the members that are alive and stay."""
+        """Return this host's own member, and those neither suspect nor leaving."""
         if self._stable_version != self._membership.version:
             self._stable_version = self._membership.version
             self._stable = self._membership.confirmed_members()
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -39,12 +39,12 @@
 # Interval at which a queued request is sent again, to check that it is still queued.
 QUEUED_RESEND_MS = 1_000
 # Requests without a reply, after which the home is reported as unresponsive: it is
-# frozen, partitioned off or dead, and the next home should take over the pool. A single
+# frozen, partitioned or dead, and the next home should take over the pool. A single
 # message may simply be lost.
 MAX_UNANSWERED = 2
 # Consecutive requests without a reply from any home, after which the entry host turns
 # to its own standby home. With RESEND_MS, a caller then waits less than half a second
-# for a home that is frozen or partitioned off, whatever state other hosts see it in.
+# for a home that is frozen or partitioned, whatever state other hosts see it in.
 STANDBY_AFTER_TIMEOUTS = 3
 # Longest time without a reply from any home. Membership detects a dead host within
 # about two seconds, and the next home replies at once.
@@ -184,9 +184,9 @@
     def refuse_waiting(self, code, retry_after_ms):
         """Refuse all requests that wait for a grant, now and from here on.
 
-        Failure: a host that was told to stop still has requests in a home's queue. When
-        the process ends, their callers see a closed connection and cannot tell that
-        nothing ran.
+        Failure: a host that was ordered to stop still has requests in a home's queue.
+        When the process ends, their callers see a closed connection and cannot know
+        that nothing ran.
         """
         self._refusal = (code, retry_after_ms)
         for waiter in self._waiters.values():
@@ -443,7 +443,7 @@
             self._send_release(_hold_from_reply(message, sender), "not_sent", None)
 
     def on_homes_changed(self):
-        """Send requests that wait at a former home to the new one at once."""
+        """Send requests that wait at a previous home to the new one at once."""
         for waiter in self._waiters.values():
             if waiter.queried_home != self._home_of(waiter.pool):
                 waiter.inbox.put_nowait((_RESEND, 0))
@@ -453,7 +453,7 @@
 
         Failure: a home is killed and starts again at its address. Mistaken for the
         process that had counted the usage itself, it gets no report of it and grants a
-        customer its quota once more. So homes are told apart by incarnation, not by
+        customer its quota once more. So homes are distinguished by incarnation, not by
         host.
 
         Parameters
@@ -465,15 +465,15 @@
         for hold in held:
             self._claiming_homes.setdefault(hold.grant_id, set()).add(home)
         grants = tuple(_held_grant_message(hold) for hold in held)
-        spent = ()
+        usage_by_customer = ()
         if self._usage_log is not None:
             now_ms = self._clock.now_ms()
-            spent = self._usage_log.report(pool, home_incarnation, now_ms)
+            usage_by_customer = self._usage_log.report(pool, home_incarnation, now_ms)
         return HeldGrants(
             pool=pool,
             home_incarnation=home_incarnation,
             grants=grants,
-            usage=spent,
+            usage=usage_by_customer,
             up_ms=self._clock.now_ms() - self._started_ms,
             incarnation=self._incarnation,
         )
--- a/libs/host/src/hemlockhoist/host/handover.py
+++ b/libs/host/src/hemlockhoist/host/handover.py
@@ -31,7 +31,7 @@
         """Have every resumable stream direct its caller to another host.
 
         The pending read of each stream is interrupted: a stream may carry no data for a
-        long time, and would notice the handover only with its next event.
+        long time, and would be handed over only at its next event.
         """
         self.begun = True
         for relay in tuple(self._relays):
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -81,7 +81,7 @@
         """Handle the start of a home at this host, which queries ``hosts``."""
 
     def on_usage_report(self, host, held, now_ms):
-        """Handle an entry host's report of usage under an earlier home.
+        """Handle an entry host's report of usage under a previous home.
 
         Parameters
         ==========
@@ -106,7 +106,7 @@
         The pool's declaration and the tiers that the scheduler was built from.
     traces : Traces
     metrics : Metrics, optional
-    gate : Gate, optional
+    gate : AllowAllGate, optional
         Refuses requests before they reach the scheduler.
     reconnect : callable, optional
         ``reconnect(host_id)`` replaces the connection to a host that missed a reply.
@@ -351,7 +351,7 @@
             self._metrics.count(WASTED_TOKENS, self.pool, wasted)
 
     def on_held_grants(self, sender, message):
-        """Adopt the grants of an earlier home that an entry host still holds."""
+        """Adopt the grants of a previous home that an entry host still holds."""
         if message.home_incarnation != self._identity.incarnation:
             return
         now_ms = self._clock.now_ms()
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -17,7 +17,7 @@
 
 
 def _no_tracker(pool):
-    """Return None, by which the scheduler determines its upstreams' limits itself."""
+    """Return None: the scheduler then finds the limits of the upstreams itself."""
     return
 
 
@@ -29,7 +29,7 @@
     context : HostContext
     send : callable
         ``send(host_id, message)``.
-    gate : Gate, optional
+    gate : AllowAllGate, optional
         Refuses requests before they reach a pool's scheduler.
     home_key_of : callable, optional
         ``home_key_of(pool)`` returns the key that is hashed to find a pool's home;
@@ -112,7 +112,7 @@
     def _standby(self, name):
         """Return the standby home for this host's own requests, or None.
 
-        It is created when the pool's home is frozen, partitioned off or gone, until the
+        It is created when the pool's home is frozen, partitioned or gone, until the
         fleet agrees on the next one, and when this host is partitioned from all others.
         It knows the upstreams and this host's own grants, but not the requests of other
         hosts.
--- a/libs/host/src/hemlockhoist/host/ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/ledger_service.py
@@ -40,7 +40,7 @@
 RETENTION_MS = 3_600_000
 LOOKUP_RESEND_MS = 200
 # A live holder answers within milliseconds. After this time it is assumed to be dead or
-# partitioned off, and the caller is told that the outcome is unknown.
+# partitioned, and the caller gets "outcome unknown".
 LOOKUP_TIMEOUT_MS = 2_000
 MAX_LOOKUP_HOPS = 4
 HANDOVER_RESEND_MS = 200
--- a/libs/host/src/hemlockhoist/host/operator_messages.py
+++ b/libs/host/src/hemlockhoist/host/operator_messages.py
@@ -69,7 +69,7 @@
     ==========
     version : int
         The accepted version read from the table service, or the version in force on the
-        answering host if the service can not be read.
+        answering host if the service cannot be read.
     hosts : tuple of HostVersion
         All live hosts of the fleet.
     declarations : Declarations
--- a/libs/host/src/hemlockhoist/host/process.py
+++ b/libs/host/src/hemlockhoist/host/process.py
@@ -237,9 +237,9 @@
         evacuated = self.context.declarations.evacuations()
         self.context.homes.set_upstreams(mark_evacuated(self._upstreams, evacuated))
 
-    def _log_evacuations(self, former, declarations):
+    def _log_evacuations(self, previous, declarations):
         """Log the failure domains whose evacuation begins, with its reason, or ends."""
-        before, after = former.evacuations(), declarations.evacuations()
+        before, after = previous.evacuations(), declarations.evacuations()
         for name in sorted(after.keys() - before.keys()):
             _log.info("domain_evacuated", failure_domain=name, reason=after[name])
         for name in sorted(before.keys() - after.keys()):
@@ -272,7 +272,7 @@
             context.metrics.gauge(GRANTS_IN_FLIGHT, granted, pool)
 
     def begin_drain(self):
-        """Begin a graceful shutdown; further calls have no effect.
+        """Begin a planned stop of this host; further calls have no effect.
 
         Operators and supervisors may send the signal twice. Treating the second one as
         a request for immediate termination would cut the requests that the first one
@@ -300,7 +300,7 @@
         if context.open_requests:
             _log.warning("drain_overrun", open_requests=context.open_requests)
             context.handover.begin()
-            # Non-streaming answers and calls of plain services can not be handed over.
+            # Non-streaming answers and calls of plain services cannot be handed over.
             # They are not cut either, but get the same time again to finish.
             await self._wait_idle(self.settings.drain_limit_ms)
         await context.bus.flush(FLUSH_TIMEOUT_MS)
--- a/libs/host/src/hemlockhoist/host/server.py
+++ b/libs/host/src/hemlockhoist/host/server.py
@@ -150,7 +150,7 @@
             return error_response(BadRequest("", code), request_id)
         except Exception as error:
             # An internal error says nothing about whether the request ran, so the code
-            # must not tell the caller that it did not.
+            # must not state that it did not.
             _log.error("request_failed", request=request_id, exc_info=True)
             code = ResultCode.INTERNAL_ERROR
             return error_response(HemlockhoistError(repr(error), code), request_id)
@@ -158,7 +158,7 @@
     def _check_ready(self, request):
         """Refuse callers until this host's declarations are known to be current.
 
-        Without them a valid key can not be distinguished from an invalid one, and a
+        Without them a valid key cannot be distinguished from an invalid one, and a
         caller with a valid key would receive an error that it must not retry.
         """
         if request.path.startswith(OPERATORS_PREFIX):
--- a/libs/host/src/hemlockhoist/host/services.py
+++ b/libs/host/src/hemlockhoist/host/services.py
@@ -18,7 +18,7 @@
 SERVICES_PREFIX = "/services"
 KEY_HEADER = "Idempotency-Key"
 # Limit on an answer, which is read completely before its head is sent to the caller, so
-# that a caller never holds part of an answer that can not be fetched again.
+# that a caller never holds part of an answer that cannot be fetched again.
 MAX_ANSWER_BYTES = 8_388_608
 _SERVER_ERROR = 500
 
@@ -194,7 +194,7 @@
         for name in value.split(",")
     }
     dropped = _HOP_BY_HOP | removed | connection_options
-    # Converted to str, as the HTTP library's own type can not be sent to another host.
+    # Converted to str, as the HTTP library's own type cannot be sent to another host.
     return tuple(
         (str(name), str(value))
         for name, value in headers.items()
--- a/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_ledger_service.py
@@ -77,7 +77,7 @@
     async def test_key_of_a_dead_host_has_an_unknown_outcome(self):
         """The host that minted a key is dead, so the call may have run there.
 
-        The caller is told at once that the outcome is unknown, and nothing runs.
+        The caller gets "outcome unknown" at once, and nothing runs.
         """
         key = self.a.mint_prefix() + ".1"
         del self.services["a"]
--- a/libs/host/src/hemlockhoist/host/tokens.py
+++ b/libs/host/src/hemlockhoist/host/tokens.py
@@ -38,7 +38,7 @@
 class StreamTokens:
     """Signs and verifies stream tokens.
 
-    A token is signed with the key that all hosts share, so that a caller can not
+    A token is signed with the key that all hosts share, so that a caller cannot
     direct a host to another address or to another customer's stream.
 
     Parameters
--- a/libs/messages/src/hemlockhoist/messages/membership.py
+++ b/libs/messages/src/hemlockhoist/messages/membership.py
@@ -97,7 +97,7 @@
 class ProbeRequest(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """Asks a host to probe ``target_address`` and to relay its acknowledgement."""
+    """Requests that a host probe ``target_address`` and relay the acknowledgement."""
 
     number: int
     sender: MemberUpdate
--- a/libs/peers/src/hemlockhoist/peers/link.py
+++ b/libs/peers/src/hemlockhoist/peers/link.py
@@ -25,7 +25,7 @@
 INITIAL_CONNECT_TIMEOUT_MS = 150
 MAX_CONNECT_TIMEOUT_MS = 1_000
 # A new connection is established within a few round trips, and a sender without a reply
-# asks for a reconnection with each repeated request.
+# requests a reconnection with each repeated request.
 MIN_RECONNECT_INTERVAL_MS = 400
 FLUSH_POLL_INTERVAL_MS = 5
 
--- a/libs/store/src/hemlockhoist/store/watch.py
+++ b/libs/store/src/hemlockhoist/store/watch.py
@@ -40,7 +40,7 @@
         Longest time that a call waits for changes, and so the longest time between two
         proofs that nothing has changed.
     on_rows : callable
-        ``on_rows(reading, is_snapshot)``; ``is_snapshot`` tells that the reading holds
+        ``on_rows(reading, is_snapshot)``; ``is_snapshot`` states that the reading holds
         all rows of the table.
     on_reading : callable, optional
         ``on_reading(reading)`` after each successful call.
--- a/libs/upstreams/src/hemlockhoist/upstreams/client.py
+++ b/libs/upstreams/src/hemlockhoist/upstreams/client.py
@@ -320,7 +320,7 @@
 
 
 async def cancel_stream(client, address, request_id):
-    """Ask an engine to stop an abandoned stream; if that fails, it times out there."""
+    """Cancel an abandoned stream at its engine; if that fails, it times out there."""
     call = UpstreamCall(
         address=address,
         method="DELETE",
