--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
@@ -7,7 +7,8 @@
 
 class BackoffTests(unittest.TestCase):
     def test_failures_spread_and_stay_bounded(self):
-        """
+        """Guards against simultaneous reads that bring a recovered store down again.
+
         A store recovers from an outage while a thousand hosts wait for it. With equal
         delays it would get a thousand reads at once and fail again.
         """
--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_state.py
@@ -25,7 +25,8 @@
         self.assertEqual(report.confirmed, 40)
 
     def test_store_down_just_after_the_write(self):
-        """
+        """Guards against a confirmed change that waits for the end of an outage.
+
         The store confirms an operator's change and then goes down for an hour. The host
         that wrote the change propagates it, and no host waits for the store.
         """
@@ -79,7 +80,8 @@
         return state
 
     def test_older_versions_change_nothing(self):
-        """
+        """Guards against reverting an accepted change by an older version.
+
         A peer that was partitioned for an hour sends its old version, and the store
         answers from a lagging replica. Applying either would revert an accepted change.
         """
@@ -91,7 +93,8 @@
         self.assertEqual(state.serving_declarations(3).version, 5)
 
     def test_two_contents_of_one_version_are_a_violation(self):
-        """
+        """Checks that a second content of the same version raises.
+
         Two operators race, and a host propagates a write that the store has not
         confirmed. One version number then has two contents.
         """
@@ -109,7 +112,8 @@
             state.mark_in_force(4, 1)
 
     def test_resumed_host_serves_nothing_before_a_confirmation(self):
-        """
+        """Guards against serving an old version after a suspension.
+
         Host h5 is frozen while version 2 comes into force and the fleet considers it
         gone. It resumes with version 1 and reads messages that waited in its socket,
         among them a peer's confirmation from before the change that 1 is the newest.
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
@@ -31,7 +31,7 @@
         st.integers(0, 5),
     )
     def test_booking_that_may_have_run_is_not_sent_again(self, end, sends, unsent):
-        """A hall is booked twice.
+        """Guards against booking a hall twice.
 
         The first replica runs the booking and the connection breaks before its answer;
         then the second replica runs it again.
@@ -57,7 +57,7 @@
         self.assertIs(last, Step.FAIL)
 
     def test_refused_retry_of_a_lookup_that_ran_is_not_reported_as_not_run(self):
-        """A caller is told that its lookup did not run although an attempt did.
+        """Guards against reporting "not run" although an attempt ran.
 
         The first attempt breaks off after the replica ran it, and the second replica
         reports that it did not run its own: only that attempt is known not to have run.
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_evacuation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_evacuation.py
@@ -16,13 +16,13 @@
         self.domains.apply(order("a", True, 5))
 
     def test_older_reading_does_not_end_an_evacuation(self):
-        """A zone gets requests again when a host reads a list older than the order."""
+        """Guards against ending an evacuation by a list older than the order."""
         self.assertEqual(self.domains.replace((), 4), ())
         self.assertFalse(self.domains.apply(order("a", False, 3)))
         self.assertEqual(self.domains.names(), ("a",))
 
     def test_older_reading_does_not_restart_an_ended_evacuation(self):
-        """A zone stays empty after its evacuation because an older list is read."""
+        """Guards against a zone that stays empty because an older list is read."""
         self.domains.apply(order("a", False, 7))
         self.assertEqual(self.domains.replace((order("a", True, 5),), 6), ())
         self.assertEqual(self.domains.names(), ())
@@ -35,7 +35,7 @@
         self.assertIsNone(self.domains.version("a"))
 
     def test_unreadable_order_leaves_the_state_unchanged(self):
-        """An evacuated zone is used again because its order was overwritten."""
+        """Guards against using an evacuated zone whose order was overwritten."""
         self.assertFalse(self.domains.apply(order("a", None, 8)))
         self.assertEqual(self.domains.replace((order("a", None, 8),), 9), ())
         self.assertFalse(self.domains.apply(order("b", None, 8)))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_freshness.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_freshness.py
@@ -9,7 +9,7 @@
 
 class FreshnessTests(unittest.TestCase):
     def test_age_is_never_understated(self):
-        """A revoked key remains valid.
+        """Guards against a revoked key that remains valid.
 
         A host that treats an old answer as new honours keys for longer than declared.
         Calls and answers take any time; the age must not be below the true one.
@@ -30,7 +30,7 @@
                 self.assertGreaterEqual(age_ms, now_ms - proven_ms)
 
     def test_answer_of_a_long_poll_proves_its_own_time(self):
-        """Hosts refuse callers although the store answers them every three seconds.
+        """Guards against refusing callers while the store answers every 3 seconds.
 
         A long poll for changes is answered after seconds. If the age counted from when
         it was sent, each proof would be seconds old on arrival.
@@ -47,7 +47,7 @@
         self.assertEqual(freshness.age_ms(HOST_MS + 1_500), 500)
 
     def test_age_of_a_relayed_reading_is_never_understated(self):
-        """A revoked key remains valid at hosts that use another host as reader.
+        """Guards against a revoked key that remains valid at followers of a reader.
 
         The reader's reading is older than the request, its clock estimate is off by the
         duration of its own calls, and request and reply take any time in transit.
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_halted.py
@@ -6,7 +6,7 @@
 
 class HaltedVersionsTests(unittest.TestCase):
     def test_late_announcement_of_an_old_halt_leaves_the_next_order_in_force(self):
-        """A fixed version, ordered again, is rolled back by its previous halt."""
+        """Guards against rolling back a fixed version by its previous halt."""
         versions = HaltedOrders()
         versions.record("halls", "v2", "halls@8")
         versions.keep_only("halls", "v2", "halls@14")
@@ -14,7 +14,7 @@
         self.assertFalse(versions.has("halls", "v2", "halls@14"))
 
     def test_halt_announced_before_its_order_applies_to_that_order(self):
-        """A host uses grants of a halted version because the order arrived last."""
+        """Guards against using a halted version whose order arrived last."""
         versions = HaltedOrders()
         versions.record("halls", "v2", "halls@14")
         self.assertTrue(versions.has("halls", "v2"))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_listing.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_listing.py
@@ -26,7 +26,7 @@
         self.listing.replace([upstream("a"), upstream("b")], 0)
 
     def test_upstreams_stay_usable_when_all_entries_expire(self):
-        """Every lookup is refused although all replicas are healthy.
+        """Guards against refusing every lookup although all replicas are healthy.
 
         During an outage of the store the leases of all entries expire, and the list is
         empty for a moment after its recovery. The replicas register again within
@@ -43,7 +43,7 @@
         self.assertEqual(names(self.listing, 1_000 + VANISHED_GRACE_MS), [])
 
     def test_upstream_that_vanishes_beside_others_gets_no_work(self):
-        """A removed replica gets bookings that no process answers."""
+        """Guards against sending bookings to a removed replica."""
         self.listing.drop("a", 1_000)
         self.assertEqual(names(self.listing, 1_000), ["b"])
         self.assertIsNone(self.listing.get("a", 1_000))
@@ -81,7 +81,7 @@
         self.assertEqual(names(self.listing, 1_000), ["a", "b"])
 
     def test_report_of_a_host_that_is_behind_changes_nothing(self):
-        """A host that has not read of a new upstream yet makes the home remove it."""
+        """Guards against removing an upstream that the reporter has not read yet."""
         self.assertFalse(self.listing.mark_removed("a", 5, 1_000))
         self.assertFalse(self.listing.mark_removed("unknown", 9, 1_000))
         self.assertEqual(names(self.listing, 1_000), ["a", "b"])
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_locality.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_locality.py
@@ -19,7 +19,7 @@
         return [item.failure_domain for item in found]
 
     def test_hosts_of_the_callers_region_come_first(self):
-        """Request bodies pass through a region where they must not be kept."""
+        """Guards against bodies passing a region where they must not be kept."""
         self.assertEqual(self.near(["s1", "n1", "n2"], "north"), ["n1", "n2"])
 
     def test_hosts_of_allowed_regions_if_the_callers_has_none(self):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_move_orders.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_move_orders.py
@@ -71,7 +71,7 @@
 
 class OrderStateTests(unittest.TestCase):
     def test_completion_is_reported_when_the_old_version_is_idle(self):
-        """Answers in progress are lost if old upstreams stop on an early report."""
+        """Guards against stopping old upstreams while answers are in progress."""
         row = move()
         self.assertIs(order_state(row, 0), MoveOrderState.IN_PROGRESS)
         row = type(row)(**{**_fields(row), "state": MoveState.FINISHED})
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_prefixes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_prefixes.py
@@ -9,7 +9,7 @@
         self.assertEqual(doctest.testmod(prefixes).failed, 0)
 
     def test_hashes_are_the_same_on_all_hosts(self):
-        """Hosts of adjacent releases must place a prompt by the same hashes."""
+        """Guards against a changed hash between hosts of adjacent releases."""
         self.assertEqual(chained_hashes(["5c1e07a2"]), (15100700061308107535,))
 
     def test_block_behind_other_blocks_has_another_hash(self):
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_readers.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_readers.py
@@ -42,7 +42,7 @@
         self.assertEqual(reader.failure_domain, "d1")
 
     def test_reader_of_another_domain_is_used_while_the_local_one_fails(self):
-        """Each host of a domain reads the store itself if the domain's reader fails."""
+        """Guards against all hosts of a domain reading the store themselves."""
         members = fleet(60)
         readers = find_readers(members)
         own = next(m for m in members if m not in readers.values())
@@ -69,7 +69,7 @@
         return Reading(rows=found, version=version, store_ms=version, sent_ms=0)
 
     def test_follower_behind_the_known_deletions_must_read_all_rows(self):
-        """A deleted upstream remains in use.
+        """Guards against using a deleted upstream forever.
 
         The reader started after the deletion; with only the changes that the reader
         knows, the follower would keep the row forever.
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_sweep.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_sweep.py
@@ -15,7 +15,7 @@
         self.assertEqual(self.stale.find({"a": 1, "b": 1}, ["a"], 2_000), ("b",))
 
     def test_host_that_has_just_started_removes_nothing(self):
-        """All entries are removed when a host restarts and knows no others yet."""
+        """Guards against removing all entries when a host has just restarted."""
         self.assertEqual(self.stale.find({"a": 1, "b": 1, "c": 1}, ["a"], 50_000), ())
 
     def test_rewritten_entry_starts_a_new_retention_period(self):
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_handover.py
@@ -31,7 +31,8 @@
         self.key = make_key(self.a)
 
     def test_repeat_after_a_planned_stop_gets_its_answer(self):
-        """
+        """Guards against answering repeats with "unknown" after a planned stop.
+
         Host a answers a booking, leaves in a planned stop, and the caller repeats the
         call. Without the handover the repeat would get "unknown" at any host.
         """
@@ -51,7 +52,8 @@
         self.assertEqual(look_up(self.b, self.s, pending.lookup), Replay(ANSWER))
 
     def test_leaver_dispatches_no_new_key(self):
-        """
+        """Guards against a key that runs at the leaver and at its successor.
+
         The leaver has sent its ledger and waits for the acknowledgement. A call that
         reaches the leaver now must not run concurrently with one at the successor.
         """
@@ -72,7 +74,8 @@
         self.assertIsInstance(look_up(self.b, self.s, moved.lookup), Proceed)
 
     def test_successor_waits_for_all_parts(self):
-        """
+        """Guards against a second booking after a partial handover.
+
         The leaver dies when only the first part of its ledger has arrived. The second
         part holds a booking that ran, and a successor that treated "no record" as
         "never ran" would book again.
@@ -100,7 +103,8 @@
         self.assertEqual(self.a.handover("s", 0), [])
 
     def test_outcome_of_a_request_in_progress_follows(self):
-        """
+        """Checks that an outcome after the handover reaches the successor.
+
         A booking runs while its host leaves. A repeat at the successor gets "in
         progress", and the answer once the leaver has reported it, even if the leaver
         has left by then.
@@ -135,7 +139,8 @@
         self.assertEqual(self.s.abandon_lookup(CUSTOMER, self.key, 0), OutcomeUnknown())
 
     def test_grant_in_transit_is_not_duplicated_by_a_handover(self):
-        """
+        """Guards against using one right twice: by grant and by handover.
+
         Host a granted a key to s, and the reply is delayed. Then a leaves and hands its
         ledger, which carries the same right, over to s. s may use the right once.
         """
@@ -152,7 +157,8 @@
         self.assertIsInstance(begin(self.s, self.key), Proceed)
 
     def test_key_granted_to_the_leaver_after_its_ledger_was_compiled(self):
-        """
+        """Guards against running a key that the handover does not contain.
+
         Host a compiles its ledger for s, and the message is delayed. Meanwhile a caller
         uses a key of s at a, which gets the right from s and books the hall. The ledger
         that then reaches s does not contain the key, which must not look unseen there.
@@ -167,7 +173,8 @@
         self.assertNotIsInstance(begin(self.s, key), Proceed)
 
     def test_key_run_before_the_handover_is_kept_as_long_as_its_range(self):
-        """
+        """Guards against dropping the record of a key that is still valid.
+
         Host s books under a key of a that was granted to it. Much later a leaves, and s
         takes over a's keys with a range clock that lags by the delay of the message. s
         must not drop its own record before the key expires on that clock.
@@ -183,7 +190,8 @@
             self.assertNotIsInstance(begin(self.s, self.key, now_ms), Proceed)
 
     def test_key_minted_while_the_leaver_drains_is_retained(self):
-        """
+        """Guards against keys that expire early because their host drained.
+
         A host drains for an hour, and a caller that kept its address requests a prefix
         from it. A key of the epoch in which the drain began would expire within
         minutes, and its repeat would get "unknown".
@@ -198,7 +206,8 @@
             self.a.mint_prefix(drained_ms + EPOCH_MS)
 
     def test_wrong_body_at_the_successor_does_not_bind_the_key(self):
-        """
+        """Guards against refusing the correct call after one with a wrong body.
+
         A call with a wrong body waits at s for the leaver's reply when the ledger
         arrives with the answer to the correct call. The correct call gets that answer
         and is not refused.
@@ -209,7 +218,8 @@
         self.assertEqual(begin(self.s, self.key), Replay(ANSWER))
 
     def test_second_successor_only_after_a_refusal(self):
-        """
+        """Guards against two successors that both hold the dispatch rights.
+
         The first successor is full or restarts during the handover. The leaver may name
         another one only after the first has explicitly refused the ledger.
         """
--- a/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_ledger.py
+++ b/libs/decisions/src/hemlockhoist/decisions/ledger/tests/test_ledger.py
@@ -40,7 +40,8 @@
         self.key = make_key(self.ledger)
 
     def test_repeat_is_in_progress_and_later_replays(self):
-        """
+        """Guards against booking a hall again for each repeat of a call.
+
         A client repeats a booking while the first call is queued, while it runs and
         after it was answered. Without the record each repeat would book the hall again.
         """
@@ -61,7 +62,8 @@
             self.ledger.mark_dispatched(first, 2)
 
     def test_broken_connection_stays_unknown(self):
-        """
+        """Guards against dispatching again after half of a request was sent.
+
         The connection to the reservation service breaks after half of a booking was
         sent. Every repeat gets "outcome unknown" until a late answer arrives.
         """
@@ -110,7 +112,8 @@
 
 class BoundTests(unittest.TestCase):
     def test_old_keys_expire_and_are_never_dispatched(self):
-        """
+        """Guards against running an old key whose record was dropped.
+
         A client repeats a booking after a weekend, when its record has been dropped.
         "No record" must not be treated as "never ran".
         """
@@ -124,7 +127,8 @@
         self.assertEqual(len(ledger.table), 0)
 
     def test_epoch_rotation_keeps_records_in_progress(self):
-        """
+        """Guards against dropping the record of a request that still runs.
+
         A booking waits for a stuck service for longer than the retention of its key. If
         its record were dropped with the epoch, a repeat would run concurrently.
         """
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_partitions.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_partitions.py
@@ -10,7 +10,7 @@
 class PartitionShareTests(unittest.TestCase):
     @given(st.lists(st.integers(1, 12), min_size=1, max_size=8))
     def test_partitions_together_grant_no_more_than_the_whole(self, sizes):
-        """A customer runs several times its quota during a network partition."""
+        """Guards against granting a quota once in each partition."""
         known = sum(sizes)
         total = sum(partition_share(size, known, is_home=True) for size in sizes)
         self.assertLessEqual(total, 1.0 + 1e-9)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_quotas.py
@@ -28,7 +28,7 @@
 
 class WindowTests(unittest.TestCase):
     def test_customer_within_its_declared_bound_is_not_refused(self):
-        """A burst within the declared bound is refused.
+        """Guards against refusing a burst within the declared bound.
 
         A token bucket that refills at the declared rate refuses load that the bound of
         the window allows: every burst after the first one in the window.
@@ -88,10 +88,10 @@
             self.assertLessEqual(inside, BOUND)
 
     def test_restart_of_all_hosts_does_not_grant_the_window_twice(self):
-        """A customer gets twice its quota, and other customers' requests are late.
+        """Guards against granting a quota twice when all hosts restart.
 
-        It was at its bound when all hosts were killed. The hosts that restarted a
-        second later had no record of its usage.
+        A customer was at its bound when all hosts were killed. The hosts that restarted
+        a second later had no record of its usage.
         """
         for down_ms in (200, 1_000, 3_000):
             with self.subTest(down_ms=down_ms):
@@ -106,7 +106,7 @@
                 )
 
     def test_restart_refuses_no_typical_usage(self):
-        """Customers with typical load are refused after a restart."""
+        """Guards against refusing customers with typical load after a restart."""
         tracker = new_tracker()
         tracker.set_unknown_usage(UnknownUsage(fraction=1.0, since_ms=0))
         refused = [tracker.acquire("port", 100, at) for at in range(0, 12_000, 180)]
@@ -155,7 +155,7 @@
             self.assertLessEqual(sum(inside), bound)
 
     def test_no_window_exceeds_the_bound_when_requests_wait(self):
-        """A customer exceeds its bound by 3 % after a burst with a long queue."""
+        """Guards against exceeding a bound by 3 % after a long queue."""
         tracker, ran = new_tracker(), []
         for at in range(0, 1_000, 10):
             if tracker.acquire("port", 100, at) == 0:
@@ -175,10 +175,10 @@
 
 class TakeoverTests(unittest.TestCase):
     def test_new_home_counts_usage_under_the_previous_home(self):
-        """A customer runs twice its bound in one window.
+        """Guards against granting a quota twice in one window at a takeover.
 
-        It is at its bound when the home dies. The next home starts with no usage
-        counted, and grants the quota of the whole window again.
+        A customer is at its bound when the home dies. The next home starts with no
+        usage counted, and grants the quota of the whole window again.
         """
         log, successor = UsageLog(WINDOW_MS), new_tracker()
         for at in range(0, 2_000, 100):
@@ -190,7 +190,7 @@
         self.assertLessEqual(acquired, BOUND - 8_000)
 
     def test_units_granted_before_the_record_is_read_are_not_treated_as_reported(self):
-        """A customer exceeds its bound by a tenth after a loss of all hosts.
+        """Guards against exceeding a bound by a tenth after a loss of all hosts.
 
         The first wave of callers arrived before the new home had read the record, and
         the units granted to them were treated as part of the record.
@@ -203,7 +203,7 @@
         )
 
     def test_refunds_leave_no_negative_bucket_in_the_record(self):
-        """A customer exceeds its bound by 4 % after a loss of all hosts.
+        """Guards against exceeding a bound by 4 % after a loss of all hosts.
 
         Requests that had acquired units were refused a second later, and the refund
         made that second's bucket of the record negative. The home that read the record
@@ -247,7 +247,7 @@
         self.assertEqual(log.report("dossiers", "h1", 0), ())
 
     def test_host_that_becomes_home_again_counts_nothing_twice(self):
-        """A customer within its bound is refused for seconds after changes of home."""
+        """Guards against refusing customers within their bound as homes change."""
         first, between = new_tracker(), new_tracker()
         log = UsageLog(WINDOW_MS)
 
@@ -271,7 +271,7 @@
         self.assertEqual(left, int(USED_FRACTION * BOUND) - 4_800)
 
     def test_reports_never_add_up_to_more_than_may_have_been_granted(self):
-        """Summed reports put a customer far over its bound for a whole window."""
+        """Guards against summing reports far over a bound for a whole window."""
         successor = new_tracker()
         for host in range(5):
             successor.add_reported(f"h{host}", [("port", ((100, 8_000),))], 1_000)
--- a/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_retry_limiter.py
+++ b/libs/decisions/src/hemlockhoist/decisions/limits/tests/test_retry_limiter.py
@@ -6,7 +6,7 @@
 
 class RetryLimiterTests(unittest.TestCase):
     def test_outage_does_not_multiply_the_load(self):
-        """Every request of a pool fails and is retried.
+        """Guards against retrying every request of a pool that fails.
 
         Without a limit the upstreams get twice their load while they are overloaded.
         """
@@ -27,7 +27,7 @@
         self.assertEqual(sum(limiter.acquire(5) for _ in range(100)), 7)
 
     def test_restart_of_all_hosts_does_not_double_the_bound(self):
-        """All hosts are killed in an outage, and the retries are granted again."""
+        """Guards against granting the retries again after all hosts were killed."""
         previous = RetryLimiter(window_ms=10_000, ratio=0.2, base=100)
         before = sum(previous.acquire(0) for _ in range(1_000))
         limiter = RetryLimiter(window_ms=10_000, ratio=0.2, base=100)
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_failover.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_failover.py
@@ -18,7 +18,7 @@
         return [n for n in range(8) if n != self.number]
 
     def test_dead_home_is_replaced_when_a_connection_is_refused(self):
-        """Callers of a whole pool wait 5 s, and some are refused.
+        """Guards against callers of a whole pool waiting 5 s for a dead home.
 
         The home of the pool is killed. Its address refuses connections at once, but by
         probes alone the next probe must reach it and the suspicion must time out.
@@ -32,7 +32,7 @@
             self.assertNotIn(self.home, self.fleet.live_at(number))
 
     def test_frozen_home_is_replaced_when_it_is_reported(self):
-        """A pool waits until the next probe detects that its home is frozen.
+        """Guards against a pool waiting for the next probe of a frozen home.
 
         The entry host whose requests the home leaves unanswered reports it, and all
         other hosts choose the same next home at once.
@@ -46,7 +46,7 @@
         self.assertNotIn(self.home, names)
 
     def test_slow_home_does_not_flap(self):
-        """Pools move back and forth because their home is slow.
+        """Guards against pools that move back and forth because of a slow home.
 
         A busy home leaves two requests unanswered. It refutes the suspicion and is home
         again; another report within seconds changes nothing.
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_large_fleets.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_large_fleets.py
@@ -61,14 +61,14 @@
         return host.homes("cell", 0)[0]
 
     def test_all_hosts_agree_on_one_home_of_high_capacity(self):
-        """Two homes assign the same slots, or a host with half a core is the home."""
+        """Guards against two homes, and against a home with half a core."""
         homes = {self.home(host).address for host in self.hosts}
         self.assertEqual(len(homes), 1)
         for home in self.hosts[0].homes("cell", 0):
             self.assertEqual(home.processor_millicores, HIGH_CAPACITY_MILLICORES)
 
     def test_remaining_hosts_agree_on_one_home_after_loss_of_a_failure_domain(self):
-        """The home is lost with a sixth of the fleet, and two hosts succeed it."""
+        """Guards against two successors of a home lost with a sixth of the fleet."""
         previous = self.home(self.hosts[0])
         gone = [m for m in self.members if m.failure_domain == previous.failure_domain]
         remaining = [m for m in self.members if m not in gone]
@@ -80,7 +80,7 @@
         self.assertTrue(homes <= {member.address for member in remaining})
 
     def test_loss_of_a_failure_domain_keeps_the_readers_of_the_others(self):
-        """All hosts read the store when one domain is lost: 160 calls at once."""
+        """Guards against 160 reads of the store at once when a domain is lost."""
         before = find_readers(self.members)
         self.assertEqual(len(before), DOMAINS)
         remaining = [m for m in self.members if m.failure_domain != "d0"]
@@ -90,7 +90,7 @@
         self.assertEqual(len(direct_readers), DOMAINS - 1)
 
     def test_last_remaining_host_serves_by_itself(self):
-        """The last of 195 hosts waits for a home or reader that is gone."""
+        """Guards against the last of 195 hosts waiting for hosts that are gone."""
         host = self.hosts[0]
         send_updates(host, self.members[1:], Health.GONE)
         self.assertEqual(host.homes("cell", 0), (self.members[0],))
@@ -98,7 +98,7 @@
         self.assertIsNone(reader_for([self.members[0]], self.members[0]))
 
     def test_callers_are_spread_over_all_hosts(self):
-        """Callers concentrate on a few of 195 hosts, which run out of connections."""
+        """Guards against callers exhausting the connections of a few of 195 hosts."""
         addresses_returned = collections.Counter()
         for host in self.hosts:
             for _ in range(50):
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_membership.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_membership.py
@@ -37,7 +37,7 @@
         self.assertIn(MemberGone(dead), self.fleet.host(0).take_events())
 
     def test_one_broken_link_makes_no_host_gone(self):
-        """A shard has two homes because one link breaks in one direction.
+        """Guards against two homes of a shard because one link is broken.
 
         The link from host 0 to host 1 breaks. If host 0 relied on its own probes alone,
         it would take over the shards of host 1 while host 1 still serves them.
@@ -49,7 +49,7 @@
             self.assertEqual(len(self.fleet.live_at(number)), 8)
 
     def test_empty_or_unavailable_list_changes_nothing(self):
-        """Every host is home to all shards after an outage of the platform.
+        """Guards against every host being home to all shards after an outage.
 
         The platform's list is empty after the outage; a host that followed it would
         drop all other hosts.
@@ -68,7 +68,7 @@
         self.assertEqual(len(self.fleet.live_at(0)), 8)
 
     def test_frozen_host_resumes_and_declares_no_host_gone(self):
-        """A host that was frozen for a minute declares the others gone.
+        """Guards against a resumed host that declares the others gone.
 
         The others have declared host 2 gone. When it resumes, all probes that it had
         sent look overdue; it must neither declare the others gone nor stay gone.
@@ -111,7 +111,7 @@
         self.assertIsNone(self.fleet.host(0).find(old.incarnation))
 
     def test_restart_with_the_date_set_back_is_the_newer_incarnation(self):
-        """Peers keep a dead incarnation forever after the date was set back.
+        """Guards against keeping a dead incarnation after the date was set back.
 
         A host restarts after its date was set back by a day, and peers order its two
         incarnations by date.
@@ -138,7 +138,7 @@
 
 class IntroductionTests(unittest.TestCase):
     def test_new_host_introduces_itself_to_all_listed_hosts(self):
-        """Callers get no address of a host for seconds after its start."""
+        """Guards against advertising a new host only seconds after its start."""
         members = [new_member(number) for number in range(5)]
         host = Membership.from_config(members[0], seed=1)
         host.set_list(listed_hosts(members), 0)
@@ -243,9 +243,10 @@
         self.assertGreater(share, 0.6)
 
     def test_low_capacity_hosts_are_home_only_without_high_capacity_ones(self):
-        """Every request of a pool waits in each burst although engines are free.
+        """Guards against requests that wait for a slow home while engines are free.
 
-        Its home is one of fifty hosts with half a core; eight others have two cores.
+        The home of a pool is one of fifty hosts with half a core; eight others have two
+        cores.
         """
         names = [f"10.0.0.{number}:1" for number in range(58)]
         low_capacity = [Member(address=a, processor_millicores=516) for a in names[:50]]
--- a/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_upstreams.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/tests/test_upstreams.py
@@ -17,7 +17,7 @@
         self.view.set_list([upstream(1), upstream(2)], 0)
 
     def test_own_report_applies_at_once_and_overrides_a_stale_list(self):
-        """Requests are sent to an engine that shuts down, and it cuts them off.
+        """Guards against sending requests to an engine that shuts down.
 
         The engine reports that it is leaving; the list, seconds late, still has it as
         live.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_candidates.py
@@ -29,7 +29,7 @@
         return selector.select(left_ms)
 
     def test_request_stays_in_its_domain_at_a_small_loss_of_time(self):
-        """The failure: three of four prompts changed domains to save milliseconds."""
+        """Guards against three of four prompts changing domains for milliseconds."""
         extra_ms = LOCALITY_FRACTION * LEFT_MS
         local = self.selected(candidate(50, False), candidate(50 + extra_ms, True))
         self.assertEqual(local, "local")
@@ -122,9 +122,9 @@
         return cross_domain_count / count
 
     def test_calls_stay_in_their_domain(self):
-        """The failure: three of four calls changed domains, though all were free."""
+        """Guards against three of four calls changing domains though all are free."""
         self.assertLess(self.run_calls(), 0.02)
 
     def test_typical_errors_move_no_calls(self):
-        """The failure: each call that fails anywhere moved the next ones away."""
+        """Guards against moving the next calls after each single failure."""
         self.assertLess(self.run_calls(error_every=17), 0.1)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
@@ -75,7 +75,7 @@
 
 class UnreachableTests(unittest.TestCase):
     def test_crashed_upstream_is_not_tried_by_every_request(self):
-        """Each request is first sent to crashed engines.
+        """Guards against sending each request to crashed engines first.
 
         A crashed engine that is still listed holds no requests, so each request of the
         next seconds was sent there first; half of all grants were useless.
@@ -116,7 +116,7 @@
 
 class FailingTests(unittest.TestCase):
     def test_upstream_that_fails_half_its_answers_is_avoided(self):
-        """Half of the requests fail at one upstream that reports no problem."""
+        """Guards against an upstream that fails half of its requests unreported."""
         count = {"bad": 0}
 
         def outcome_of(name):
@@ -162,7 +162,7 @@
         self.assertEqual(self.place(prompt_tokens=20_000), "fast")
 
     def test_short_prompts_use_the_slow_engine_beside_a_long_one(self):
-        """A short prompt waits behind a long one while a slow engine is idle.
+        """Guards against a short prompt behind a long one beside an idle engine.
 
         The fast engine computes the long prompt for half a second; the slow one would
         have answered the short one in a tenth of that.
@@ -188,7 +188,7 @@
 
 class StallTests(unittest.TestCase):
     def test_unresponsive_upstream_is_avoided(self):
-        """An engine hangs while it holds two requests; more requests are sent there.
+        """Guards against sending more requests to an engine that hangs.
 
         No connection breaks and no answer fails. Only the first tokens, long overdue,
         show the stall.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_ejection.py
@@ -100,7 +100,8 @@
 
 class FailingUpstreamTests(unittest.TestCase):
     def test_failed_connects_eject_at_most_a_third(self):
-        """
+        """Guards against ejecting a whole pool because of a network failure.
+
         The network to the upstreams fails: connects fail and grants are released
         unsent. If all were ejected, the pool would refuse everything; a third is.
         """
@@ -116,7 +117,8 @@
         self.assertEqual(len(set(used[-20:])), 4)
 
     def test_last_upstream_that_is_not_leaving_is_readmitted(self):
-        """
+        """Guards against refusing requests while an ejected upstream is left.
+
         One of three upstreams is ejected for failures, then the other two report that
         they are leaving. The pool has one upstream left, and requests were refused as
         if it had none.
@@ -140,7 +142,8 @@
         self.assertEqual([d.grant.upstream_id for d in decisions], ["u0"])
 
     def test_a_probe_is_never_a_non_idempotent_call(self):
-        """
+        """Guards against probing an ejected upstream with a booking.
+
         The ejection of an upstream after three failures is over. A non-idempotent
         booking that breaks off there could be lost or doubled; the lookup is
         idempotent and can be retried, so it is used as the probe.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_evacuated.py
@@ -39,7 +39,7 @@
 
 class EvacuationTests(unittest.TestCase):
     def test_waiting_requests_go_to_the_other_domains(self):
-        """Requests that wait for a domain reach it after it was evacuated."""
+        """Guards against sending waiting requests to an evacuated domain."""
         sched = scheduler(upstream("a1"), upstream("b1"))
         first = [sched.submit(b.request(), 0)[0].grant for _ in range(2)]
         waiting = b.request()
@@ -53,7 +53,7 @@
         self.assertIs(granted.request, waiting)
 
     def test_requests_are_refused_at_once_when_all_domains_are_evacuated(self):
-        """Callers wait until their deadline for upstreams that get no requests."""
+        """Guards against callers waiting for upstreams that get no requests."""
         sched = scheduler(upstream("a1"), upstream("b1"))
         for _ in range(2):
             sched.submit(b.request(), 0)
@@ -81,7 +81,7 @@
         )
 
     def test_requests_stay_in_their_regions(self):
-        """A customer's prompts reach a region that it does not allow.
+        """Guards against sending prompts to a region that is not allowed.
 
         All slots of the allowed region were taken, and one of another was free.
         """
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_limits.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_limits.py
@@ -33,7 +33,8 @@
 
 class PlainServiceTests(unittest.TestCase):
     def test_a_service_without_tokens_exceeds_the_initial_limit(self):
-        """
+        """Guards against a limit that never grows without first tokens.
+
         Calls of a plain service report no first token. With 40 calls at a time, all
         answered at the same speed, the limit reaches the declared bound of 32 instead
         of staying at its initial value.
@@ -77,7 +78,8 @@
         self.assertLessEqual(_converge(engine, limit, baseline, 100_000), 20)
 
     def test_does_not_overshoot_on_delayed_answers(self):
-        """
+        """Guards against a limit that grows on answers from before the increase.
+
         Answers arrive five seconds after their grants. Each shows good latency at the
         few requests in flight at that time. The limit must not grow far beyond the knee
         before the first congested answer arrives.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_placement.py
@@ -19,7 +19,8 @@
 
 class PlacementTests(unittest.TestCase):
     def test_stale_reports_do_not_attract_all_requests_to_one_upstream(self):
-        """
+        """Guards against sending a whole burst to one upstream.
+
         All load reports are ten seconds old and show one upstream idle. By the reports
         a burst would go there entirely; by the home's own counts it is spread evenly.
         """
@@ -57,7 +58,8 @@
         self.assertEqual(len({d.grant.upstream_id for d in decisions}), 4)
 
     def test_prompts_wait_in_the_queue_and_not_in_the_engine(self):
-        """
+        """Guards against a short prompt that waits for long ones in the engine.
+
         Long prompts arrive, then a short one of the highest tier. An engine computes
         prompts in order of arrival: if the long ones were sent at once, they would
         delay the first token of the short one by seconds.
@@ -73,7 +75,8 @@
         self.assertEqual(b.granted(reported)[0], question.request_id)
 
     def test_wrong_prefill_estimate_does_not_idle_an_engine(self):
-        """
+        """Guards against an engine that stays idle after an overload.
+
         An engine was overloaded and its prompts took long, so each prompt is expected
         to take long. When first tokens show that none is pending, it gets requests.
         """
@@ -91,7 +94,8 @@
             sched.observe_first_token(grant.grant_id, 90, now_ms + 100 * step + 90)
 
     def test_shared_prefix_stays_in_the_map(self):
-        """
+        """Guards against forgetting prefixes that the engine still has cached.
+
         Requests on four documents share 64 blocks each and end in a partial block.
         Engines report all 64 as cached. If that were rounded down, the home would
         shrink its estimate of their caches with each answer, forget the documents, and
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_prompt_cache.py
@@ -19,7 +19,7 @@
         self.assertEqual(doctest.testmod(module).failed, 0)
 
     def test_blocks_of_a_few_tokens_do_not_determine_the_upstream(self):
-        """All prompts share their first block, and would all go to one engine."""
+        """Guards against one engine getting all prompts for a common first block."""
         cache = PromptCache(CAPACITY)
         cache.record("u1", (1, 2), (60, 700))
         self.assertEqual(cache.cached_tokens((1, 3), (60, 700)), {})
@@ -100,7 +100,7 @@
         self.assertEqual({len(found) for found in placed.values()}, {1})
 
     def test_subject_of_a_burst_is_spread_over_engines(self):
-        """One subject gets most of the traffic, which would overload one engine."""
+        """Guards against overloading one engine with a frequent subject."""
         placed = [self.place(1, 1_000 + number, ends=False) for number in range(12)]
         self.assertGreaterEqual(len(set(placed)), 6)
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_recovery.py
@@ -22,7 +22,8 @@
 
 class RecoveryTests(unittest.TestCase):
     def test_new_home_does_not_grant_the_slots_of_its_predecessor_again(self):
-        """
+        """Guards against granting all slots a second time after a takeover.
+
         A home fails while its upstream serves four requests, which is its limit. The
         next home does not know them yet and gets new requests. If it granted all slots
         again, the engine would hold eight and every answer would be late.
@@ -60,7 +61,8 @@
         self.assertEqual(len(b.granted(sched.release("old:1", b.SUCCESS, 4))), 1)
 
     def test_adopted_request_is_not_granted_a_second_time(self):
-        """
+        """Guards against two grants of one request by successive homes.
+
         An entry host submits a request again to the new home, though the previous home
         had sent a grant. The grant arrives late and is used; its report reaches the new
         home while the second submission is queued, which must then be removed.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_retries.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_retries.py
@@ -13,7 +13,8 @@
                 self.assertEqual(RetryBudget().acquire(kind, 1, 0), expected)
 
     def test_an_unreachable_failure_domain_adds_a_tenth_of_the_load(self):
-        """
+        """Guards against tripling the connection attempts in a failure.
+
         A failure domain becomes unreachable while the list still contains it. Each of
         a thousand requests fails to connect, and each retry fails too. Connection
         attempts must not triple.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_scheduler.py
@@ -43,7 +43,8 @@
         self.assertEqual(sched.queued, 2)
 
     def test_lower_tiers_are_refused_while_a_higher_one_is(self):
-        """
+        """Guards against serving a lower tier after a higher one was refused.
+
         A burst of the top tier overflows its queue and is partly refused. A request of
         the lowest tier arrives a moment later. If it were queued, it could be served
         after a top tier request was refused.
@@ -75,7 +76,8 @@
 
 class RefusalTests(unittest.TestCase):
     def test_a_request_that_would_be_late_is_refused_at_once(self):
-        """
+        """Guards against queueing a request that cannot be served in time.
+
         Slots are held for 10 s each and several requests wait. A request arrives with a
         first token target of 2 s. If it were queued, it would be refused only after its
         target; it is refused at arrival, with the time that the queue needs.
@@ -103,7 +105,8 @@
         self.assertEqual(b.rejected(sched.tick(2_001)), [late.request_id])
 
     def test_a_late_request_is_not_refused_while_lower_tiers_are_served(self):
-        """
+        """Guards against shedding the top tier before a lower one.
+
         A pool is nearly full. A top tier request waits longer than its first token
         target, beside another of its tier. A lower tier was assigned a slot a moment
         before. Refusing now would shed the top tier before the lower one.
@@ -181,7 +184,8 @@
         self.assertAlmostEqual(served.count("large"), 12, delta=1)
 
     def test_a_burst_of_one_customer_is_displaced_in_a_full_queue(self):
-        """
+        """Guards against one customer's burst shutting out all others.
+
         One customer fills the whole queue of the tier. The first request of another
         customer displaces the last one of the customer that filled the queue.
         """
@@ -213,7 +217,8 @@
 
 class LeavingTests(unittest.TestCase):
     def test_an_upstream_that_reports_leaving_gets_no_work(self):
-        """
+        """Guards against sending requests to an engine that is stopping.
+
         An engine begins its graceful stop and reports so in its load report. The list
         shows it live for some more seconds. Requests sent to it meanwhile would be cut.
         """
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
@@ -86,9 +86,10 @@
 
 class ColdTests(unittest.TestCase):
     def test_cold_upstream_stays_within_its_limit(self):
-        """Engines crash again as soon as they are back from a crash.
+        """Guards against engines that crash again as they return from a crash.
 
-        They hold no requests, so they are preferred and get the whole pool's requests.
+        Engines that return hold no requests, so they are preferred and get the whole
+        pool's requests.
         """
         load = LoadGenerator(scheduler(upstream("cold", COLD_MS), upstream("warm")))
         load.run(0, COLD_MS + 2_000)
@@ -104,7 +105,7 @@
         self.assertEqual(cold_by_upstream, {("cold", True), ("warm", False)})
 
     def test_upstream_that_turns_cold_has_its_last_second_counted(self):
-        """A busy upstream turns cold, and gets a cold one's limit on top."""
+        """Guards against a cold limit on top of the requests before."""
         load = LoadGenerator(scheduler(upstream("u"), upstream("other")))
         load.run(0, 1_000)
         before = load.count("u", 0, 1_000)
@@ -116,7 +117,7 @@
         self.assertEqual(load.count("u", 1_000, 1_300), 0)
 
     def test_upstream_that_was_unreachable_is_assumed_cold(self):
-        """An upstream restarts under its id before the list shows it."""
+        """Guards against a restarted upstream that the list shows as warm."""
         sched = scheduler(upstream("u"), upstream("other"))
         load = LoadGenerator(sched)
         refused = Outcome(kind=OutcomeKind.CONNECT_FAILED, total_ms=1)
@@ -129,7 +130,7 @@
         self.assertLessEqual(load.max_per_second("u", 2_600), 12)
 
     def test_new_home_begins_as_if_the_limit_were_used(self):
-        """Two successive homes grant a cold engine its limit within one second."""
+        """Guards against two homes that each use the limit in one second."""
         sched = scheduler(upstream("cold", COLD_MS), upstream("warm"))
         sched.begin_recovery(0)
         sched.end_recovery(0)
@@ -139,7 +140,7 @@
         self.assertGreater(load.count("cold", 1_300, 2_000), 4)
 
     def test_host_that_decides_alone_leaves_cold_upstreams_to_the_home(self):
-        """Many hosts without contact to the home each send a few requests: too many."""
+        """Guards against many isolated hosts that exceed the limit together."""
         sched = scheduler(upstream("cold", COLD_MS), upstream("warm"))
         sched.set_share(0.5 / 71)
         load = LoadGenerator(sched)
@@ -154,7 +155,7 @@
         self.assertGreater(load.count("cold", 0, 1_000), 30)
 
     def test_cold_engine_does_not_change_the_pace_of_warm_ones(self):
-        """All engines are assumed to be slow while a few warm up, and prompts wait."""
+        """Guards against treating all engines as slow while a few warm up."""
         pool = PoolPace()
         warm, other = (DeclaredSlotsUpstream(upstream("u"), pool) for _ in range(2))
         for _ in range(20):
--- a/libs/host/src/hemlockhoist/host/tests/test_grants.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_grants.py
@@ -327,7 +327,7 @@
         await asyncio.wait_for(task, 1)
 
     async def test_unresponsive_home_is_reported_and_the_request_refused(self):
-        """The home is frozen.
+        """Guards against a request that waits for a frozen home until its deadline.
 
         The entry host reports it after two requests without a reply. When no home
         replies at all, the request is refused with a code that says "not run".
--- a/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
@@ -104,7 +104,8 @@
         self.assertIn("more", oldest.changes[-1])
 
     async def test_concurrent_change_is_rejected(self):
-        """
+        """Guards against silently reverting another operator's change.
+
         Two operators read version 1 and each apply a change. If the second were
         accepted, it would silently revert the first. It fails with an error that names
         the author and the change, and nothing is written.
@@ -119,7 +120,8 @@
         self.assertEqual(await self.accepted_version(), 2)
 
     async def test_concurrent_change_between_read_and_write_is_rejected(self):
-        """
+        """Guards against overwriting a change that was accepted after the read.
+
         Another operator's change is accepted between this one's read and write of the
         row. The compare-and-set fails, and the error still names the other author.
         """
@@ -134,7 +136,8 @@
         self.assertIn("changed by two", str(caught.exception))
 
     async def test_write_with_lost_answer_is_accepted(self):
-        """
+        """Guards against reporting a failure for a write that took effect.
+
         The write takes effect and its answer is lost. If a failure were reported, the
         operator would apply the change again and conflict with it. The row's history
         has the change's id, so the change is reported as accepted.
@@ -144,7 +147,8 @@
         self.assertEqual((result.version, result.repeated), (1, True))
 
     async def test_repeat_after_other_changes_is_accepted(self):
-        """
+        """Guards against applying a change twice when its client repeats it.
+
         A client that lost the answer repeats its change after a later one was accepted.
         The result has the version that the change created, and the later change stays
         in place.
@@ -157,7 +161,8 @@
         self.assertEqual(await self.accepted_version(), 3)
 
     async def test_undecided_write_is_reported_as_unknown(self):
-        """
+        """Guards against reporting "not accepted" while the write may arrive.
+
         The answer is lost and the row is unchanged: the write may have been dropped or
         still arrive, so that "not accepted" could turn out to be false. The outcome is
         reported as unknown, and the same change may be sent again.
--- a/libs/host/src/hemlockhoist/host/tests/test_server.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_server.py
@@ -54,7 +54,8 @@
         self.addAsyncCleanup(self.server.close)
 
     async def test_write_buffer_of_slow_caller_is_limited(self):
-        """
+        """Guards against slow callers that exhaust the host's memory.
+
         Without a limit, the host would buffer all that the engine has sent for each
         caller on a slow link. The connection's write buffer has the limit of the
         setting.
--- a/libs/host/src/hemlockhoist/host/tests/test_settings.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_settings.py
@@ -111,7 +111,8 @@
         self.assertNotIn("short", str(found["peer_key"]))
 
     def test_misspelt_variable_is_fault(self):
-        """
+        """Guards against starting with a default because of a misspelt variable.
+
         With HEMLOCKHOIST_DRAIN_LIMIT set instead of …_MS, the host would start with the
         default limit and cut requests at the next planned stop. It refuses to start and
         suggests the correct variable.
