--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_evacuation.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_evacuation.py
@@ -22,7 +22,7 @@
         self.assertEqual(self.domains.names(), ("a",))
 
     def test_older_reading_does_not_restart_an_ended_evacuation(self):
-        """Guards against a zone that stays empty because an older list is read."""
+        """Guards against a domain that stays empty because an older list is read."""
         self.domains.apply(order("a", False, 7))
         self.assertEqual(self.domains.replace((order("a", True, 5),), 6), ())
         self.assertEqual(self.domains.names(), ())
@@ -35,7 +35,7 @@
         self.assertIsNone(self.domains.version("a"))
 
     def test_unreadable_order_leaves_the_state_unchanged(self):
-        """Guards against using an evacuated zone whose order was overwritten."""
+        """Guards against using an evacuated domain whose order was overwritten."""
         self.assertFalse(self.domains.apply(order("a", None, 8)))
         self.assertEqual(self.domains.replace((order("a", None, 8),), 9), ())
         self.assertFalse(self.domains.apply(order("b", None, 8)))
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/adaptive_tracker.py
@@ -82,7 +82,7 @@
         return self.health.slots(self.limit.slots, now_ms)
 
     def on_grant(self, held, now_ms):
-        """Add the request's prompt to the pending ones."""
+        """Add the prompt of a granted request to the pending prompts."""
         request = held.request
         held.prompt_wait_ms = max(0.0, self.prompts_done_ms - now_ms)
         if request.prefix_hashes:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -140,9 +140,9 @@
         if ahead_ms <= 0:
             return 0.0
         left = slots - self._load.slots_above(rank, now_ms)
-        # At least one slot is counted. Failure: after a home has moved, two of three
-        # upstreams leave and the third fails, so no slot is left while requests wait;
-        # the division by zero made each submit end as an internal error.
+        # At least one slot is counted. Failure prevented: after a home has moved, two
+        # of three upstreams leave and the third fails, so no slot is left while
+        # requests wait; the division by zero made each submit end as an internal error.
         return ahead_ms / max(MIN_SLOT_FRACTION * max(1, slots), left)
 
     def refusal_code(self, request, queue, slots, estimate, now_ms):
@@ -182,8 +182,8 @@
     """Return the latest time at which a request can be granted and still be answered.
 
     Callers of streams disconnect long before their deadline if nothing has arrived.
-    Failure: in a burst, requests were queued for slots that they got after their
-    callers had disconnected; they ended unanswered instead of with a retry time.
+    Failure prevented: in a burst, requests were queued for slots that they got after
+    their callers had disconnected; they ended unanswered instead of with a retry time.
     """
     hold_ms = estimate.hold_ms(request) if estimate.has_samples else 0.0
     by_deadline_ms = request.deadline_ms - MIN_HOLD_FRACTION * hold_ms
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_upstream.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/declared_slots_upstream.py
@@ -124,7 +124,7 @@
         return first_ms
 
     def on_grant(self, held, work, now_ms, cached=0):
-        """Add the part of a request's prompt that is not cached to the pending ones."""
+        """Add the uncached part of a granted prompt to the pending prompts."""
         held.prompt_wait_ms = max(0.0, self.prompts_done_ms - now_ms)
         due_ms = now_ms + self.first_token_ms(work, now_ms, cached)
         self.prompts_done_ms = due_ms - self.pace.base_ms()
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
@@ -60,7 +60,7 @@
 
     @property
     def is_ejected(self):
-        """Whether it is ejected or probing, so that it counts towards the bound."""
+        """Whether the upstream is ejected or probing and counts towards the bound."""
         return self.state in (HealthState.EJECTED, HealthState.PROBING)
 
     @property
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
@@ -55,7 +55,7 @@
 
 
 def short_first_ms(arrived_ms, cost_ms):
-    """Return the order key with which short requests overtake long ones."""
+    """Return the sort key by which short requests precede long ones."""
     return arrived_ms + SHORT_FIRST_FACTOR * cost_ms
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/shedding.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/shedding.py
@@ -64,7 +64,7 @@
         return Rejected(request=request, code=code, retry_after_ms=retry_after_ms)
 
     def shed(self, request, code, now_ms):
-        """Return the refusal of a request for lack of slots, after those below it."""
+        """Return the refusals of lower tiers, followed by that of the request."""
         refusal = self._refuse(request, code, now_ms)
         decisions = []
         may_overtake = self._predicate_at(now_ms)
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_bursts.py
@@ -40,8 +40,8 @@
     def test_no_caller_disconnects_unanswered(self):
         """No caller waits in vain until it disconnects after 2.4 s.
 
-        The failure: in a burst, requests stayed queued up to their deadline of 10 s,
-        as the queue did not know that callers of streams disconnect earlier.
+        Failure prevented: in a burst, requests stayed queued until their deadline of 10
+        s, as the queue did not know that callers of streams disconnect earlier.
         """
         self.assertEqual(
             sum(outcomes["disconnected"] for outcomes in self.outcomes.values()), 0
@@ -67,8 +67,9 @@
     def test_client_retries_are_served(self):
         """Few clients are refused again when they retry after the stated time.
 
-        The failure: they retried in the same burst and queued behind new arrivals, so
-        that 21 of 100 were refused twice; with a longer stated time it is 16.
+        Failure prevented: they retried in the same burst and queued behind new
+        arrivals, so that 21 of 100 were refused twice; with a longer stated time it is
+        16.
         """
         notices = self.outcomes["notice"]
         self.assertLess(notices["refused"], 0.18 * sum(notices.values()))
@@ -80,7 +81,7 @@
     def test_an_arrival_does_not_reconsider_all_waiting_requests(self):
         """Each arrival costs a bounded number of placement decisions.
 
-        The failure: the home of 41 engines had no processor time left in a burst.
+        Failure prevented: the home of 41 engines had no processor time left in a burst.
         """
         paces = itertools.cycle(PACES_MS.values())
         simulation = SchedulerSimulation(
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -98,7 +98,7 @@
         ==========
         pool : hemlockhoist.declarations.Pool
         move : Move or None
-            Row from the table service or from a peer's announcement.
+            Row from the store or from a peer's announcement.
         now_ms, unix_ms : int
             Time on the home's clock, and the Unix time at the same moment.
         invariants : hemlockhoist.base.InvariantLog, optional
@@ -248,7 +248,7 @@
         return self._wider_row(now_ms, fencing)
 
     def observe_row(self, row, now_ms):
-        """Apply a row from the table service or from a peer.
+        """Apply a row from the store or from a peer.
 
         Ignores rows of an older move, rows that would return a final state to running,
         and smaller shares under an older lease, as announcements of peers arrive late
--- a/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/evidence.py
@@ -205,9 +205,9 @@
     def _observe_own_duration(self, outcome, load):
         """Use the new version's own durations if the old version has too few.
 
-        Failure case: a home takes over when the old version gets no more traffic, and
-        the new version hangs from then on. Without any reference duration, no request
-        would ever become overdue.
+        Failure prevented: a home takes over when the old version gets no more traffic,
+        and the new version hangs from then on. Without any reference duration, no
+        request would ever become overdue.
         """
         reference = self.reference
         if self.has_all_traffic and reference.failures.count < _MIN_OLD_ANSWERS:
--- a/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/lanes.py
@@ -51,10 +51,10 @@
     def _add_listed_lanes(self, now_ms):
         """Create the lanes that the row lists.
 
-        Failure case: a new home gets only non-idempotent calls at first, and assumes
-        that the pool has no idempotent ones. It would send those calls to a version
-        that was not tested on idempotent ones, and finish the move by the lanes it has
-        seen.
+        Failure prevented: a new home gets only non-idempotent calls at first, and
+        assumes that the pool has no idempotent ones. It would send those calls to a
+        version that was not tested on idempotent ones, and finish the move by the lanes
+        it has seen.
         """
         for share in self._row.lanes:
             key = (share.route, share.idempotent)
--- a/libs/decisions/src/hemlockhoist/decisions/versions/move.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/move.py
@@ -107,7 +107,7 @@
     Parameters
     ==========
     row : Move
-        Latest row known from the table service or from a peer.
+        Latest row known from the store or from a peer.
     halted : dict
         Reason for each halted version of the move.
     """
@@ -122,7 +122,7 @@
     Parameters
     ==========
     row : Move or None
-        Row that the table service holds for the pool.
+        Row that the store holds for the pool.
     request : MoveRequest
     unix_ms : int
 
--- a/libs/declarations/src/hemlockhoist/declarations/stored.py
+++ b/libs/declarations/src/hemlockhoist/declarations/stored.py
@@ -1,4 +1,4 @@
-"""Content of the table service's row: the declarations and their history."""
+"""Content of the store's row: the declarations and their history."""
 
 import msgspec
 
--- a/libs/host/src/hemlockhoist/host/configuration.py
+++ b/libs/host/src/hemlockhoist/host/configuration.py
@@ -1,4 +1,4 @@
-"""Fetches declarations from the table service and peers and puts them in force."""
+"""Fetches declarations from the store and peers and puts them in force."""
 
 import asyncio
 
--- a/libs/host/src/hemlockhoist/host/declarations_row.py
+++ b/libs/host/src/hemlockhoist/host/declarations_row.py
@@ -1,4 +1,4 @@
-"""Rows of the declarations in the table service: the content, and only its version."""
+"""Rows of the declarations in the store: the content, and only its version."""
 
 from hemlockhoist.declarations import StoredDeclarations
 from hemlockhoist.declarations.stored import KEY, TABLE, VERSION_KEY
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -17,8 +17,8 @@
 
 _log = get_logger("host.fleet")
 
-# The membership has to be called several times a second, as a probe's time-outs are
-# some hundreds of milliseconds.
+# The membership has to be called several times a second, as a probe's timeouts are some
+# hundreds of milliseconds.
 MIN_TICK_MS = 100
 # Without a pending probe or suspicion, the membership is called when its next probe is
 # due, and at least this often: it treats a longer gap as a freeze of the process.
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -32,9 +32,9 @@
     RequestBrief,
 )
 
-# A reply takes a few milliseconds, and up to a tenth of a second where the home's CPU
-# is throttled. After this time the request or its reply is assumed to be lost and the
-# request is sent again, which is harmless, as the home identifies it by its id.
+# A reply takes a few milliseconds, and up to a tenth of a second where the home's
+# processor is throttled. After this time the request or its reply is assumed to be lost
+# and the request is sent again, which is harmless, as the home identifies it by its id.
 RESEND_MS = 120
 # Interval at which a queued request is sent again, to check that it is still queued.
 QUEUED_RESEND_MS = 1_000
@@ -184,9 +184,9 @@
     def refuse_waiting(self, code, retry_after_ms):
         """Refuse all requests that wait for a grant, now and from here on.
 
-        Failure: a host that was ordered to stop still has requests in a home's queue.
-        When the process ends, their callers see a closed connection and cannot know
-        that nothing ran.
+        Failure prevented: a host that was ordered to stop still has requests in a
+        home's queue. When the process ends, their callers see a closed connection and
+        cannot know that nothing ran.
         """
         self._refusal = (code, retry_after_ms)
         for waiter in self._waiters.values():
@@ -365,8 +365,8 @@
     def report_outdated(self, hold, error):
         """Report to the home what it did not know of the upstream that it granted.
 
-        Failure: a home with outdated state keeps granting an upstream that no host may
-        send to.
+        Failure prevented: a home with outdated state keeps granting an upstream that no
+        host may send to.
 
         Parameters
         ==========
@@ -379,11 +379,11 @@
     def _notify_homes(self, hold, message):
         """Send a message about a grant to every home that may count it.
 
-        Failure: hosts disagree for a second on which of them is home. A grant of one
-        home is released at the other, and occupies its slot at the first until long
-        after its request's deadline. So the message goes to the home that issued the
-        grant, to the present home, which may have adopted it, and to each home that it
-        was reported to since.
+        Failure prevented: hosts disagree for a second on which of them is home. A grant
+        of one home is released at the other, and occupies its slot at the first until
+        long after its request's deadline. So the message goes to the home that issued
+        the grant, to the present home, which may have adopted it, and to each home that
+        it was reported to since.
         """
         homes = {self._home_of(hold.pool), *self._claiming_homes.get(hold.grant_id, ())}
         if hold.is_alone:
@@ -451,10 +451,10 @@
     def report_held(self, pool, home_incarnation, home):
         """Return the grants held here, in reply to a new home's query.
 
-        Failure: a home is killed and starts again at its address. Mistaken for the
-        process that had counted the usage itself, it gets no report of it and grants a
-        customer its quota once more. So homes are distinguished by incarnation, not by
-        host.
+        Failure prevented: a home is killed and starts again at its address. Mistaken
+        for the process that had counted the usage itself, it gets no report of it and
+        grants a customer its quota once more. So homes are distinguished by
+        incarnation, not by host.
 
         Parameters
         ==========
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -191,8 +191,9 @@
     def on_host_joined(self, host_id):
         """Query a host that was not known before for the grants that it holds.
 
-        Failure: a home that has just started knows only half of the fleet. The grants
-        that the other half holds, and its customers' usage, would never be counted.
+        Failure prevented: a home that has just started knows only half of the fleet.
+        The grants that the other half holds, and its customers' usage, would never be
+        counted.
         """
         if host_id not in self._queried_hosts:
             self._queried_hosts.add(host_id)
@@ -210,10 +211,10 @@
     def on_predecessor_closed(self):
         """Query all hosts again, since the previous home has only now closed.
 
-        Failure: hosts disagree for a second on which of two hosts is home, and both
-        admit requests against customers' quotas. What the previous home admitted after
-        this one had sent its queries would never be counted, and a customer at its
-        quota would get that much on top.
+        Failure prevented: hosts disagree for a second on which of two hosts is home,
+        and both admit requests against customers' quotas. What the previous home
+        admitted after this one had sent its queries would never be counted, and a
+        customer at its quota would get that much on top.
         """
         self._pending_hosts = set(self._queried_hosts)
         self._query_holders(self._clock.now_ms())
@@ -484,7 +485,7 @@
         )
         entry_host = decision.request.entry_host
         # A grant without a wait appears in the entry host's log line of the attempt.
-        # With a hundred upstreams, logging took a fifth of a grant's CPU time.
+        # With a hundred upstreams, logging took a fifth of a grant's processor time.
         if has_waited:
             self._log_granted(decision)
         self._granted[grant.request_id] = (grant, entry_host)
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -183,8 +183,9 @@
     def all_for_pool(self, pool):
         """Return the home and the standby home of a pool at this host, if any.
 
-        Failure: a standby home never learns of this host's own grants, because the
-        reply to its query is not passed to it, and assigns slots that are occupied.
+        Failure prevented: a standby home never learns of this host's own grants,
+        because the reply to its query is not passed to it, and assigns slots that are
+        occupied.
         """
         found = (self._homes.get(pool), self._standbys.get(pool))
         return [home for home in found if home is not None]
--- a/libs/host/src/hemlockhoist/host/moves.py
+++ b/libs/host/src/hemlockhoist/host/moves.py
@@ -39,7 +39,7 @@
 # as control overhead.
 IDLE_TICK_MS = 1_000
 # How often the rows are read. An operator's order reaches the home by its row in the
-# table service.
+# store.
 READ_INTERVAL_MS = 1_000
 # How often a move is announced to the next hosts in line as home, which need it when
 # the store is down.
--- a/libs/host/src/hemlockhoist/host/operator_declarations.py
+++ b/libs/host/src/hemlockhoist/host/operator_declarations.py
@@ -91,7 +91,7 @@
             When it is unknown whether the change was accepted; the same change may be
             sent again.
         PlatformError
-            When the table service did not accept the change.
+            When the store did not accept the change.
         """
         _check_change(change)
         # In a thread: with 1,700 customers the check takes tens of milliseconds, during
@@ -117,10 +117,10 @@
     async def _resolve_write(self, change, error):
         """Determine whether a write with a lost answer or a conflict took effect.
 
-        The table service may lose an answer after the write took effect. If a conflict
-        or a failure were reported then, the author would apply the change a second time
-        or abandon it while it is in force. The row's history lists every change by its
-        id, even when others have been accepted after it.
+        The store may lose an answer after the write took effect. If a conflict or a
+        failure were reported then, the author would apply the change a second time or
+        abandon it while it is in force. The row's history lists every change by its id,
+        even when others have been accepted after it.
         """
         stored, _ = await self._row.read()
         entry = stored.entry_for_change(change.change_id)
--- a/libs/host/src/hemlockhoist/host/operator_messages.py
+++ b/libs/host/src/hemlockhoist/host/operator_messages.py
@@ -68,8 +68,8 @@
     Parameters
     ==========
     version : int
-        The accepted version read from the table service, or the version in force on the
-        answering host if the service cannot be read.
+        The accepted version read from the store, or the version in force on the
+        answering host if the store cannot be read.
     hosts : tuple of HostVersion
         All live hosts of the fleet.
     declarations : Declarations
--- a/libs/host/src/hemlockhoist/host/tests/test_moves.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_moves.py
@@ -26,7 +26,7 @@
 
 
 class FakeTables:
-    """A table service in memory that can be made unavailable."""
+    """A store in memory that can be made unavailable."""
 
     def __init__(self):
         self.rows = {}
@@ -137,10 +137,10 @@
         self.assertIs(self._row().state, MoveState.FINISHED)
 
     async def test_bad_version_is_rolled_back_while_the_store_is_unavailable(self):
-        """A new version fails every answer while the table service is unavailable.
+        """A new version fails every answer while the store is unavailable.
 
-        No host may send it any more requests. The row is written when the table service
-        is available again.
+        No host may send it any more requests. The row is written when the store is
+        available again.
         """
         await self._order()
         await asyncio.sleep(2)
@@ -155,7 +155,7 @@
         self.assertIs(self._row().state, MoveState.ROLLED_BACK)
 
     async def test_store_outage_causes_no_storm_of_requests(self):
-        """A version is halted while the table service is unavailable.
+        """A version is halted while the store is unavailable.
 
         Guards against every pool's home trying to write the row five times per second
         in addition to its reads.
--- a/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
+++ b/libs/host/src/hemlockhoist/host/tests/test_operator_declarations.py
@@ -29,7 +29,7 @@
 
 
 class FakeTables:
-    """A table service whose next write can be made to fail."""
+    """A store whose next write can be made to fail."""
 
     def __init__(self):
         self.rows = {}
--- a/libs/messages/src/hemlockhoist/messages/moves.py
+++ b/libs/messages/src/hemlockhoist/messages/moves.py
@@ -24,7 +24,7 @@
 ):
     """The home's current state of a pool's move, for the next home of the pool.
 
-    ``row`` is the encoded move record as stored in the table service.
+    ``row`` is the encoded move record as stored in the store.
     """
 
     pool: str
--- a/libs/peers/src/hemlockhoist/peers/link.py
+++ b/libs/peers/src/hemlockhoist/peers/link.py
@@ -116,12 +116,12 @@
     def reconnect(self):
         """Replace the connection if it may no longer deliver anything.
 
-        Failure: a peer's machine lost power, or the connection stopped delivering. What
-        is sent on it is lost without an error for as long as the kernel retransmits,
-        while the peer's own messages still arrive, so that it looks healthy. A sender
-        that misses replies calls this method. Queued messages go over the new
-        connection with continued sequence numbers, so the receiver accepts no envelope
-        twice.
+        Failure prevented: a peer's machine lost power, or the connection stopped
+        delivering. What is sent on it is lost without an error for as long as the
+        kernel retransmits, while the peer's own messages still arrive, so that it looks
+        healthy. A sender that misses replies calls this method. Queued messages go over
+        the new connection with continued sequence numbers, so the receiver accepts no
+        envelope twice.
         """
         now_ms = self._clock.now_ms()
         if (
@@ -158,10 +158,10 @@
     async def _connect(self):
         """Return a new connection, retrying until one is established.
 
-        Failure: hosts start one after the other, and the first connects to one that
-        has no power yet. The packet is lost, and the kernel retransmits it only after a
-        second. In that second the two do not learn of each other, and each makes itself
-        home. A new attempt is therefore made after a short timeout.
+        Failure prevented: hosts start one after the other, and the first connects to
+        one that has no power yet. The packet is lost, and the kernel retransmits it
+        only after a second. In that second the two do not learn of each other, and each
+        makes itself home. A new attempt is therefore made after a short timeout.
         """
         timeout_ms, backoff_ms = INITIAL_CONNECT_TIMEOUT_MS, INITIAL_BACKOFF_MS
         while True:
