--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/grants.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/grants.py
@@ -59,7 +59,7 @@
     """Counts grants in flight by upstream, customer and entry host.
 
     Adding and removing are idempotent by grant id: peers repeat messages whose answer
-    was lost, and a count that changed twice would stay wrong for good.
+    was lost, and a count that changed twice would stay wrong permanently.
     """
 
     __slots__ = (
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -20,7 +20,7 @@
 from hemlockhoist.decisions.work import Granted, OutcomeKind
 
 # A grant is dropped this long after its request's deadline. Where the message that
-# carried its release was lost, the slot would otherwise stay occupied for good.
+# carried its release was lost, the slot would otherwise stay occupied permanently.
 LOST_GRANT_MS = 5_000
 _NOT_SENT = frozenset({OutcomeKind.CONNECT_FAILED, OutcomeKind.NOT_SENT})
 
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_warmup.py
@@ -105,7 +105,7 @@
         self.assertEqual(cold_by_upstream, {("cold", True), ("warm", False)})
 
     def test_upstream_that_turns_cold_has_its_last_second_counted(self):
-        """Guards against a cold limit on top of the requests before."""
+        """Guards against granting the cold limit in addition to a busy second."""
         load = LoadGenerator(scheduler(upstream("u"), upstream("other")))
         load.run(0, 1_000)
         before = load.count("u", 0, 1_000)
