--- a/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/state.py
@@ -28,7 +28,7 @@
 # gossip; the digest sent every second reaches the rest.
 FANOUT = 4
 DIGEST_INTERVAL_MS = 1_000
-STORE_READ_MS = 2_000
+STORE_READ_INTERVAL_MS = 2_000
 # Number of hosts that read the store and collect acknowledgements: if one of them is
 # gone and one is partitioned, one is left.
 READER_COUNT = 3
@@ -60,7 +60,7 @@
     rng : random.Random
     content : FullContent
         Encodes declarations for a peer.
-    store_read_ms : int
+    store_read_interval_ms : int
         Interval between a reader's reads of the store.
     """
 
@@ -91,7 +91,9 @@
         "requested",
     )
 
-    def __init__(self, address, incarnation, invariants, rng, content, store_read_ms):
+    def __init__(
+        self, address, incarnation, invariants, rng, content, store_read_interval_ms
+    ):
         self.address = address
         self.incarnation = incarnation
         self.invariants = invariants
@@ -101,7 +103,7 @@
         self.acknowledgements = AcknowledgementLog(address)
         self.requested = (0, 0)
         self._rng = rng
-        self._store = StoreBackoff(store_read_ms, rng)
+        self._store = StoreBackoff(store_read_interval_ms, rng)
         self._acknowledged = 0
         self._peers = ()
         self._collectors = ()
@@ -127,7 +129,7 @@
         invariants,
         seed,
         content=None,
-        store_read_ms=STORE_READ_MS,
+        store_read_interval_ms=STORE_READ_INTERVAL_MS,
     ):
         """Return a state without declarations, which is not yet ready.
 
@@ -137,11 +139,13 @@
         invariants : hemlockhoist.base.InvariantLog
         seed : int or str
         content : FullContent, optional
-        store_read_ms : int, optional
+        store_read_interval_ms : int, optional
         """
         rng = random.Random(seed)
         content = content or FullContent()
-        return cls(address, incarnation, invariants, rng, content, store_read_ms)
+        return cls(
+            address, incarnation, invariants, rng, content, store_read_interval_ms
+        )
 
     @property
     def version(self):
--- a/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
+++ b/libs/decisions/src/hemlockhoist/decisions/membership/membership.py
@@ -38,8 +38,8 @@
 REFUTATION_GRACE_MS = 5_000
 # Reading the whole member list again repairs what gossip has lost. At 1,300 hosts this
 # takes 170 KB, so it is done about every five minutes.
-REFRESH_MS = 300_000
-_FIRST_REFRESH_MS = 2_000
+REFRESH_INTERVAL_MS = 300_000
+_FIRST_REFRESH_INTERVAL_MS = 2_000
 # Once in this many periods, a host that is listed but gone is probed as well, so that
 # the partitions of a fleet find each other again.
 _GONE_PROBE_INTERVAL = 5
@@ -467,7 +467,9 @@
         peers = self._other_live_addresses()
         if now_ms < self._refresh_ms or not peers:
             return []
-        interval_ms = REFRESH_MS if self._has_full_list else _FIRST_REFRESH_MS
+        interval_ms = (
+            REFRESH_INTERVAL_MS if self._has_full_list else _FIRST_REFRESH_INTERVAL_MS
+        )
         self._refresh_ms = now_ms + self._rng.randrange(interval_ms, 2 * interval_ms)
         message = MembersRequest(sender=self.own)
         return [Outgoing(self._rng.choice(peers), message)]
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -25,7 +25,7 @@
     cancel_move,
     start_move,
 )
-from hemlockhoist.host.moves import IDLE_TICK_MS, MoveService
+from hemlockhoist.host.moves import IDLE_TICK_INTERVAL_MS, MoveService
 
 _log = get_logger("entry.moves")
 
@@ -203,7 +203,7 @@
 
     def _check_interval_ms(self):
         is_pending = any(self._may_have_move(pool) for pool in self._orders)
-        return ORDER_CHECK_INTERVAL_MS if is_pending else IDLE_TICK_MS
+        return ORDER_CHECK_INTERVAL_MS if is_pending else IDLE_TICK_INTERVAL_MS
 
     async def _follow_orders(self):
         if self._context.clock.now_ms() < self._retry_due_ms:
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -164,8 +164,10 @@
         self.status = await self._open(StatusServer(context))
         self._caller_server = await self._open(CallerServer(context, self._listener))
         await self._open(PeriodicTask(self._tick_ms, self._tick))
-        await self._open(PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held))
-        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
+        await self._open(
+            PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held_grants)
+        )
+        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._update_gauges))
         _log.info(
             "host_started", host=self.settings.name, address=context.identity.address
         )
@@ -348,11 +350,11 @@
         context.gate.set_share(share)
         context.homes.set_share(share)
 
-    def _report_held(self):
+    def _report_held_grants(self):
         pools = [pool.name for pool in self.context.declarations.pools]
         self.context.grants.send_held_ids(pools)
 
-    def _report_gauges(self):
+    def _update_gauges(self):
         context, metrics = self.context, self.context.metrics
         metrics.gauge(REQUESTS_OPEN, context.open_requests)
         metrics.gauge(HOSTS_LIVE, len(context.fleet.live_hosts()))
--- a/libs/host/src/hemlockhoist/host/configuration.py
+++ b/libs/host/src/hemlockhoist/host/configuration.py
@@ -12,7 +12,7 @@
 
 # The state has to be ticked at least once a second. An operator's change at this host
 # reaches the others within a few ticks.
-TICK_MS = 200
+TICK_INTERVAL_MS = 200
 # How long an operator's request waits for summaries; collectors reply within
 # milliseconds.
 REPORT_WAIT_MS = 300
@@ -49,7 +49,7 @@
         self._send = send
         self._on_change = on_change
         self._state = None
-        self._task = PeriodicTask(TICK_MS, self._tick)
+        self._task = PeriodicTask(TICK_INTERVAL_MS, self._tick)
         self._read_task = None
         self._fleet_version = None
 
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -19,10 +19,10 @@
 
 # The membership has to be called several times a second, as a probe's timeouts are some
 # hundreds of milliseconds.
-MIN_TICK_MS = 100
+MIN_TICK_INTERVAL_MS = 100
 # Without a pending probe or suspicion, the membership is called when its next probe is
 # due, and at least this often: it treats a longer gap as a freeze of the process.
-MAX_TICK_MS = 500
+MAX_TICK_INTERVAL_MS = 500
 # A refused connection is reported within one round trip.
 LISTEN_CHECK_TIMEOUT_MS = 500
 
@@ -93,7 +93,7 @@
 
     def _tick_ms(self):
         due_ms = self._membership.next_due_ms(self._context.clock.now_ms())
-        return min(MAX_TICK_MS, max(MIN_TICK_MS, due_ms))
+        return min(MAX_TICK_INTERVAL_MS, max(MIN_TICK_INTERVAL_MS, due_ms))
 
     def _tick(self):
         now_ms = self._context.clock.now_ms()
--- a/libs/host/src/hemlockhoist/host/moves.py
+++ b/libs/host/src/hemlockhoist/host/moves.py
@@ -34,10 +34,10 @@
 
 TABLE = "moves"
 # How often a home evaluates its move and writes the resulting row.
-TICK_MS = 200
+TICK_INTERVAL_MS = 200
 # Used while no pool at home here has a move, since each wake-up of an idle host counts
 # as control overhead.
-IDLE_TICK_MS = 1_000
+IDLE_TICK_INTERVAL_MS = 1_000
 # How often the rows are read. An operator's order reaches the home by its row in the
 # store.
 READ_INTERVAL_MS = 1_000
@@ -174,7 +174,11 @@
 
     def _tick_ms(self):
         rows = (item.row for item in self._controllers.values())
-        return TICK_MS if any(row is not None for row in rows) else IDLE_TICK_MS
+        return (
+            TICK_INTERVAL_MS
+            if any(row is not None for row in rows)
+            else IDLE_TICK_INTERVAL_MS
+        )
 
     async def _tick_all(self):
         for pool, controller in list(self._controllers.items()):
--- a/libs/host/src/hemlockhoist/host/server.py
+++ b/libs/host/src/hemlockhoist/host/server.py
@@ -24,7 +24,7 @@
 HOSTS_PATH = "/v1/hosts"
 OPERATORS_PREFIX = "/-/"
 # A new host usually has its declarations within 1 s to 2 s, from the store or a peer.
-NOT_READY_RETRY_MS = 2_000
+NOT_READY_RETRY_AFTER_MS = 2_000
 # Idle connections are kept open for this long; a leaving host closes them after the
 # response instead.
 KEEP_ALIVE_S = 60.0
@@ -164,7 +164,7 @@
         if request.path.startswith(OPERATORS_PREFIX):
             return
         if not self._context.configuration.is_ready():
-            raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_MS)
+            raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_AFTER_MS)
 
     def _check_not_dispatched(self, request_id, error):
         if error.info.ran is not Ran.NO:
--- a/libs/host/src/hemlockhoist/host/services.py
+++ b/libs/host/src/hemlockhoist/host/services.py
@@ -19,7 +19,7 @@
 KEY_HEADER = "Idempotency-Key"
 # Limit on an answer, which is read completely before its head is sent to the caller, so
 # that a caller never holds part of an answer that cannot be fetched again.
-MAX_ANSWER_BYTES = 8_388_608
+MAX_RESPONSE_BYTES = 8_388_608
 _SERVER_ERROR = 500
 
 # Hop-by-hop headers of RFC 9110, section 7.6.1, and those that describe this hop or are
@@ -163,7 +163,7 @@
         async with client.dispatch(self._call(hold), report.guard) as answer:
             check_answer(answer, self._work.request_id)
             report.first_ms = self._context.clock.now_ms()
-            body = await answer.read(MAX_ANSWER_BYTES)
+            body = await answer.read(MAX_RESPONSE_BYTES)
             failed = answer.status >= _SERVER_ERROR
             report.kind = OutcomeKind.FAILED if failed else OutcomeKind.SUCCESS
             headers = _end_to_end_headers(answer.headers, _DROPPED_FROM_ANSWERS)
