--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -25,13 +25,13 @@
     cancel_move,
     start_move,
 )
-from hemlockhoist.host.moves import IDLE_TICK_MS, MoveService
+from hemlockhoist.host.moves import IDLE_TICK_INTERVAL_MS, MoveService
 
 _log = get_logger("entry.moves")
 
 ORDER_CHECK_INTERVAL_MS = 200
-# Pause after a failure of the store before an order is started or reported again. An
-# order has a time limit of some seconds, of which a longer pause would be a large part.
+# Delay after a failure of the store before an order is started or reported again. An
+# order has a time limit of some seconds, of which a longer delay would be a large part.
 RETRY_DELAY_MS = 500
 # Fraction of an order's duration by which all requests are to be on the new version. In
 # the remaining time the old version's last responses end and the result is reported to
@@ -203,7 +203,7 @@
 
     def _check_interval_ms(self):
         is_pending = any(self._may_have_move(pool) for pool in self._orders)
-        return ORDER_CHECK_INTERVAL_MS if is_pending else IDLE_TICK_MS
+        return ORDER_CHECK_INTERVAL_MS if is_pending else IDLE_TICK_INTERVAL_MS
 
     async def _follow_orders(self):
         if self._context.clock.now_ms() < self._retry_due_ms:
@@ -222,8 +222,8 @@
         """Start an order's move, or report its state to the operators.
 
         Failure prevented: a host becomes home just after the end of a move, and knows
-        only an earlier announcement of the preceding home. Operators to whom the end
-        was reported would then be told that the move is in progress. The store is
+        only an earlier announcement of the former home. Operators to whom the end was
+        reported would then be informed that the move is in progress. The store is
         therefore read before the first report.
         """
         if not self._has_reported(order) and not await self._read(
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -164,7 +164,9 @@
         self.status = await self._open(StatusServer(context))
         self._caller_server = await self._open(CallerServer(context, self._listener))
         await self._open(PeriodicTask(self._tick_ms, self._tick))
-        await self._open(PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held))
+        await self._open(
+            PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held_grants)
+        )
         await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
         _log.info(
             "host_started", host=self.settings.name, address=context.identity.address
@@ -348,7 +350,7 @@
         context.gate.set_share(share)
         context.homes.set_share(share)
 
-    def _report_held(self):
+    def _report_held_grants(self):
         pools = [pool.name for pool in self.context.declarations.pools]
         self.context.grants.send_held_ids(pools)
 
@@ -418,20 +420,22 @@
 
 
 async def _main(settings, make_platform, listener, writer):
-    limit = LogRateLimiter(Clock.from_running_loop().now_ms)
-    configure_logs("info", writer, limit, {"host": settings.name}, cache_loggers=True)
+    rate_limiter = LogRateLimiter(Clock.from_running_loop().now_ms)
+    configure_logs(
+        "info", writer, rate_limiter, {"host": settings.name}, cache_loggers=True
+    )
     boot_clock = SuspendAwareClock.from_system()
     platform = make_platform(settings, boot_clock)
     host = EntryProcess(settings, platform, boot_clock, listener)
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, host.begin_drain)
-    loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("reload_asked"))
+    loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("reload_requested"))
     try:
         await host.start()
         report = PeriodicTask(
             DROPPED_REPORT_INTERVAL_MS,
-            lambda: _report_dropped_lines(limit, writer, host.context.metrics),
+            lambda: _report_dropped_lines(rate_limiter, writer, host.context.metrics),
         )
         await report.start()
         await host.finished.wait()
@@ -440,12 +444,12 @@
         await host.close()
 
 
-def _report_dropped_lines(limit, writer, metrics):
+def _report_dropped_lines(rate_limiter, writer, metrics):
     """Report the number of dropped log lines, so that a gap is visible as such."""
-    left_out, dropped = limit.take_dropped_by_event(), writer.take_dropped()
-    if left_out or dropped:
-        metrics.count(LOG_LINES_DROPPED, value=sum(left_out.values()) + dropped)
-        _log.warning("lines_left_out", **left_out, unread=dropped)
+    by_event, unread_count = rate_limiter.take_dropped_by_event(), writer.take_dropped()
+    if by_event or unread_count:
+        metrics.count(LOG_LINES_DROPPED, value=sum(by_event.values()) + unread_count)
+        _log.warning("lines_left_out", **by_event, unread=unread_count)
 
 
 def run(settings, make_platform, listener=None):
