--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/ejection.py
@@ -60,7 +60,7 @@
 
     @property
     def is_ejected(self):
-        """Whether it is ejected or probing, so that it counts towards the bound."""
+        """Whether the upstream is ejected or probing and counts towards the bound."""
         return self.state in (HealthState.EJECTED, HealthState.PROBING)
 
     @property
@@ -151,7 +151,7 @@
     Returns
     =======
     float or None
-        Median of the peers that aren't ejected and have enough samples; None without
+        Median of the peers that are not ejected and have enough samples; None without
         such peers. The only upstream of a generation is not compared, as slower
         hardware is not a fault.
     """
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/fleet.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/shard_upstreams.py
@@ -13,7 +13,7 @@
 OVERDUE_CHECK_INTERVAL_MS = 1_000
 
 
-class Fleet:
+class ShardUpstreams:
     """Finds the upstreams with a free slot, and updates what is known of them.
 
     Parameters
@@ -74,7 +74,7 @@
         self.recovery.record_grant(upstream_id, now_ms)
 
     def on_adopt(self, held, now_ms):
-        """Record a grant that a former home issued, raising the limit to hold it."""
+        """Record a grant that a previous home issued, raising the limit to hold it."""
         upstream_id = held.grant.upstream_id
         tracked = self.tracker.get(upstream_id)
         if tracked is not None:
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/tests/test_declared_slots_tracker.py
@@ -13,12 +13,12 @@
 
 FAST_US = 2_000
 SLOW_US = 9_000
-PLACES = 4
+SLOTS = 4
 
 
 def upstream(name, **fields):
     values = {"pool": "dossiers", "version": "v1", "address": "127.0.0.1:1"}
-    return Upstream(upstream_id=name, slot_count=PLACES, **(values | fields))
+    return Upstream(upstream_id=name, slot_count=SLOTS, **(values | fields))
 
 
 def scheduler(*names):
@@ -75,7 +75,7 @@
 
 class UnreachableTests(unittest.TestCase):
     def test_crashed_upstream_is_not_tried_by_every_request(self):
-        """Each request is first sent to crashed engines.
+        """Guards against sending each request to crashed engines first.
 
         A crashed engine that is still listed holds no requests, so each request of the
         next seconds was sent there first; half of all grants were useless.
@@ -116,7 +116,7 @@
 
 class FailingTests(unittest.TestCase):
     def test_upstream_that_fails_half_its_answers_is_avoided(self):
-        """Half of the requests fail at one upstream that reports no problem."""
+        """Guards against an upstream that fails half of its requests unreported."""
         count = {"bad": 0}
 
         def outcome_of(name):
@@ -132,11 +132,15 @@
 
     def test_equal_failure_rates_avoid_no_upstream(self):
         """If all upstreams fail equally often, none is avoided."""
-        turn = {"n": 0}
+        ended_count = {"n": 0}
 
         def outcome_of(name):
-            turn["n"] += 1
-            return ended(OutcomeKind.FAILED) if turn["n"] % 3 == 0 else success(FAST_US)
+            ended_count["n"] += 1
+            return (
+                ended(OutcomeKind.FAILED)
+                if ended_count["n"] % 3 == 0
+                else success(FAST_US)
+            )
 
         sender = RequestSender(scheduler("a", "b"))
         placed = sender.send(outcome_of, count=200, every_ms=20)
@@ -158,7 +162,7 @@
         self.assertEqual(self.place(prompt_tokens=20_000), "fast")
 
     def test_short_prompts_use_the_slow_engine_beside_a_long_one(self):
-        """A short prompt waits behind a long one while a slow engine is idle.
+        """Guards against a short prompt behind a long one beside an idle engine.
 
         The fast engine computes the long prompt for half a second; the slow one would
         have answered the short one in a tenth of that.
@@ -176,15 +180,15 @@
 
     def test_no_more_is_granted_than_the_upstreams_declare(self):
         placed = []
-        for _ in range(3 * PLACES):
+        for _ in range(3 * SLOTS):
             request = b.request(now_ms=self.sender.now_ms)
             placed += self.sender.sched.submit(request, self.sender.now_ms)
-        self.assertEqual(len(placed), 2 * PLACES)
+        self.assertEqual(len(placed), 2 * SLOTS)
 
 
 class StallTests(unittest.TestCase):
     def test_unresponsive_upstream_is_avoided(self):
-        """An engine hangs while it holds two requests; more requests are sent there.
+        """Guards against sending more requests to an engine that hangs.
 
         No connection breaks and no answer fails. Only the first tokens, long overdue,
         show the stall.
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -167,7 +167,7 @@
         await self._open(
             PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held_grants)
         )
-        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
+        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._update_gauges))
         _log.info(
             "host_started", host=self.settings.name, address=context.identity.address
         )
@@ -354,7 +354,7 @@
         pools = [pool.name for pool in self.context.declarations.pools]
         self.context.grants.send_held_ids(pools)
 
-    def _report_gauges(self):
+    def _update_gauges(self):
         context, metrics = self.context, self.context.metrics
         metrics.gauge(REQUESTS_OPEN, context.open_requests)
         metrics.gauge(HOSTS_LIVE, len(context.fleet.live_hosts()))
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -17,8 +17,8 @@
 
 _log = get_logger("host.fleet")
 
-# The membership has to be called several times a second, as a probe's time-outs are
-# some hundreds of milliseconds.
+# The membership has to be called several times a second, as a probe's timeouts are some
+# hundreds of milliseconds.
 MIN_TICK_INTERVAL_MS = 100
 # Without a pending probe or suspicion, the membership is called when its next probe is
 # due, and at least this often: it treats a longer gap as a freeze of the process.
@@ -183,7 +183,7 @@
         return self._live
 
     def count_responsive(self, within_ms):
-        """Return the number of hosts heard from within a time, this one included."""
+        """Return how many hosts sent a message within a time, this one included."""
         own = self._context.identity.host_id
         bus = self._context.bus
         return sum(
@@ -205,7 +205,7 @@
         return len(self.live_hosts()) + self._membership.count_lost(now_ms, lost_ms)
 
     def stable_members(self):
-        """Return this host's own member, and the members that are alive and stay."""
+        """Return this host's own member, and those neither suspect nor leaving."""
         if self._stable_version != self._membership.version:
             self._stable_version = self._membership.version
             self._stable = self._membership.confirmed_members()
--- a/libs/host/src/hemlockhoist/host/homes.py
+++ b/libs/host/src/hemlockhoist/host/homes.py
@@ -17,7 +17,7 @@
 
 
 def _no_tracker(pool):
-    """Return None, by which the scheduler determines its upstreams' limits itself."""
+    """Return None: the scheduler then finds the limits of the upstreams itself."""
     return
 
 
@@ -29,7 +29,7 @@
     context : HostContext
     send : callable
         ``send(host_id, message)``.
-    gate : Gate, optional
+    gate : AllowAllGate, optional
         Refuses requests before they reach a pool's scheduler.
     home_key_of : callable, optional
         ``home_key_of(pool)`` returns the key that is hashed to find a pool's home;
@@ -112,7 +112,7 @@
     def _standby(self, name):
         """Return the standby home for this host's own requests, or None.
 
-        It is created when the pool's home is frozen, partitioned off or gone, until the
+        It is created when the pool's home is frozen, partitioned or gone, until the
         fleet agrees on the next one, and when this host is partitioned from all others.
         It knows the upstreams and this host's own grants, but not the requests of other
         hosts.
@@ -183,8 +183,9 @@
     def all_for_pool(self, pool):
         """Return the home and the standby home of a pool at this host, if any.
 
-        Failure: a standby home never learns of this host's own grants, because the
-        reply to its query is not passed to it, and assigns slots that are occupied.
+        Failure prevented: a standby home never learns of this host's own grants,
+        because the reply to its query is not passed to it, and assigns slots that are
+        occupied.
         """
         found = (self._homes.get(pool), self._standbys.get(pool))
         return [home for home in found if home is not None]
--- a/libs/host/src/hemlockhoist/host/services.py
+++ b/libs/host/src/hemlockhoist/host/services.py
@@ -194,7 +194,7 @@
         for name in value.split(",")
     }
     dropped = _HOP_BY_HOP | removed | connection_options
-    # Converted to str, as the HTTP library's own type can not be sent to another host.
+    # Converted to str, as the HTTP library's own type cannot be sent to another host.
     return tuple(
         (str(name), str(value))
         for name, value in headers.items()
