--- a/libs/standins/src/hemlockhoist/standins/verdict.py
+++ b/libs/standins/src/hemlockhoist/standins/consistency.py
@@ -12,11 +12,11 @@
 class Finding(msgspec.Struct, frozen=True):
     """One thing that must not have happened."""
 
-    what: str
+    problem: str
     detail: str
 
     def __str__(self):
-        return f"{self.what}: {self.detail}"
+        return f"{self.problem}: {self.detail}"
 
 
 class RunCounts:
@@ -39,12 +39,12 @@
             self.finished.update(report["finished"])
             self.late_ms += report["begun_after_leaving_ms"]
 
-    def doubled(self):
+    def repeated_ids(self):
         """Return the ids that were begun more than once."""
         return sorted(key for key, count in self.begun.items() if count > 1)
 
 
-def judge(records, counts, max_late_ms, unknown_allowed):
+def check_consistency(records, counts, max_late_ms, unknown_allowed):
     """Return all findings.
 
     Parameters
@@ -60,7 +60,7 @@
     =======
     list of Finding
     """
-    findings = [Finding("run twice", key) for key in counts.doubled()]
+    findings = [Finding("run twice", key) for key in counts.repeated_ids()]
     for record in records:
         findings += _judge_end(record, unknown_allowed)
         findings += _judge_refusals(record, counts)
--- a/libs/standins/src/hemlockhoist/standins/counting.py
+++ b/libs/standins/src/hemlockhoist/standins/counting.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class Share:
+class FractionSampler:
     """Hits a set share of calls, evenly spread and the same in each run."""
 
     __slots__ = ("_sum",)
@@ -11,7 +11,7 @@
     def __init__(self):
         self._sum = 0.0
 
-    def hits(self, share):
+    def is_selected(self, share):
         """Return whether this call is hit.
 
         Parameters
--- a/libs/standins/src/hemlockhoist/standins/lagging.py
+++ b/libs/standins/src/hemlockhoist/standins/delayed_value.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class Lagging:
+class DelayedValue:
     """Keeps a value's history, and shows it as it was a lag ago.
 
     Parameters
--- a/libs/standins/src/hemlockhoist/standins/demo.py
+++ b/libs/standins/src/hemlockhoist/standins/demo.py
@@ -19,15 +19,15 @@
 from hemlockhoist.base import Clock
 from hemlockhoist.declarations import parse_declarations
 from hemlockhoist.standins.callers import tier_table
+from hemlockhoist.standins.consistency import RunCounts, check_consistency
 from hemlockhoist.standins.fleet import Fleet, FleetConfig
 from hemlockhoist.standins.launcher import StartFailed
-from hemlockhoist.standins.operator_client import OperatorClient, OperatorFailed
+from hemlockhoist.standins.operator_client import OperatorClient, OperatorRequestFailed
 from hemlockhoist.standins.traffic import (
     EXAMPLE_CALLERS,
     Traffic,
     example_callers,
 )
-from hemlockhoist.standins.verdict import RunCounts, judge
 
 MODEL = "assistant"
 SERVICE = "reservations"
@@ -117,13 +117,15 @@
         finally:
             await traffic.close()
 
-    async def judge(self, records):
+    async def check(self, records):
         """Return the findings, and print what led to them."""
         members = self._fleet.upstreams()
-        reports = await asyncio.gather(*(self._fleet.runs(item) for item in members))
+        reports = await asyncio.gather(
+            *(self._fleet.run_counts(item) for item in members)
+        )
         counts = RunCounts(reports)
         self.say(f"{sum(counts.begun.values())} runs at the upstreams")
-        findings = judge(records, counts, MAX_LATE_MS, unknown_allowed=True)
+        findings = check_consistency(records, counts, MAX_LATE_MS, unknown_allowed=True)
         found = self._findings + [str(item) for item in findings]
         for address in self._fleet.host_addresses():
             status = await self._operator.status(address)
@@ -143,7 +145,7 @@
         await asyncio.sleep(STEP_S)
         await self._stop_host()
         leaver = self._fleet.upstreams(MODEL, "v1")[0]
-        await self._fleet.leave_upstream(leaver)
+        await self._fleet.mark_upstream_leaving(leaver)
         self.say(f"{leaver['id']} says that it leaves")
         await self._watch_move()
         await asyncio.sleep(STEP_S)
@@ -241,7 +243,7 @@
             sys.exit(0)
         records = await demo.run()
         print("\n" + tier_table(records) + "\n")
-        return await demo.judge(records)
+        return await demo.check(records)
     finally:
         await fleet.close()
 
@@ -290,7 +292,7 @@
             if log_dir:
                 os.makedirs(log_dir, exist_ok=True)
             findings = runner.run(_demo(text, keep, log_dir or folder))
-        except (DemoFailed, OperatorFailed, StartFailed) as error:
+        except (DemoFailed, OperatorRequestFailed, StartFailed) as error:
             findings = [str(error)]
     for finding in findings:
         print(f"FOUND: {finding}")
--- a/libs/standins/src/hemlockhoist/standins/engine/app.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/app.py
@@ -225,7 +225,7 @@
             return web.json_response({"error": str(error)}, status=400)
         self.core.set_faults(faults)
         if faults.refuse_ms and self.server is not None:
-            await self.server.refuse_for(faults.refuse_ms)
+            await self.server.refuse_connections_for(faults.refuse_ms)
         return web.json_response(msgspec.to_builtins(faults))
 
     def _headers(self, request_id, version):
--- a/libs/standins/src/hemlockhoist/standins/engine/core.py
+++ b/libs/standins/src/hemlockhoist/standins/engine/core.py
@@ -6,12 +6,12 @@
 import itertools
 
 from hemlockhoist.standins import answers
-from hemlockhoist.standins.counting import RunCounter, Share
+from hemlockhoist.standins.counting import FractionSampler, RunCounter
+from hemlockhoist.standins.delayed_value import DelayedValue
 from hemlockhoist.standins.engine.faults import EngineFaults
 from hemlockhoist.standins.engine.orders import OrderBook
 from hemlockhoist.standins.engine.streams import Stream, StreamStore
 from hemlockhoist.standins.engine_model import EngineModel
-from hemlockhoist.standins.lagging import Lagging
 
 _MS_PER_S = 1000
 _KEEP_STREAMS_MS = 60_000
@@ -62,7 +62,7 @@
         self._block_tokens = block_tokens
         self._cache_events = collections.deque(maxlen=_MAX_CACHE_EVENTS)
         self._cache_sequence = 0
-        self._failures = Share()
+        self._failures = FractionSampler()
         self._leaving_since_ms = None
         self._sequences = {}
         self._serial = itertools.count(1)
@@ -73,7 +73,7 @@
         self.orders = orders
         self.runs = RunCounter()
         self.streams = StreamStore(keep_streams_ms)
-        self._load = Lagging(self._report(), clock.now_ms())
+        self._load = DelayedValue(self._report(), clock.now_ms())
 
     @classmethod
     def from_config(
@@ -186,7 +186,7 @@
     def _hits_failure(self):
         if not self.faults.hold_for(self.version):
             return False
-        return self._failures.hits(self.faults.fail_share)
+        return self._failures.is_selected(self.faults.fail_share)
 
     def _report(self):
         load = self._model.load()
--- a/libs/standins/src/hemlockhoist/standins/fleet.py
+++ b/libs/standins/src/hemlockhoist/standins/fleet.py
@@ -146,7 +146,7 @@
             "id": name,
             "kind": "entry",
             "address": process.address,
-            "peer_address": process.facts["peer_address"],
+            "peer_address": process.ready_fields["peer_address"],
             "failure_domain": domain,
             "state": "live",
         }
@@ -192,7 +192,7 @@
         await self.publish()
         return status
 
-    async def leave_upstream(self, member):
+    async def mark_upstream_leaving(self, member):
         """Let an upstream say that it leaves; the list says so late."""
         member["state"] = _LEAVING
         await self.set_faults(member, {"state": _LEAVING})
@@ -204,7 +204,7 @@
         async with self.session.post(url, json=faults) as response:
             response.raise_for_status()
 
-    async def runs(self, member):
+    async def run_counts(self, member):
         """Return what an upstream counted."""
         url = f"http://{member['address']}/-/runs"
         async with self.session.get(url) as response:
--- a/libs/standins/src/hemlockhoist/standins/launcher.py
+++ b/libs/standins/src/hemlockhoist/standins/launcher.py
@@ -37,13 +37,13 @@
         "_log_path",
         "_process",
         "_reader",
-        "facts",
         "name",
+        "ready_fields",
     )
 
     def __init__(self, name, arguments, environment, log_path):
         self.name = name
-        self.facts = {}
+        self.ready_fields = {}
         self._arguments = tuple(arguments)
         self._environment = dict(environment)
         self._log_path = log_path
@@ -58,7 +58,7 @@
     @property
     def address(self):
         """``IP:port`` that it listens on, once started."""
-        return self.facts["address"]
+        return self.ready_fields["address"]
 
     @property
     def url(self):
@@ -95,7 +95,7 @@
             )
         try:
             async with asyncio.timeout(_READY_TIMEOUT_S):
-                self.facts = await self._read_ready_line()
+                self.ready_fields = await self._read_ready_line()
         except TimeoutError as error:
             await self.kill()
             raise StartFailed(f"{self.name} is not listening\n{self.log()}") from error
--- a/libs/standins/src/hemlockhoist/standins/measure_path.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_path.py
@@ -58,7 +58,7 @@
     return intercept, slope, worst
 
 
-class Load:
+class ChatLoad:
     """Sends streamed chats to one address, a fixed number at a time.
 
     Parameters
@@ -67,15 +67,22 @@
     address : str
     """
 
-    __slots__ = ("_address", "_number", "_session", "first_ms", "pieces", "refused")
+    __slots__ = (
+        "_address",
+        "_number",
+        "_session",
+        "events",
+        "first_chunk_ms",
+        "refused",
+    )
 
     def __init__(self, session, address):
         self._session = session
         self._address = address
         self._number = 0
-        self.pieces = 0
+        self.events = 0
         self.refused = 0
-        self.first_ms = []
+        self.first_chunk_ms = []
 
     async def run(self, tokens, requests):
         """Send ``requests`` chats of ``tokens`` tokens each."""
@@ -109,9 +116,9 @@
             first = True
             async for chunk in response.content.iter_any():
                 if first:
-                    self.first_ms.append(1000 * (loop.time() - began_s))
+                    self.first_chunk_ms.append(1000 * (loop.time() - began_s))
                     first = False
-                self.pieces += chunk.count(b"\n\n")
+                self.events += chunk.count(b"\n\n")
 
 
 async def _measure(fleet, host, engine):
@@ -142,12 +149,14 @@
 
 
 def _median(load):
-    return statistics.median(load.first_ms) if load.first_ms else float("nan")
+    return (
+        statistics.median(load.first_chunk_ms) if load.first_chunk_ms else float("nan")
+    )
 
 
 async def _round(session, address, pid, tokens, requests):
     """Return processor ms a request, requests a second, and the load's records."""
-    load = Load(session, address)
+    load = ChatLoad(session, address)
     await load.run(tokens, STREAMS)
     costs, rates = [], []
     loop = asyncio.get_running_loop()
--- a/libs/standins/src/hemlockhoist/standins/measure_versions.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_versions.py
@@ -23,7 +23,12 @@
     start_move,
 )
 from hemlockhoist.standins.version_baselines import FixedSteps, FixedThreshold
-from hemlockhoist.standins.version_models import BAD_KINDS, GOOD_KINDS, Kind, Trial
+from hemlockhoist.standins.version_models import (
+    BAD_KINDS,
+    GOOD_KINDS,
+    VersionKind,
+    VersionScenario,
+)
 
 TICK_MS = 500
 UNIX_MS = 1_700_000_000_000
@@ -31,13 +36,13 @@
 POLICIES = ("hemlockhoist", "fixed threshold", "fixed steps")
 
 
-class Result(msgspec.Struct, kw_only=True):
+class MoveResult(msgspec.Struct, kw_only=True):
     """How one move of one seeded version ended."""
 
-    kind: Kind
+    kind: VersionKind
     deployment: str
     finished_ms: int = -1
-    taken_back_ms: int = -1
+    rolled_back_ms: int = -1
     requests: int = 0
     new_requests: int = 0
     new_non_idempotent: int = 0
@@ -47,7 +52,7 @@
     after_non_idempotent: int = 0
     began_ms: int = -1
     last_bad_grant_ms: int = -1
-    late_told: int = 0
+    late_reported: int = 0
     reason: str = ""
 
     @property
@@ -61,31 +66,31 @@
 class ControllerDriver:
     """The product's controller, with a store that always answers."""
 
-    def __init__(self, trial):
+    def __init__(self, scenario):
         self.log = InvariantLog(fatal=True)
         order = MoveRequest(
             move_id="m1",
-            pool=trial.deployment.name,
+            pool=scenario.deployment.name,
             from_version="v1",
             to_version="v2",
-            moved_by_unix_ms=UNIX_MS + trial.deployment.window_s * 1000,
+            moved_by_unix_ms=UNIX_MS + scenario.deployment.window_s * 1000,
             reason="measurement",
             author="measurement",
         )
         row = start_move(None, order, UNIX_MS)
         self.policy = MoveController.from_config(
-            trial.deployment.pool, row, 0, UNIX_MS, self.log
+            scenario.deployment.pool, row, 0, UNIX_MS, self.log
         )
 
     @property
-    def taken_back(self):
+    def rolled_back(self):
         """Whether the version has been taken back."""
         return self.policy.verdict is not None
 
     @property
     def reason(self):
         """Why, with figures."""
-        return self.policy.verdict.reason if self.taken_back else ""
+        return self.policy.verdict.reason if self.rolled_back else ""
 
     def finished(self, now_ms):
         """Return whether the move has finished."""
@@ -105,13 +110,13 @@
 
     reason = ""
 
-    def __init__(self, kind, trial):
-        self.policy = kind(trial.deployment.window_s * 1000, trial.seed)
+    def __init__(self, kind, scenario):
+        self.policy = kind(scenario.deployment.window_s * 1000, scenario.seed)
 
     @property
-    def taken_back(self):
+    def rolled_back(self):
         """Whether the version has been taken back."""
-        return self.policy.taken_back
+        return self.policy.rolled_back
 
     def finished(self, now_ms):
         """Return whether all traffic is on the new version."""
@@ -122,35 +127,35 @@
         return 0
 
 
-def new_driver(policy, trial):
+def new_driver(policy, scenario):
     """Return the driver of the policy of that name."""
     if policy == "hemlockhoist":
-        return ControllerDriver(trial)
+        return ControllerDriver(scenario)
     kind = FixedSteps if policy == "fixed steps" else FixedThreshold
-    return BaselineDriver(kind, trial)
+    return BaselineDriver(kind, scenario)
 
 
-class Run:
+class MeasuredMove:
     """One move: requests are granted and answered until the time is up."""
 
     def __init__(self, policy, kind, seed):
-        self.trial = Trial(kind, seed)
-        self.driver = new_driver(policy, self.trial)
-        self.result = Result(kind=kind, deployment=self.trial.deployment.name)
-        replicas = self.trial.deployment.replicas
+        self.scenario = VersionScenario(kind, seed)
+        self.driver = new_driver(policy, self.scenario)
+        self.result = MoveResult(kind=kind, deployment=self.scenario.deployment.name)
+        replicas = self.scenario.deployment.replicas
         self.in_flight = {"v1": [0] * replicas, "v2": [0] * replicas}
         self.answers = []
         self.next_tick_ms = 0
 
     def execute(self):
         """Run the move to its end; return the result."""
-        for sequence, (now_ms, route) in enumerate(self.trial.arrivals()):
+        for sequence, (now_ms, route) in enumerate(self.scenario.arrivals()):
             self._advance(now_ms)
-            if self.driver.taken_back:
+            if self.driver.rolled_back:
                 break
             self._grant(sequence, route, now_ms)
-        end_ms = self.trial.deployment.window_s * 1000
-        if not self.driver.taken_back:
+        end_ms = self.scenario.deployment.window_s * 1000
+        if not self.driver.rolled_back:
             self._advance(end_ms)
         return self.result
 
@@ -165,18 +170,18 @@
             else:
                 self._tick(self.next_tick_ms)
                 self.next_tick_ms += TICK_MS
-            if self.driver.taken_back:
+            if self.driver.rolled_back:
                 self._note_taken_back(until_ms)
                 return
 
     def _tick(self, now_ms):
-        self.result.late_told += self.driver.tick(now_ms)
+        self.result.late_reported += self.driver.tick(now_ms)
         if self.result.finished_ms < 0 and self.driver.finished(now_ms):
             self.result.finished_ms = now_ms
 
     def _note_taken_back(self, now_ms):
-        if self.result.taken_back_ms < 0:
-            self.result.taken_back_ms = now_ms
+        if self.result.rolled_back_ms < 0:
+            self.result.rolled_back_ms = now_ms
             self.result.reason = self.driver.reason
 
     def _grant(self, sequence, route, now_ms):
@@ -193,7 +198,7 @@
         loads = self.in_flight[version]
         upstream = self._place(version, loads, sequence)
         self.driver.policy.on_grant(request, version, now_ms, f"{version}-{upstream}")
-        found = self.trial.answer(version, upstream, route, loads[upstream], now_ms)
+        found = self.scenario.answer(version, upstream, route, loads[upstream], now_ms)
         loads[upstream] += 1
         self._count(version, request, found[3], now_ms)
         answer = (now_ms + found[2], sequence, request, version, upstream, found)
@@ -244,7 +249,7 @@
 
 def run_batch(policy, kind, seeds):
     """Return the results of one policy on versions of one kind."""
-    return [Run(policy, kind, seed).execute() for seed in seeds]
+    return [MeasuredMove(policy, kind, seed).execute() for seed in seeds]
 
 
 def run_all(policies, kinds, count, first_seed, workers):
@@ -302,9 +307,9 @@
     """Return a row of the table of good versions."""
     count = len(results)
     ended = [item.finished_ms / 1000 for item in results if item.finished_ms >= 0]
-    back = sum(item.taken_back_ms >= 0 for item in results)
+    back = sum(item.rolled_back_ms >= 0 for item in results)
     late = [item for item in results if _is_held(item)]
-    told = sum(item.late_told > 0 for item in late)
+    told = sum(item.late_reported > 0 for item in late)
     return (
         kind.value,
         policy,
@@ -319,7 +324,7 @@
 def bad_row(policy, kind, results):
     """Return a row of the table of bad versions."""
     shown = [item for item in results if item.began_ms >= 0]
-    back = [item for item in shown if item.taken_back_ms >= 0]
+    back = [item for item in shown if item.rolled_back_ms >= 0]
     passed = [item for item in shown if _is_passed(item)]
     return (
         kind.value,
@@ -337,11 +342,11 @@
 
 
 def _is_held(item):
-    return item.finished_ms < 0 and item.taken_back_ms < 0
+    return item.finished_ms < 0 and item.rolled_back_ms < 0
 
 
 def _is_passed(item):
-    return item.finished_ms >= 0 and item.taken_back_ms < 0
+    return item.finished_ms >= 0 and item.rolled_back_ms < 0
 
 
 def _part(part, whole):
@@ -368,7 +373,7 @@
     policies = [options.policy] if options.policy else POLICIES
     started = time.perf_counter()
     found = run_all(
-        policies, tuple(Kind), options.seeds, options.first_seed, options.workers
+        policies, tuple(VersionKind), options.seeds, options.first_seed, options.workers
     )
     print_tables(found, policies)
     print(f"{sum(map(len, found.values()))} moves", end=", ")
@@ -401,9 +406,9 @@
         if policy != "hemlockhoist":
             continue
         for item in results:
-            wrong = kind in GOOD_KINDS and item.taken_back_ms >= 0
+            wrong = kind in GOOD_KINDS and item.rolled_back_ms >= 0
             late = kind in GOOD_KINDS and item.finished_ms < 0
-            missed = kind in BAD_KINDS and item.taken_back_ms < 0
+            missed = kind in BAD_KINDS and item.rolled_back_ms < 0
             if wrong or late or missed:
                 print(kind.value, item.deployment, item.reason or item)
 
--- a/libs/standins/src/hemlockhoist/standins/operator_client.py
+++ b/libs/standins/src/hemlockhoist/standins/operator_client.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class OperatorFailed(Exception):
+class OperatorRequestFailed(Exception):
     """A host refused an operator's command."""
 
 
@@ -79,5 +79,7 @@
         ) as response:
             if response.status >= 300:
                 text = await response.text()
-                raise OperatorFailed(f"{method} {path}: {response.status} {text[:500]}")
+                raise OperatorRequestFailed(
+                    f"{method} {path}: {response.status} {text[:500]}"
+                )
             return await response.json()
--- a/libs/standins/src/hemlockhoist/standins/platform/app.py
+++ b/libs/standins/src/hemlockhoist/standins/platform/app.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from hemlockhoist.base import Clock
-from hemlockhoist.standins.lagging import Lagging
+from hemlockhoist.standins.delayed_value import DelayedValue
 from hemlockhoist.standins.platform.faults import PlatformFaults
 from hemlockhoist.standins.platform.stores import ObjectStore, RateLimit
 from hemlockhoist.standins.platform.tables import TableStore, VersionMismatch
@@ -46,7 +46,7 @@
     def __init__(self, clock, hosts_lag_ms, weights_per_second):
         now_ms = clock.now_ms()
         self._clock = clock
-        self._hosts = Lagging([], now_ms, hosts_lag_ms)
+        self._hosts = DelayedValue([], now_ms, hosts_lag_ms)
         self._frozen_hosts = None
         self._objects = ObjectStore()
         self._weights = ObjectStore()
--- a/libs/standins/src/hemlockhoist/standins/process_faults.py
+++ b/libs/standins/src/hemlockhoist/standins/process_faults.py
@@ -7,7 +7,7 @@
 
 from hemlockhoist.base import Clock
 from hemlockhoist.declarations import parse_declarations
-from hemlockhoist.standins.operator_client import OperatorFailed
+from hemlockhoist.standins.operator_client import OperatorRequestFailed
 
 MODEL = "assistant"
 SERVICE = "reservations"
@@ -292,7 +292,7 @@
         if len(live) < 2:
             return
         await self._fleet.add_services(1, SERVICE, "v1")
-        await self._fleet.leave_upstream(self._rng.choice(live))
+        await self._fleet.mark_upstream_leaving(self._rng.choice(live))
 
 
 async def _try(call):
@@ -300,5 +300,5 @@
     try:
         async with asyncio.timeout(OPERATOR_TIMEOUT_S):
             return await call
-    except (OperatorFailed, aiohttp.ClientError, TimeoutError):
+    except (OperatorRequestFailed, aiohttp.ClientError, TimeoutError):
         return None
--- a/libs/standins/src/hemlockhoist/standins/recovery.py
+++ b/libs/standins/src/hemlockhoist/standins/recovery.py
@@ -32,7 +32,7 @@
 _COLLECTORS = 3
 
 
-class Exchange:
+class MessageSimulation:
     """Ticks hosts at random phases, and carries and counts their messages.
 
     Parameters
@@ -112,7 +112,7 @@
         # All know all: news of the start is not part of the steady state.
         host.gossip = GossipQueue()
         hosts[member.address] = host
-    exchange = Exchange(hosts)
+    exchange = MessageSimulation(hosts)
     exchange.run(2_000)
     exchange.sent_bytes = exchange.messages = 0
     started_s = time.process_time()
@@ -188,7 +188,7 @@
         )
         state.set_view(members, collectors, 0)
         hosts[member.address] = _ConfigurationHost(state, store)
-    return Exchange(hosts), store
+    return MessageSimulation(hosts), store
 
 
 def measure_restart(count, outage_s):
--- a/libs/standins/src/hemlockhoist/standins/service/app.py
+++ b/libs/standins/src/hemlockhoist/standins/service/app.py
@@ -8,8 +8,8 @@
 from aiohttp import web
 
 from hemlockhoist.base import Clock
-from hemlockhoist.standins.counting import RunCounter, Share
-from hemlockhoist.standins.lagging import Lagging
+from hemlockhoist.standins.counting import FractionSampler, RunCounter
+from hemlockhoist.standins.delayed_value import DelayedValue
 from hemlockhoist.standins.service.faults import ServiceFaults
 
 _MS_PER_S = 1000
@@ -59,7 +59,7 @@
 
     def __init__(self, clock, version, work_ms):
         self._clock = clock
-        self._failures = Share()
+        self._failures = FractionSampler()
         self._in_flight = 0
         self._leaving_since_ms = None
         self._version = version
@@ -69,7 +69,7 @@
         self.runs = RunCounter()
         # Set by whoever serves the application; needed to refuse connections.
         self.server = None
-        self._load = Lagging(self._report(), clock.now_ms())
+        self._load = DelayedValue(self._report(), clock.now_ms())
 
     @classmethod
     def from_config(cls, version="v1", work_ms=5, clock=None):
@@ -125,7 +125,7 @@
         if faults.use("drop_after"):
             return _drop(request)
         share = faults.fail_share if faults.hold_for(self._version) else 0.0
-        if faults.use("fail_after") or self._failures.hits(share):
+        if faults.use("fail_after") or self._failures.is_selected(share):
             self.runs.failed[key] += 1
             return self._answer(500, {"error": "failed, has run", "key": key})
         reply = expected_reply(request.method, request.path_qs, body)
@@ -174,7 +174,7 @@
         elif not was_leaving:
             self._leaving_since_ms = now_ms
         if faults.refuse_ms and self.server is not None:
-            await self.server.refuse_for(faults.refuse_ms)
+            await self.server.refuse_connections_for(faults.refuse_ms)
         return web.json_response(msgspec.to_builtins(faults))
 
 
--- a/libs/standins/src/hemlockhoist/standins/serving.py
+++ b/libs/standins/src/hemlockhoist/standins/serving.py
@@ -72,7 +72,7 @@
                 await self._reopen
         await self._runner.cleanup()
 
-    async def refuse_for(self, duration_ms):
+    async def refuse_connections_for(self, duration_ms):
         """Refuse new connections for a while; end those that wait for a request.
 
         Parameters
--- a/libs/standins/src/hemlockhoist/standins/soak_processes.py
+++ b/libs/standins/src/hemlockhoist/standins/soak_processes.py
@@ -16,11 +16,11 @@
 from hemlockhoist.base import Property
 from hemlockhoist.declarations import parse_declarations
 from hemlockhoist.standins.callers import tier_table
+from hemlockhoist.standins.consistency import RunCounts, check_consistency
 from hemlockhoist.standins.fleet import Fleet, FleetConfig
 from hemlockhoist.standins.operator_client import OperatorClient
 from hemlockhoist.standins.process_faults import MODEL, SERVICE, ProcessFaults
 from hemlockhoist.standins.traffic import Traffic, example_callers
-from hemlockhoist.standins.verdict import RunCounts, judge
 
 WORKERS = 4
 PAUSE_S = (0.2, 1.5)
@@ -101,7 +101,7 @@
         finally:
             await traffic.close()
         print(tier_table(traffic.records))
-        return await self._judge(traffic.records)
+        return await self._check(traffic.records)
 
     async def _disturb(self, seconds):
         loop = asyncio.get_running_loop()
@@ -111,10 +111,14 @@
             await self.faults.step()
             await asyncio.sleep(self._rng.uniform(*PAUSE_S))
 
-    async def _judge(self, records):
+    async def _check(self, records):
         members = self._fleet.upstreams()
-        reports = await asyncio.gather(*(self._fleet.runs(item) for item in members))
-        findings = judge(records, RunCounts(reports), MAX_LATE_MS, unknown_allowed=True)
+        reports = await asyncio.gather(
+            *(self._fleet.run_counts(item) for item in members)
+        )
+        findings = check_consistency(
+            records, RunCounts(reports), MAX_LATE_MS, unknown_allowed=True
+        )
         found = [str(item) for item in findings]
         for address in self._fleet.host_addresses():
             status = await self._operator.status(address)
--- a/libs/standins/src/hemlockhoist/standins/tests/test_verdict.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_consistency.py
@@ -1,21 +1,21 @@
 import unittest
 
 from hemlockhoist.standins.callers import CallRecord, Kind, Refusal, Seen
-from hemlockhoist.standins.verdict import RunCounts, judge
+from hemlockhoist.standins.consistency import RunCounts, check_consistency
 
 
 def _record(seen, kind=Kind.BOOKING, **fields):
     return CallRecord(kind=kind, customer="c", tier="t", seen=seen, **fields)
 
 
-def _judge(records, runs=(), late_ms=(), unknown_allowed=True):
+def _problems(records, runs=(), late_ms=(), unknown_allowed=True):
     report = {
         "runs": dict(runs),
         "finished": {},
         "begun_after_leaving_ms": list(late_ms),
     }
-    found = judge(records, RunCounts([report]), 3_000, unknown_allowed)
-    return [finding.what for finding in found]
+    found = check_consistency(records, RunCounts([report]), 3_000, unknown_allowed)
+    return [finding.problem for finding in found]
 
 
 class VerdictTests(unittest.TestCase):
@@ -27,23 +27,23 @@
             _record(Seen.UNKNOWN, key="c"),
             _record(Seen.WHOLE, Kind.CHAT, request_ids=["r"]),
         ]
-        self.assertEqual(_judge(records, {"a": 1, "r": 1, "c": 1}, [2_999]), [])
+        self.assertEqual(_problems(records, {"a": 1, "r": 1, "c": 1}, [2_999]), [])
 
     def test_doubled(self):
         """A key that ran at two upstreams, or twice at one, is found."""
-        self.assertEqual(_judge([], {"a": 2}), ["run twice"])
+        self.assertEqual(_problems([], {"a": 2}), ["run twice"])
 
     def test_confirmed_without_a_run(self):
         """A booking that its caller was told of and no service ran is lost."""
         records = [_record(Seen.WHOLE, key="a")]
-        self.assertEqual(_judge(records), ["confirmed, and run 0 times"])
+        self.assertEqual(_problems(records), ["confirmed, and run 0 times"])
 
     def test_untrue_refusal(self):
         """A refusal that says "not run" of something that ran is found."""
         refusal = Refusal(503, 200, "not run", "r", 1_000, "")
         chat = _record(Seen.WHOLE, Kind.CHAT, refusals=[refusal])
         booking = _record(Seen.REFUSED, key="a")
-        found = _judge([chat, booking], {"r": 1, "a": 1})
+        found = _problems([chat, booking], {"r": 1, "a": 1})
         self.assertEqual(found, ["refused as not run, and ran"] * 2)
 
     def test_bad_ends(self):
@@ -54,7 +54,7 @@
             _record(Seen.UNKNOWN, Kind.CHAT),
             _record(Seen.UNKNOWN),
         ]
-        found = _judge(records, late_ms=[3_001], unknown_allowed=False)
+        found = _problems(records, late_ms=[3_001], unknown_allowed=False)
         self.assertEqual(
             found,
             ["chat cut", "lookup wrong", "chat lost", "booking lost"]
--- a/libs/standins/src/hemlockhoist/standins/tests/test_operator_commands.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_operator_commands.py
@@ -94,7 +94,7 @@
                 "id": host.name,
                 "kind": "entry",
                 "address": host.address,
-                "peer_address": host.facts["peer_address"],
+                "peer_address": host.ready_fields["peer_address"],
             }
             for host in self.hosts
         ]
--- a/libs/standins/src/hemlockhoist/standins/tests/test_planned_stops.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_planned_stops.py
@@ -5,10 +5,10 @@
 
 from hemlockhoist.declarations import parse_declarations
 from hemlockhoist.standins.callers import Caller, CallerConfig, Seen
+from hemlockhoist.standins.consistency import RunCounts, check_consistency
 from hemlockhoist.standins.fleet import Fleet, FleetConfig
 from hemlockhoist.standins.operator_client import OperatorClient
 from hemlockhoist.standins.traffic import Traffic
-from hemlockhoist.standins.verdict import RunCounts, judge
 
 _DECLARATIONS = pathlib.Path("examples/declarations.yaml")
 _MODEL = "assistant"
@@ -45,8 +45,12 @@
 
     async def _findings(self, records):
         members = self.fleet.upstreams()
-        reports = await asyncio.gather(*(self.fleet.runs(item) for item in members))
-        return [str(f) for f in judge(records, RunCounts(reports), 3_000, False)]
+        reports = await asyncio.gather(
+            *(self.fleet.run_counts(item) for item in members)
+        )
+        return [
+            str(f) for f in check_consistency(records, RunCounts(reports), 3_000, False)
+        ]
 
 
 class RollingReplacementTests(_FleetCase):
--- a/libs/standins/src/hemlockhoist/standins/tests/test_whole_path.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_whole_path.py
@@ -4,9 +4,9 @@
 
 from hemlockhoist.declarations import parse_declarations
 from hemlockhoist.standins.callers import Caller, CallerConfig, Seen
+from hemlockhoist.standins.consistency import RunCounts, check_consistency
 from hemlockhoist.standins.fleet import Fleet, FleetConfig
 from hemlockhoist.standins.operator_client import OperatorClient
-from hemlockhoist.standins.verdict import RunCounts, judge
 
 _DECLARATIONS = pathlib.Path("examples/declarations.yaml")
 _MODEL = "assistant"
@@ -65,8 +65,8 @@
         record = await self.caller.chat(_MODEL, "second", 8, stream)
         self.assertIs(record.seen, Seen.WHOLE, record)
         self.assertEqual((record.attempts, record.resends), (1, 0))
-        reports = [await self.fleet.runs(item) for item in self.fleet.upstreams()]
-        found = judge([record], RunCounts(reports), 3_000, False)
+        reports = [await self.fleet.run_counts(item) for item in self.fleet.upstreams()]
+        found = check_consistency([record], RunCounts(reports), 3_000, False)
         self.assertEqual(found, [])
 
     def test_crossed_answers(self):
@@ -122,7 +122,7 @@
             url, data=b"hall 3", headers=headers
         ) as response:
             self.assertEqual(response.headers["X-Request-Ran"], "outcome unknown")
-        runs = await self.fleet.runs(self.service)
+        runs = await self.fleet.run_counts(self.service)
         self.assertEqual(runs["runs"][record.key], 1)
 
     def test_refusal_of_connections(self):
@@ -137,5 +137,5 @@
         record = await self.caller.book(_SERVICE, "/bookings", b"hall 3")
         self.assertIs(record.seen, Seen.WHOLE)
         self.assertTrue(all(refusal.not_run for refusal in record.refusals))
-        runs = await self.fleet.runs(self.service)
+        runs = await self.fleet.run_counts(self.service)
         self.assertEqual(runs["runs"][record.key], 1)
--- a/libs/standins/src/hemlockhoist/standins/version_baselines.py
+++ b/libs/standins/src/hemlockhoist/standins/version_baselines.py
@@ -17,20 +17,20 @@
         Shares are drawn.
     """
 
-    __slots__ = ("_end_ms", "_random", "taken_back")
+    __slots__ = ("_end_ms", "_random", "rolled_back")
 
     def __init__(self, end_ms, seed):
         self._end_ms = end_ms
         self._random = random.Random(seed)
-        self.taken_back = False
+        self.rolled_back = False
 
     def finished(self, now_ms):
         """Return whether all traffic is on the new version."""
-        return not self.taken_back and self._share(now_ms) >= 1
+        return not self.rolled_back and self._share(now_ms) >= 1
 
     def candidates(self, request, versions, now_ms):
         """Return the version that the draw falls on."""
-        is_new = not self.taken_back and self._random.random() < self._share(now_ms)
+        is_new = not self.rolled_back and self._random.random() < self._share(now_ms)
         return ("v2",) if is_new else ("v1",)
 
     def _share(self, now_ms):
@@ -62,4 +62,4 @@
         del self._latest[: -self.WINDOW]
         count = len(self._latest)
         if count >= self.MIN_ANSWERS and sum(self._latest) > self.LIMIT * count:
-            self.taken_back = True
+            self.rolled_back = True
--- a/libs/standins/src/hemlockhoist/standins/version_models.py
+++ b/libs/standins/src/hemlockhoist/standins/version_models.py
@@ -21,7 +21,7 @@
 class Deployment(msgspec.Struct, frozen=True):
     """A pool at today's size.
 
-    ``first_token_part`` is 0 for plain services; ``knee`` is the number of requests
+    ``first_token_fraction`` is 0 for plain services; ``latency_doubling_load`` is the number of requests
     in flight per upstream that doubles its latency.
     """
 
@@ -31,13 +31,13 @@
     window_s: int
     routes: tuple[Route, ...]
     sigma: float
-    knee: float
-    first_token_part: float = 0.0
+    latency_doubling_load: float
+    first_token_fraction: float = 0.0
 
     @property
     def pool(self):
         """The pool's declaration."""
-        is_model = self.first_token_part > 0
+        is_model = self.first_token_fraction > 0
         calls = tuple(
             model.IdempotentCall(method=route.name.split()[0])
             for route in self.routes
@@ -92,7 +92,7 @@
 DEPLOYMENTS = (RESERVATIONS, LABELS, ASSISTANTS)
 
 
-class Kind(enum.Enum):
+class VersionKind(enum.Enum):
     """What is wrong with a new version, if anything."""
 
     GOOD = "good"
@@ -112,19 +112,19 @@
 
 
 GOOD_KINDS = (
-    Kind.GOOD,
-    Kind.GOOD_THIN,
-    Kind.GOOD_COMMON_TROUBLE,
-    Kind.GOOD_ONE_BAD_UPSTREAM,
+    VersionKind.GOOD,
+    VersionKind.GOOD_THIN,
+    VersionKind.GOOD_COMMON_TROUBLE,
+    VersionKind.GOOD_ONE_BAD_UPSTREAM,
 )
-BAD_KINDS = tuple(kind for kind in Kind if kind not in GOOD_KINDS)
-_THIN_KINDS = frozenset({Kind.GOOD_THIN, Kind.THIN})
+BAD_KINDS = tuple(kind for kind in VersionKind if kind not in GOOD_KINDS)
+_THIN_KINDS = frozenset({VersionKind.GOOD_THIN, VersionKind.THIN})
 _THIN_FACTOR = 0.1
-USUAL_FAILURE = 0.004
+BASELINE_FAILURE_RATE = 0.004
 _HANG_MS = 30_000
 
 
-class Trial:
+class VersionScenario:
     """One seeded version on one deployment: traffic and answers.
 
     Parameters
@@ -154,7 +154,7 @@
         self._random = random.Random(f"{kind.name}:{seed}")
         thin = _THIN_FACTOR if kind in _THIN_KINDS else 1.0
         self.rate_per_s = self.deployment.rate_per_s * thin
-        self._fail = USUAL_FAILURE
+        self._fail = BASELINE_FAILURE_RATE
         self._slow = 1.0
         self._from_s = 0.0
         self._load = 0.0
@@ -165,21 +165,25 @@
     def _spoil(self):
         draw = self._random.uniform
         kind, window_s = self.kind, self.deployment.window_s
-        if kind in (Kind.FAILS_AT_ONCE, Kind.FAILS_LATER, Kind.THIN):
+        if kind in (
+            VersionKind.FAILS_AT_ONCE,
+            VersionKind.FAILS_LATER,
+            VersionKind.THIN,
+        ):
             self._fail = draw(0.5, 1.0)
-        if kind in (Kind.SLOW_AT_ONCE, Kind.SLOW_LATER):
+        if kind in (VersionKind.SLOW_AT_ONCE, VersionKind.SLOW_LATER):
             self._slow = draw(2.0, 4.0)
-        if kind in (Kind.FAILS_LATER, Kind.SLOW_LATER):
+        if kind in (VersionKind.FAILS_LATER, VersionKind.SLOW_LATER):
             self._from_s = window_s * draw(0.2, 0.9)
-        if kind in (Kind.UNDER_LOAD, Kind.ONE_ROUTE):
+        if kind in (VersionKind.UNDER_LOAD, VersionKind.ONE_ROUTE):
             self._spoil_somehow(draw)
-        if kind is Kind.UNDER_LOAD:
+        if kind is VersionKind.UNDER_LOAD:
             self._load = self._full_load() * draw(0.8, 1.4)
-        if kind is Kind.ONE_ROUTE:
+        if kind is VersionKind.ONE_ROUTE:
             self._route = self._random.choice(self.deployment.routes).name
-        if kind is Kind.FAILS_5:
+        if kind is VersionKind.FAILS_5:
             self._fail = 0.05
-        if kind is Kind.FAILS_20:
+        if kind is VersionKind.FAILS_20:
             self._fail = 0.2
 
     def _spoil_somehow(self, draw):
@@ -210,24 +214,24 @@
     def answer(self, version, upstream, route, in_flight, now_ms):
         """Return failure, first token and total in ms, and whether it was bad."""
         is_spoilt = version == "v2" and self._is_spoilt(route, in_flight, now_ms)
-        if is_spoilt and self.kind is Kind.HANGS:
+        if is_spoilt and self.kind is VersionKind.HANGS:
             return True, -1, _HANG_MS, True
-        fail = self._fail if is_spoilt else USUAL_FAILURE
+        fail = self._fail if is_spoilt else BASELINE_FAILURE_RATE
         slow = self._slow if is_spoilt else 1.0
-        if self.kind is Kind.GOOD_ONE_BAD_UPSTREAM:
-            fail = 0.8 if (version, upstream) == ("v2", 0) else USUAL_FAILURE
-        if self.kind is Kind.GOOD_COMMON_TROUBLE:
+        if self.kind is VersionKind.GOOD_ONE_BAD_UPSTREAM:
+            fail = 0.8 if (version, upstream) == ("v2", 0) else BASELINE_FAILURE_RATE
+        if self.kind is VersionKind.GOOD_COMMON_TROUBLE:
             fail, slow = self._trouble(fail, slow, now_ms)
         deployment = self.deployment
-        slow *= 1 + in_flight / deployment.knee
+        slow *= 1 + in_flight / deployment.latency_doubling_load
         draw = self._random.lognormvariate
         total_ms = route.median_ms * slow * draw(0, deployment.sigma)
         is_failed = self._random.random() < fail
         if is_failed:
             total_ms *= 0.3
         first_ms = -1
-        if deployment.first_token_part and not is_failed:
-            first_ms = int(total_ms * deployment.first_token_part)
+        if deployment.first_token_fraction and not is_failed:
+            first_ms = int(total_ms * deployment.first_token_fraction)
         was_bad = is_spoilt and (is_failed or self._slow > 1)
         return is_failed, first_ms, max(1, int(total_ms)), was_bad
 
