--- a/libs/standins/src/hemlockhoist/standins/consistency.py
+++ b/libs/standins/src/hemlockhoist/standins/consistency.py
@@ -1,4 +1,4 @@
-"""Compares what callers saw with what the upstreams ran."""
+"""Checks outcomes recorded by callers against requests run by the upstreams."""
 
 import collections
 
@@ -6,11 +6,11 @@
 
 from hemlockhoist.standins.callers import Kind, Seen
 
-_NEVER = (Seen.WRONG, Seen.CUT, Seen.FAILED)
+_NEVER_ALLOWED = (Seen.WRONG, Seen.CUT, Seen.FAILED)
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One thing that must not have happened."""
+    """One violation that was found."""
 
     problem: str
     detail: str
@@ -20,12 +20,12 @@
 
 
 class RunCounts:
-    """The runs of all upstreams, by request id or idempotency key.
+    """Counts the runs at all upstreams by request id or idempotency key.
 
     Parameters
     ==========
     reports : iterable of dict
-        As ``GET /-/runs`` gives them.
+        As returned by ``GET /-/runs``.
     """
 
     __slots__ = ("begun", "finished", "late_ms")
@@ -40,21 +40,22 @@
             self.late_ms += report["begun_after_leaving_ms"]
 
     def repeated_ids(self):
-        """Return the ids that were begun more than once."""
+        """Return the ids of requests that were begun more than once."""
         return sorted(key for key, count in self.begun.items() if count > 1)
 
 
 def check_consistency(records, counts, max_late_ms, unknown_allowed):
-    """Return all findings.
+    """Compare records and run counts; return all violations found.
 
     Parameters
     ==========
     records : sequence of CallRecord
     counts : RunCounts
     max_late_ms : int
-        How long after an upstream said that it leaves it may still get work.
+        Longest time after an upstream announced that it leaves at which it may still
+        receive work.
     unknown_allowed : bool
-        Whether bookings may end with an unknown outcome: a host was killed.
+        Whether bookings may end with an unknown outcome, as when a host is killed.
 
     Returns
     =======
@@ -62,28 +63,28 @@
     """
     findings = [Finding("run twice", key) for key in counts.repeated_ids()]
     for record in records:
-        findings += _judge_end(record, unknown_allowed)
-        findings += _judge_refusals(record, counts)
+        findings += _check_end(record, unknown_allowed)
+        findings += _check_refusals(record, counts)
         if record.kind is Kind.BOOKING:
-            findings += _judge_booking(record, counts)
+            findings += _check_booking(record, counts)
     late = [late_ms for late_ms in counts.late_ms if late_ms > max_late_ms]
     findings += [Finding("work after leaving", f"{late_ms} ms") for late_ms in late]
     return findings
 
 
-def _judge_end(record, unknown_allowed):
-    if record.seen in _NEVER:
+def _check_end(record, unknown_allowed):
+    if record.seen in _NEVER_ALLOWED:
         return [Finding(f"{record.kind.value} {record.seen.value}", _describe(record))]
     if record.seen is not Seen.UNKNOWN:
         return []
-    # A chat can be sent anew, so that its caller always learns how it ends.
+    # A chat can be sent again, so its caller always learns the outcome.
     if record.kind is Kind.BOOKING and unknown_allowed:
         return []
     return [Finding(f"{record.kind.value} lost", _describe(record))]
 
 
-def _judge_refusals(record, counts):
-    """Find refusals that said "not run" of an attempt that ran."""
+def _check_refusals(record, counts):
+    """Return refusals reported as "not run" whose attempt ran."""
     return [
         Finding("refused as not run, and ran", _describe(record))
         for refusal in record.refusals
@@ -91,8 +92,8 @@
     ]
 
 
-def _judge_booking(record, counts):
-    """Find bookings whose runs are not what their caller was told."""
+def _check_booking(record, counts):
+    """Return bookings whose number of runs contradicts the reported outcome."""
     if not record.key:
         return []
     runs = counts.begun[record.key]
--- a/libs/standins/src/hemlockhoist/standins/demo.py
+++ b/libs/standins/src/hemlockhoist/standins/demo.py
@@ -1,9 +1,9 @@
-"""The main job end to end on loopback: ``make demo``.
+"""End-to-end demo on loopback: ``make demo``.
 
-Starts a platform, upstreams and hosts as processes, sends mixed traffic of two tiers
-and two customers, kills one host, stops another gracefully, lets an engine leave,
-changes the configuration and moves a version; then compares what callers saw with
-what the upstreams ran.
+Starts a platform, upstreams and hosts as processes and sends mixed traffic of two tiers
+and two customers. Meanwhile it kills one host, stops another gracefully, makes an
+engine leave, changes the configuration and moves a version. Then it compares the
+outcomes that callers recorded with the requests that the upstreams ran.
 """
 
 import asyncio
@@ -31,38 +31,38 @@
 
 MODEL = "assistant"
 SERVICE = "reservations"
-# Shell variables for first requests by hand, while the processes are left up.
-ENVIRONMENT_FILE = pathlib.Path("build/demo.env")
+# Shell variables for sending requests by hand while the processes are kept running.
+SHELL_VARIABLES_FILE = pathlib.Path("build/demo.env")
 WORKERS = 8
-# Defaults that the demo's operator changes while traffic runs: at some twenty chats a
-# second, evidence for a new version would come too slowly at the file's small shares.
-CHANGES = (
+# Changes that the operator applies during traffic. With about twenty chats a second,
+# the small shares of the file would yield evidence about a new version too slowly.
+DECLARATION_EDITS = (
     ("first_share_permille: 10", "first_share_permille: 100"),
     ("unproven_share_permille: 50", "unproven_share_permille: 200"),
 )
-STEP_S = 2.0
-IN_FORCE_LIMIT_S = 13.0
-DRAIN_LIMIT_S = 20.0
-MOVE_MS = 20_000
-MOVE_LIMIT_S = 28.0
-# Load reports and the list are read several times a second here.
-MAX_LATE_MS = 3_000
-POLL_S = 0.1
+STEP_DELAY_S = 2.0
+IN_FORCE_TIMEOUT_S = 13.0
+DRAIN_TIMEOUT_S = 20.0
+MOVE_DURATION_MS = 20_000
+MOVE_TIMEOUT_S = 28.0
+# Load reports and the host list are read several times a second in the demo.
+MAX_WORK_AFTER_LEAVING_MS = 3_000
+POLL_INTERVAL_S = 0.1
 
 
 class DemoFailed(Exception):
-    """A step of the demo did not do what it should."""
+    """A step of the demo did not have the expected effect."""
 
 
 class Demo:
-    """The demo's steps, in order.
+    """Runs the steps of the demo in order.
 
     Parameters
     ==========
     fleet : Fleet
     operator : OperatorClient
     text : str
-        The file of declarations.
+        Content of the declarations file.
     """
 
     __slots__ = (
@@ -82,13 +82,13 @@
         self._version = 0
         self._findings = []
 
-    def say(self, text):
-        """Print a line with the seconds since the start."""
+    def print_progress(self, text):
+        """Print a line of text with the seconds since the start."""
         elapsed_s = asyncio.get_running_loop().time() - self._started_s
         print(f"{elapsed_s:6.1f} s  {text}", flush=True)
 
     async def start(self):
-        """Start all processes and put the declarations in force."""
+        """Start all processes and wait until the declarations are in force."""
         fleet = self._fleet
         await fleet.start()
         await asyncio.gather(
@@ -99,33 +99,37 @@
         )
         await fleet.publish()
         upstreams = len(fleet.upstreams())
-        self.say(f"{len(fleet.hosts)} hosts and {upstreams} upstreams are listening")
+        self.print_progress(
+            f"{len(fleet.hosts)} hosts and {upstreams} upstreams are listening"
+        )
         await self._apply(parse_declarations(self._text.encode()))
         await self._wait_upstreams()
 
     async def run(self):
-        """Send traffic while things happen; return the callers' records."""
+        """Send traffic during the scenario; return the callers' records."""
         traffic = Traffic.from_config(
             example_callers(self._fleet.host_addresses()), MODEL, SERVICE, WORKERS
         )
         await traffic.start()
         try:
-            await self._disturb()
+            await self._run_scenario()
             await traffic.finish()
-            self.say("all callers have their ends")
+            self.print_progress("all requests have ended")
             return traffic.records
         finally:
             await traffic.close()
 
     async def check(self, records):
-        """Return the findings, and print what led to them."""
+        """Return all violations found; print the number of runs at the upstreams."""
         members = self._fleet.upstreams()
         reports = await asyncio.gather(
             *(self._fleet.run_counts(item) for item in members)
         )
         counts = RunCounts(reports)
-        self.say(f"{sum(counts.begun.values())} runs at the upstreams")
-        findings = check_consistency(records, counts, MAX_LATE_MS, unknown_allowed=True)
+        self.print_progress(f"{sum(counts.begun.values())} runs at the upstreams")
+        findings = check_consistency(
+            records, counts, MAX_WORK_AFTER_LEAVING_MS, unknown_allowed=True
+        )
         found = self._findings + [str(item) for item in findings]
         for address in self._fleet.host_addresses():
             status = await self._operator.status(address)
@@ -133,34 +137,34 @@
                 found.append(f"property {name} broken {count} times at {address}")
         return found
 
-    async def _disturb(self):
-        """Make happen what the system is there for, one thing after another."""
-        await asyncio.sleep(STEP_S)
+    async def _run_scenario(self):
+        """Carry out the changes, failures and stops of the demo, one after another."""
+        await asyncio.sleep(STEP_DELAY_S)
         await self._change_configuration()
         await self._start_move()
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(STEP_DELAY_S)
         name, count = await self._busiest_host()
         await self._fleet.kill_host(name)
-        self.say(f"{name} is killed (SIGKILL) with {count} requests open")
-        await asyncio.sleep(STEP_S)
+        self.print_progress(f"{name} killed (SIGKILL) with {count} requests open")
+        await asyncio.sleep(STEP_DELAY_S)
         await self._stop_host()
         leaver = self._fleet.upstreams(MODEL, "v1")[0]
         await self._fleet.mark_upstream_leaving(leaver)
-        self.say(f"{leaver['id']} says that it leaves")
+        self.print_progress(f"{leaver['id']} reports that it is leaving")
         await self._watch_move()
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(STEP_DELAY_S)
 
     async def _apply(self, declarations):
         self._version = await self._operator.apply(declarations, self._version, "demo")
         loop = asyncio.get_running_loop()
         accepted_s = loop.time()
         while not await self._in_force():
-            if loop.time() - accepted_s > IN_FORCE_LIMIT_S:
+            if loop.time() - accepted_s > IN_FORCE_TIMEOUT_S:
                 raise DemoFailed(f"version {self._version} is not in force everywhere")
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         took_s = loop.time() - accepted_s
         text = f"declarations version {self._version} in force everywhere"
-        self.say(f"{text} after {took_s:.1f} s")
+        self.print_progress(f"{text} after {took_s:.1f} s")
 
     async def _in_force(self):
         addresses = self._fleet.host_addresses()
@@ -168,20 +172,20 @@
         return all(item["declarations_version"] >= self._version for item in found)
 
     async def _wait_upstreams(self):
-        """Wait till the lagging list has shown the upstreams to the hosts."""
-        await asyncio.sleep(STEP_S)
+        """Wait until the delayed host list has shown the upstreams to the hosts."""
+        await asyncio.sleep(STEP_DELAY_S)
 
     async def _change_configuration(self):
-        """Apply the file as an operator would have edited it."""
+        """Apply the declarations file with an operator's changes."""
         text = self._text
-        for old, new in CHANGES:
+        for old, new in DECLARATION_EDITS:
             if old not in text:
-                raise DemoFailed(f"the declarations do not hold {old!r}")
+                raise DemoFailed(f"the declarations do not contain {old!r}")
             text = text.replace(old, new)
         await self._apply(parse_declarations(text.encode()))
 
     async def _start_move(self):
-        moved_by_ms = Clock.from_running_loop().unix_ms() + MOVE_MS
+        moved_by_ms = Clock.from_running_loop().unix_ms() + MOVE_DURATION_MS
         order = {
             "pool": MODEL,
             "from_version": "v1",
@@ -191,34 +195,34 @@
             "author": "demo",
         }
         move = await self._operator.start_move(order)
-        self.say(f"move of {MODEL} from v1 to v2 is {move['state']}")
+        self.print_progress(f"move of {MODEL} from v1 to v2 is {move['state']}")
 
     async def _watch_move(self):
         loop = asyncio.get_running_loop()
-        limit_s = loop.time() + MOVE_LIMIT_S
+        limit_s = loop.time() + MOVE_TIMEOUT_S
         while loop.time() < limit_s:
             (move,) = await self._operator.moves()
             if move["state"] != "running":
                 break
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         text = f"move is {move['state']} at {move['share_permille']} permille"
-        self.say(f"{text}: {move['reason']}")
+        self.print_progress(f"{text}: {move['reason']}")
         if move["state"] != "finished":
-            self._findings.append("the version was not moved over in time")
+            self._findings.append("the version move did not finish in time")
 
     async def _stop_host(self):
         name, count = await self._busiest_host()
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        status = await self._fleet.stop_host(name, DRAIN_LIMIT_S)
+        status = await self._fleet.stop_host(name, DRAIN_TIMEOUT_S)
         took_s = loop.time() - began_s
         text = f"{name} stopped (SIGTERM) with {count} requests open"
-        self.say(f"{text}: status {status} after {took_s:.1f} s")
+        self.print_progress(f"{text}: status {status} after {took_s:.1f} s")
         if status != 0:
             self._findings.append(f"{name} did not stop gracefully")
 
     async def _busiest_host(self):
-        """Return the name of the host with the most requests open, and their number."""
+        """Return the name of the host with the most open requests, and their number."""
         names = [name for name, host in self._fleet.hosts.items() if host.running]
         found = {}
         for name in names:
@@ -239,7 +243,7 @@
         demo = Demo(fleet, operator, text)
         await demo.start()
         if keep:
-            await _keep(fleet, config.operator_key)
+            await _keep_running(fleet, config.operator_key)
             sys.exit(0)
         records = await demo.run()
         print("\n" + tier_table(records) + "\n")
@@ -248,8 +252,8 @@
         await fleet.close()
 
 
-async def _keep(fleet, operator_key):
-    """Leave the processes up until interrupted, and say how to reach them."""
+async def _keep_running(fleet, operator_key):
+    """Keep the processes running until interrupted; print how to reach them."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -262,27 +266,29 @@
         "HEMLOCKHOIST_OPERATOR_KEY": operator_key,
     }
     lines = [f'export {name}="{value}"\n' for name, value in variables.items()]
-    ENVIRONMENT_FILE.parent.mkdir(exist_ok=True)
-    ENVIRONMENT_FILE.write_text("".join(lines), encoding="utf-8")
+    SHELL_VARIABLES_FILE.parent.mkdir(exist_ok=True)
+    SHELL_VARIABLES_FILE.write_text("".join(lines), encoding="utf-8")
     print("".join(lines), end="")
-    print(f"In another shell: . {ENVIRONMENT_FILE}", "Interrupt to stop.", sep="\n")
+    print(f"In another shell: . {SHELL_VARIABLES_FILE}", "Interrupt to stop.", sep="\n")
     sys.stdout.flush()
     await stop.wait()
-    ENVIRONMENT_FILE.unlink()
+    SHELL_VARIABLES_FILE.unlink()
 
 
 @click.command()
-@click.option("--keep", is_flag=True, help="Leave the processes up, without traffic.")
+@click.option(
+    "--keep", is_flag=True, help="Keep the processes running, without traffic."
+)
 @click.option(
     "--declarations",
     "file",
     default="examples/declarations.yaml",
     type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
-    help="Declarations to begin with.",
+    help="Initial declarations.",
 )
-@click.option("--log-dir", help="Keep the processes' logs in this folder.")
+@click.option("--log-dir", help="Write the processes' logs to this folder.")
 def main(file, keep, log_dir):
-    """Run the main job end to end; exit with 1 when anything was lost or doubled."""
+    """Run the demo; exit with status 1 if any request was lost, doubled or cut."""
     text = file.read_text(encoding="utf-8")
     with (
         tempfile.TemporaryDirectory(prefix="hemlockhoist-demo-") as folder,
--- a/libs/standins/src/hemlockhoist/standins/fleet.py
+++ b/libs/standins/src/hemlockhoist/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes: platform, upstreams and hosts, on loopback."""
+"""Runs a small fleet of real processes on loopback: platform, upstreams and hosts."""
 
 import asyncio
 import itertools
@@ -11,7 +11,8 @@
 _STANDINS = "hemlockhoist.standins."
 _HOST_MODULE = "hemlockhoist.host"
 _MS_PER_S = 1000
-# Short, so that a demo of seconds shows what in production takes half a minute.
+# Short intervals, so that a demo of seconds shows what takes half a minute in
+# production.
 _HOST_SETTINGS = {
     "HEMLOCKHOIST_LISTEN_ADDRESS": "127.0.0.1:0",
     "HEMLOCKHOIST_PEER_LISTEN_ADDRESS": "127.0.0.1:0",
@@ -20,25 +21,25 @@
     "HEMLOCKHOIST_ADDRESS_TTL_MS": "1000",
     "HEMLOCKHOIST_LOAD_POLL_MS": "200",
 }
-_CLOSE_LIMIT_S = 10.0
+_CLOSE_TIMEOUT_S = 10.0
 _LEAVING = "leaving"
 
 
 class FleetConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """What a fleet is made of.
+    """Size and settings of a fleet.
 
     Parameters
     ==========
     hosts : int
     failure_domains : tuple of str
-        Hosts and upstreams are spread over them.
+        Hosts and upstreams are distributed over them.
     peer_key, operator_key : str
     hosts_lag_ms : int
-        Of the platform's host list.
+        Delay of the platform's host list.
     log_dir : str
-        Folder for the processes' logs; empty for none.
+        Folder for the processes' logs; empty for no logs.
     host_settings : dict
-        More variables for the hosts.
+        Additional environment variables for the hosts.
     """
 
     hosts: int = 4
@@ -51,7 +52,7 @@
 
 
 class Fleet:
-    """Starts the processes, keeps the platform's list, and asks for counts.
+    """Starts the processes, updates the platform's host list and reads run counts.
 
     Parameters
     ==========
@@ -84,41 +85,41 @@
         return cls(config, ProcessGroup.from_config(config.log_dir))
 
     async def start_session(self):
-        """Open the HTTP session for lists, counts and operators' commands."""
+        """Open the HTTP session for host lists, run counts and operator requests."""
         self.session = aiohttp.ClientSession(cookie_jar=aiohttp.DummyCookieJar())
 
     async def start(self):
-        """Start the platform's stand-in; the session has to be open."""
+        """Start the platform's stand-in; the session must be open."""
         lag = ("--hosts-lag-ms", str(self._config.hosts_lag_ms))
         self.platform = await self._group.start(
             "platform", _STANDINS + "platform", *lag
         )
 
     async def close(self):
-        """Stop all processes, those that use others first."""
+        """Stop all processes, each one before those it depends on."""
         hosts = [host for host in self.hosts.values() if host.running]
-        await asyncio.gather(*(host.stop(_CLOSE_LIMIT_S) for host in hosts))
+        await asyncio.gather(*(host.stop(_CLOSE_TIMEOUT_S) for host in hosts))
         await self._group.close()
         if self.session is not None:
             await self.session.close()
 
     async def add_engines(self, count, pool, version, generation="g4"):
-        """Start model engines; they are listed by the next ``publish``."""
+        """Start model engines; the next ``publish`` lists them."""
         options = ("--version", version, "--generation", generation)
         await self._add_upstreams("engine", count, pool, version, options, generation)
 
     async def add_services(self, count, pool, version, work_ms=5):
-        """Start plain services; they are listed by the next ``publish``."""
+        """Start plain services; the next ``publish`` lists them."""
         options = ("--version", version, "--work-ms", str(work_ms))
         await self._add_upstreams("service", count, pool, version, options, "")
 
     async def add_hosts(self):
-        """Start the entry hosts together; they are listed by the next ``publish``."""
+        """Start the entry hosts concurrently; the next ``publish`` lists them."""
         names = [f"host-{i + 1}" for i in range(self._config.hosts)]
         await asyncio.gather(*(self.add_host(name) for name in names))
 
     async def restart_host(self, name):
-        """Kill a host and start its next run at the same addresses."""
+        """Kill a host and start it again at the same addresses."""
         member = self._members[name]
         addresses = {
             "HEMLOCKHOIST_LISTEN_ADDRESS": member["address"],
@@ -128,8 +129,8 @@
         await self.add_host(name, addresses)
 
     async def add_host(self, name, addresses=None):
-        """Start one entry host, at given addresses or at free ones."""
-        domain = self._domain(int(name.rpartition("-")[2]))
+        """Start one entry host, at the given addresses or at unused ones."""
+        domain = self._domain_for(int(name.rpartition("-")[2]))
         environment = {
             **_HOST_SETTINGS,
             "HEMLOCKHOIST_HOST_ID": name,
@@ -152,7 +153,7 @@
         }
 
     async def publish(self):
-        """Hand the list to the platform, which shows it after its lag."""
+        """Send the host list to the platform, which shows it after its delay."""
         body = {"members": list(self._members.values())}
         async with self.session.put(
             self.platform.url + "/-/hosts", json=body
@@ -160,7 +161,7 @@
             response.raise_for_status()
 
     def upstreams(self, pool=None, version=None):
-        """Return the list's members that are upstreams of a pool and version."""
+        """Return the listed upstreams, optionally of one pool and version."""
         return [
             member
             for member in self._members.values()
@@ -170,21 +171,21 @@
         ]
 
     def process(self, name):
-        """Return the process of that name."""
+        """Return the newest process of that name, or None."""
         return self._group.find(name)
 
     def host_addresses(self):
-        """Return the callers' addresses of the hosts that run."""
+        """Return the caller addresses of the running hosts."""
         return tuple(item.address for item in self.hosts.values() if item.running)
 
     async def kill_host(self, name):
-        """End a host as a failure does; the list forgets it, late."""
+        """Kill a host as a crash would; the host list drops it after its delay."""
         await self.hosts[name].kill()
         del self._members[name]
         await self.publish()
 
     async def stop_host(self, name, timeout_s):
-        """Stop a host gracefully; return its exit status, or None if it overran."""
+        """Stop a host gracefully; return its exit status, or None after a time-out."""
         self._members[name]["state"] = _LEAVING
         await self.publish()
         status = await self.hosts[name].stop(timeout_s)
@@ -193,7 +194,7 @@
         return status
 
     async def mark_upstream_leaving(self, member):
-        """Let an upstream say that it leaves; the list says so late."""
+        """Make an upstream report that it leaves; the list shows it after its delay."""
         member["state"] = _LEAVING
         await self.set_faults(member, {"state": _LEAVING})
         await self.publish()
@@ -205,13 +206,15 @@
             response.raise_for_status()
 
     async def run_counts(self, member):
-        """Return what an upstream counted."""
+        """Return the run counts of an upstream."""
         url = f"http://{member['address']}/-/runs"
         async with self.session.get(url) as response:
             return await response.json()
 
-    async def _add_upstreams(self, kind, count, *facts):
-        await asyncio.gather(*(self._add_upstream(kind, *facts) for _ in range(count)))
+    async def _add_upstreams(self, kind, count, *arguments):
+        await asyncio.gather(
+            *(self._add_upstream(kind, *arguments) for _ in range(count))
+        )
 
     async def _add_upstream(self, kind, pool, version, options, generation):
         number = next(self._numbers)
@@ -221,7 +224,7 @@
             "id": name,
             "kind": "upstream",
             "address": process.address,
-            "failure_domain": self._domain(number),
+            "failure_domain": self._domain_for(number),
             "state": "live",
             "pool": pool,
             "version": version,
@@ -229,6 +232,6 @@
             "checks_fencing": kind == "engine",
         }
 
-    def _domain(self, number):
+    def _domain_for(self, number):
         domains = self._config.failure_domains
         return domains[number % len(domains)]
--- a/libs/standins/src/hemlockhoist/standins/launcher.py
+++ b/libs/standins/src/hemlockhoist/standins/launcher.py
@@ -1,4 +1,4 @@
-"""Start processes of the fleet, read their addresses, and stop them by their id."""
+"""Starts processes of the fleet, reads their addresses and stops them by their id."""
 
 import asyncio
 import contextlib
@@ -9,26 +9,26 @@
 _READY_WORD = "listening"
 _READY_TIMEOUT_S = 20.0
 _STOP_TIMEOUT_S = 5.0
-_MAX_ERROR_LINES = 20
+_MAX_LOG_LINES = 20
 
 
 class StartFailed(Exception):
-    """A process ended, or said nothing, before it was listening."""
+    """A process exited or timed out before it was listening."""
 
 
 class Process:
-    """One process of this Python, in a module of its own.
+    """One process that runs a Python module with this interpreter.
 
     Parameters
     ==========
     name : str
-        For messages.
+        Name in error messages.
     arguments : sequence of str
-        After ``python -m``.
+        Arguments after ``python -m``.
     environment : mapping of str to str
-        Added to this process's own.
+        Variables added to those of this process.
     log_path : str
-        File that takes its standard error.
+        File to which its standard error is appended.
     """
 
     __slots__ = (
@@ -52,36 +52,37 @@
 
     @classmethod
     def from_config(cls, name, arguments, environment=None, log_path=os.devnull):
-        """Return a process that is not started."""
+        """Return a process that has not been started."""
         return cls(name, arguments, environment or {}, log_path)
 
     @property
     def address(self):
-        """``IP:port`` that it listens on, once started."""
+        """``IP:port`` that it listens on; available once started."""
         return self.ready_fields["address"]
 
     @property
     def url(self):
-        """``http://IP:port``, once started."""
+        """``http://IP:port``; available once started."""
         return f"http://{self.address}"
 
     @property
     def pid(self):
-        """The process id, once started."""
+        """The process id; available once started."""
         return self._process.pid
 
     @property
     def running(self):
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self):
-        """Start it and wait for its line ``listening key=value …``.
+        """Start the process and wait for its line ``listening key=value …``.
 
         Raises
         ======
         StartFailed
-            With the last lines of its log.
+            If the process exits or does not listen in time; holds the last lines of
+            its log.
         """
         with open(self._log_path, "ab") as log:
             self._process = await asyncio.create_subprocess_exec(
@@ -98,27 +99,29 @@
                 self.ready_fields = await self._read_ready_line()
         except TimeoutError as error:
             await self.kill()
-            raise StartFailed(f"{self.name} is not listening\n{self.log()}") from error
+            raise StartFailed(
+                f"{self.name} timed out at start\n{self.log()}"
+            ) from error
         self._reader = asyncio.create_task(self._discard_output())
 
     async def stop(self, timeout_s=_STOP_TIMEOUT_S):
-        """Ask it to stop; return its exit status, or None when it had to be killed."""
+        """Send SIGTERM; return the exit status, or None if it had to be killed."""
         self.signal(signal.SIGTERM)
         return await self.wait(timeout_s)
 
     async def kill(self):
-        """End it at once, as a failure would."""
+        """Kill the process with SIGKILL, as a crash would end it."""
         self.signal(signal.SIGKILL)
         await self.wait(_STOP_TIMEOUT_S)
 
     def signal(self, number):
-        """Send it a signal, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.running:
             with contextlib.suppress(ProcessLookupError):
                 self._process.send_signal(number)
 
     async def wait(self, timeout_s):
-        """Wait for its end; kill it after the time. Return its status, or None."""
+        """Return the exit status, or None after killing the process at the time-out."""
         status = None
         try:
             async with asyncio.timeout(timeout_s):
@@ -131,10 +134,10 @@
         return status
 
     def log(self):
-        """Return the last lines of its standard error."""
+        """Return the last lines of the process's standard error."""
         try:
             with open(self._log_path, encoding="utf-8", errors="replace") as log:
-                return "".join(log.readlines()[-_MAX_ERROR_LINES:])
+                return "".join(log.readlines()[-_MAX_LOG_LINES:])
         except OSError:
             return ""
 
@@ -145,7 +148,7 @@
                 return dict(pair.split("=", 1) for pair in pairs)
         await self._process.wait()
         status = self._process.returncode
-        raise StartFailed(f"{self.name} ended with status {status}\n{self.log()}")
+        raise StartFailed(f"{self.name} exited with status {status}\n{self.log()}")
 
     async def _discard_output(self):
         while await self._process.stdout.read(65_536):
@@ -153,12 +156,12 @@
 
 
 class ProcessGroup:
-    """Processes that are stopped together, in the reverse order of their start.
+    """A group of processes, stopped together in the reverse order of their start.
 
     Parameters
     ==========
     log_dir : str
-        Folder for one log file each; empty for none.
+        Folder for one log file per process; empty for no logs.
     """
 
     __slots__ = ("_log_dir", "_processes")
@@ -193,7 +196,7 @@
         return found[-1] if found else None
 
     async def close(self):
-        """Stop what still runs."""
+        """Stop the processes that are still running."""
         for process in reversed(self._processes):
             process.signal(signal.SIGTERM)
         for process in reversed(self._processes):
--- a/libs/standins/src/hemlockhoist/standins/measure_control.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_control.py
@@ -18,7 +18,7 @@
 from hemlockhoist.standins.measure_path import fit_line, processor_ms, resident_kib
 from hemlockhoist.standins.operator_client import OperatorClient
 
-SIZES = (4, 8, 12, 16)
+HOST_COUNTS = (4, 8, 12, 16)
 ENGINES = 6
 SERVICES = 4
 SETTLE_S = 8.0
@@ -130,7 +130,7 @@
         tempfile.TemporaryDirectory(prefix="hemlockhoist-control-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
-        for size in SIZES:
+        for size in HOST_COUNTS:
             costs = runner.run(_measure(size, text, folder))
             _print_row(size, costs)
             rows.append((size, costs))
--- a/libs/standins/src/hemlockhoist/standins/process_faults.py
+++ b/libs/standins/src/hemlockhoist/standins/process_faults.py
@@ -1,4 +1,4 @@
-"""The faults that the randomised run puts real processes through."""
+"""Faults that the randomised soak test injects into real processes."""
 
 import asyncio
 import signal
@@ -11,15 +11,15 @@
 
 MODEL = "assistant"
 SERVICE = "reservations"
-FREEZE_S = (0.3, 8.0)
+FREEZE_DURATION_S = (0.3, 8.0)
 MIN_HOSTS = 3
-DRAIN_LIMIT_S = 30.0
-MOVE_MS = 10_000
+DRAIN_TIMEOUT_S = 30.0
+MOVE_DURATION_MS = 10_000
 OPERATOR_TIMEOUT_S = 10.0
 
 
 class ProcessFaults:
-    """Draws faults and does them to a fleet, one at a time or several together.
+    """Injects randomly drawn faults into a fleet; several may be active at once.
 
     Parameters
     ==========
@@ -54,7 +54,7 @@
 
     @property
     def kinds(self):
-        """The faults by name, in a fixed order."""
+        """The methods that inject one fault each, in a fixed order."""
         return (
             self.kill_host,
             self.restart_host_at_its_address,
@@ -82,7 +82,7 @@
         )
 
     async def step(self):
-        """Begin one fault, drawn at random; long ones go on beside the next."""
+        """Start a random fault; one longer than 1 s overlaps with the next."""
         fault = self._rng.choice(self.kinds)
         name = fault.__name__
         self.counts[name] = self.counts.get(name, 0) + 1
@@ -91,75 +91,77 @@
         await asyncio.wait([task], timeout=1.0)
 
     async def heal(self):
-        """End all faults and wait for what they began."""
+        """Wait for the faults that are in progress, then clear all faults."""
         if self._tasks:
             await asyncio.gather(*self._tasks)
         for member in self._fleet.upstreams():
             await self._fleet.set_faults(member, {"state": member["state"]})
-        await self._platform({})
+        await self._set_platform_faults({})
 
-    def _running(self):
+    def _running_hosts(self):
         return sorted(name for name, host in self._fleet.hosts.items() if host.running)
 
-    def _spare(self):
-        """Return a host that the fleet can do without, or None."""
-        names = self._running()
+    def _pick_expendable_host(self):
+        """Return a running host, or None if only ``MIN_HOSTS`` are running."""
+        names = self._running_hosts()
         return self._rng.choice(names) if len(names) > MIN_HOSTS else None
 
-    async def _new_host(self):
+    async def _start_new_host(self):
         self._next_host += 1
         await self._fleet.add_host(f"host-{self._next_host}")
         await self._fleet.publish()
 
     async def kill_host(self):
-        """Kill a host; another one starts elsewhere."""
-        name = self._spare()
+        """Kill a host and start a new one at other addresses."""
+        name = self._pick_expendable_host()
         if name is not None:
             await self._fleet.kill_host(name)
-            await self._new_host()
+            await self._start_new_host()
 
     async def restart_host_at_its_address(self):
-        """Kill a host; its next run starts at the same addresses."""
-        name = self._spare()
+        """Kill a host and restart it at the same addresses."""
+        name = self._pick_expendable_host()
         if name is not None:
             await self._fleet.restart_host(name)
 
     async def freeze_host(self):
-        """Stop a host's process for a while."""
-        names = self._running()
+        """Suspend a host's process (SIGSTOP) for a random time."""
+        names = self._running_hosts()
         await self._freeze(self._rng.choice(names))
 
     async def freeze_two_hosts(self):
-        """Stop two hosts' processes at once."""
-        await asyncio.gather(*(self._freeze(n) for n in self._running()[:2]))
+        """Suspend the processes of two hosts at the same time."""
+        await asyncio.gather(*(self._freeze(n) for n in self._running_hosts()[:2]))
 
     async def _freeze(self, name):
         host = self._fleet.hosts[name]
         host.signal(signal.SIGSTOP)
-        await asyncio.sleep(self._rng.uniform(*FREEZE_S))
+        await asyncio.sleep(self._rng.uniform(*FREEZE_DURATION_S))
         host.signal(signal.SIGCONT)
 
     async def stop_host(self):
-        """Replace a host by a planned stop."""
-        name = self._spare()
+        """Start a new host and stop another one gracefully."""
+        name = self._pick_expendable_host()
         if name is None:
             return
-        await self._new_host()
-        status = await self._fleet.stop_host(name, DRAIN_LIMIT_S)
+        await self._start_new_host()
+        status = await self._fleet.stop_host(name, DRAIN_TIMEOUT_S)
         if status != 0:
             raise AssertionError(f"{name} did not stop gracefully: {status}")
 
-    async def _upstream(self, pool, faults):
+    async def _set_upstream_faults(self, pool, faults):
         members = [m for m in self._fleet.upstreams(pool) if m["state"] == "live"]
         await self._fleet.set_faults(self._rng.choice(members), faults)
 
     async def break_streams(self):
-        """Let an engine's next streams break; generation goes on."""
+        """Break the next streams of an engine, which continues to generate."""
         pieces = self._rng.randint(0, 8)
-        await self._upstream(MODEL, {"break_streams": 3, "break_after_pieces": pieces})
+        await self._set_upstream_faults(
+            MODEL, {"break_streams": 3, "break_after_pieces": pieces}
+        )
 
     async def shift_resumes(self):
-        """Let resumed streams begin too early or too late."""
+        """Make resumed streams begin at too early or too late a piece."""
         shift = self._rng.choice((-2, -1, 1, 2))
         faults = {
             "break_streams": 2,
@@ -167,36 +169,38 @@
             "shift_resumes": 2,
             "resume_shift": shift,
         }
-        await self._upstream(MODEL, faults)
+        await self._set_upstream_faults(MODEL, faults)
 
     async def cross_streams(self):
-        """Let an engine answer with another request's pieces."""
+        """Make an engine answer with the pieces of another request."""
         piece = self._rng.randint(0, 3)
-        await self._upstream(MODEL, {"cross_streams": 1, "cross_at_piece": piece})
+        await self._set_upstream_faults(
+            MODEL, {"cross_streams": 1, "cross_at_piece": piece}
+        )
 
     async def slow_engine(self):
         """Make an engine ten times slower."""
-        await self._upstream(MODEL, {"slowdown_permille": 10_000})
+        await self._set_upstream_faults(MODEL, {"slowdown_permille": 10_000})
 
     async def refuse_connections(self):
-        """Let an upstream refuse connections for two seconds."""
+        """Make an upstream refuse connections for two seconds."""
         pool = self._rng.choice((MODEL, SERVICE))
-        await self._upstream(pool, {"refuse_ms": 2_000})
+        await self._set_upstream_faults(pool, {"refuse_ms": 2_000})
 
     async def drop_calls_after_running(self):
         """Let a service lose its answers after running."""
-        await self._upstream(SERVICE, {"drop_after": 2})
+        await self._set_upstream_faults(SERVICE, {"drop_after": 2})
 
     async def drop_calls_before_running(self):
-        """Let a service lose calls without running them."""
-        await self._upstream(SERVICE, {"drop_before": 2})
+        """Make a service drop the connection of calls without running them."""
+        await self._set_upstream_faults(SERVICE, {"drop_before": 2})
 
     async def fail_calls(self):
-        """Let a service answer 500, without and after running."""
-        await self._upstream(SERVICE, {"fail_before": 1, "fail_after": 1})
+        """Make a service answer 500 to one call before, and one after, running it."""
+        await self._set_upstream_faults(SERVICE, {"fail_before": 1, "fail_after": 1})
 
     async def bad_requests(self):
-        """Send every host what it has to refuse; nothing of it may run."""
+        """Send every host invalid requests, which it must refuse as not run."""
         key = {"Authorization": "Bearer demo-key-large"}
         chat = "/v1/chat/completions"
         calls = (
@@ -208,9 +212,11 @@
             ("/nothing", key, b""),
         )
         for address in self._fleet.host_addresses():
-            await asyncio.gather(*(self._post(address, *call) for call in calls))
+            await asyncio.gather(
+                *(self._check_refused(address, *call) for call in calls)
+            )
 
-    async def _post(self, address, path, headers, body):
+    async def _check_refused(self, address, path, headers, body):
         try:
             async with asyncio.timeout(OPERATOR_TIMEOUT_S):
                 async with self._fleet.session.post(
@@ -220,73 +226,77 @@
         except (aiohttp.ClientError, TimeoutError):
             return
         if response.status < 400 or ran != "not run":
-            raise AssertionError(f"{path} was answered {response.status}, {ran}")
+            raise AssertionError(
+                f"invalid request to {path}: status {response.status}, {ran}"
+            )
 
-    async def _platform(self, faults):
+    async def _set_platform_faults(self, faults):
         url = self._fleet.platform.url + "/-/faults"
         async with self._fleet.session.post(url, json=faults) as response:
             response.raise_for_status()
 
-    async def _platform_for_a_while(self, faults):
-        await self._platform(faults)
+    async def _set_temporary_platform_faults(self, faults):
+        await self._set_platform_faults(faults)
         await asyncio.sleep(self._rng.uniform(1.0, 6.0))
-        await self._platform({})
+        await self._set_platform_faults({})
 
     async def platform_outage(self):
-        """Cut the platform off for a while."""
-        await self._platform_for_a_while({"unreachable": True})
+        """Make the platform unreachable for a few seconds."""
+        await self._set_temporary_platform_faults({"unreachable": True})
 
     async def platform_slow(self):
-        """Make the platform slow for a while."""
-        await self._platform_for_a_while({"delay_ms": 700})
+        """Make the platform slow for a few seconds."""
+        await self._set_temporary_platform_faults({"delay_ms": 700})
 
     async def lose_store_answers(self):
-        """Lose the answers of the next writes."""
-        await self._platform({"lose_answers": 3})
+        """Make the table service lose its answers to the next writes."""
+        await self._set_platform_faults({"lose_answers": 3})
 
     async def host_list_empty(self):
-        """Empty the platform's list for a while."""
-        await self._platform_for_a_while({"hosts_empty": True})
+        """Make the platform return an empty host list for a few seconds."""
+        await self._set_temporary_platform_faults({"hosts_empty": True})
 
     async def host_list_stale(self):
-        """Let the platform's list stand still for a while."""
-        await self._platform_for_a_while({"hosts_stale": True})
+        """Make the platform return an outdated host list for a few seconds."""
+        await self._set_temporary_platform_faults({"hosts_stale": True})
 
     async def change_configuration(self):
-        """Change the declarations."""
+        """Apply changed declarations."""
         await self._apply("operator-a")
 
     async def race_configurations(self):
-        """Let two operators change the declarations at once."""
+        """Apply changed declarations as two operators concurrently."""
         await asyncio.gather(self._apply("operator-a"), self._apply("operator-b"))
 
     async def _apply(self, author):
-        """Apply a change; a conflict or an outage is the operator's to try again."""
+        """Apply a random change; it is not retried after a conflict or an outage."""
         share = self._rng.randint(11, 45)
         text = self._text.replace(
             "first_share_permille: 10", f"first_share_permille: {share}"
         )
         declarations = parse_declarations(text.encode())
-        version = await _try(self._operator.apply(declarations, self.version, author))
+        version = await _call_or_none(
+            self._operator.apply(declarations, self.version, author)
+        )
         if version is not None:
             self.version = max(self.version, version)
 
     async def move_version(self):
-        """Order a move to the new version; a refusal is an answer too."""
+        """Start a move to the new version; a refusal is a valid answer too."""
         unix_ms = Clock.from_running_loop().unix_ms()
         order = {
             "pool": MODEL,
             "from_version": "v1",
             "to_version": "v2",
-            "moved_by_unix_ms": unix_ms + MOVE_MS,
+            "moved_by_unix_ms": unix_ms + MOVE_DURATION_MS,
             "reason": "randomised run",
             "author": "operator-a",
         }
-        if await _try(self._operator.start_move(order)) is not None:
+        if await _call_or_none(self._operator.start_move(order)) is not None:
             self.moves += 1
 
     async def replace_upstream(self):
-        """Start a service's upstream, and let another leave."""
+        """Start a new upstream of the service and make another one leave."""
         members = self._fleet.upstreams(SERVICE)
         live = [member for member in members if member["state"] == "live"]
         if len(live) < 2:
@@ -295,8 +305,8 @@
         await self._fleet.mark_upstream_leaving(self._rng.choice(live))
 
 
-async def _try(call):
-    """Return what an operator's call gave, or None where it failed or timed out."""
+async def _call_or_none(call):
+    """Return the result of an operator's call, or None if it failed or timed out."""
     try:
         async with asyncio.timeout(OPERATOR_TIMEOUT_S):
             return await call
--- a/libs/standins/src/hemlockhoist/standins/recovery.py
+++ b/libs/standins/src/hemlockhoist/standins/recovery.py
@@ -1,8 +1,9 @@
-"""Recovery and steady state of many hosts, on the decision code alone.
+"""Measures recovery and steady state of many hosts, using the decision code alone.
 
-``python -m hemlockhoist.standins.recovery`` prints bytes, processor time, the store's
-load when all hosts restart together, and the ledger's memory. Messages take a fixed
-time and are encoded to be counted; there are no sockets.
+``python -m hemlockhoist.standins.recovery`` prints the message bytes, the processor
+time, the load on the store when all hosts restart together, and the memory of the
+ledger. Messages have a fixed latency and are encoded only to count their bytes; no
+sockets are used.
 """
 
 import collections
@@ -26,19 +27,19 @@
 from hemlockhoist.messages.membership import Member, MembersPage, MemberUpdate, Probe
 from hemlockhoist.standins.randomised.table import make_declarations
 
-SIZES = (8, 64, 300, 1_300)
+HOST_COUNTS = (8, 64, 300, 1_300)
 LATENCY_MS = 3
 TICK_MS = 250
 _COLLECTORS = 3
 
 
 class MessageSimulation:
-    """Ticks hosts at random phases, and carries and counts their messages.
+    """Simulates hosts: ticks them at random phases, delivers and counts messages.
 
     Parameters
     ==========
     hosts : mapping of str to object
-        With ``tick(now_ms)`` and ``on_message(message, now_ms)``.
+        Each has ``tick(now_ms)`` and ``on_message(message, now_ms)``.
     """
 
     def __init__(self, hosts):
@@ -54,7 +55,7 @@
             self._push(rng.randrange(TICK_MS), address, None)
 
     def run(self, duration_ms, until=None):
-        """Let time pass, or until a condition holds; return the time taken."""
+        """Run for a time or until a condition holds; return the elapsed time."""
         started_ms = self.now_ms
         end_ms = started_ms + duration_ms
         while self._queue and self._queue[0][0] <= end_ms:
@@ -71,7 +72,7 @@
         return duration_ms
 
     def send(self, outgoing):
-        """Put messages on their way."""
+        """Count messages and schedule their delivery."""
         for item in outgoing:
             size_bytes = len(msgspec.msgpack.encode(item.message))
             self.sent_bytes += size_bytes
@@ -85,7 +86,7 @@
 
 
 def make_members(count):
-    """Return members with addresses and names of the usual length."""
+    """Return members with addresses and names of realistic length."""
     return [
         Member(
             address=f"10.{n // 62500}.{n // 250 % 250}.{n % 250}:7000",
@@ -99,7 +100,7 @@
 
 
 def measure_membership(count, seconds):
-    """Return bytes a second, messages a second and processor share of one host."""
+    """Return bytes and messages a second, and processor percent, of one host."""
     members = make_members(count)
     page = MembersPage(
         sender=MemberUpdate(member=members[0]),
@@ -109,7 +110,7 @@
     for number, member in enumerate(members):
         host = Membership.from_config(member, number)
         host.on_message(page, 0)
-        # All know all: news of the start is not part of the steady state.
+        # All hosts know all members: gossip of the start is not steady state.
         host.gossip = GossipQueue()
         hosts[member.address] = host
     exchange = MessageSimulation(hosts)
@@ -117,17 +118,17 @@
     exchange.sent_bytes = exchange.messages = 0
     started_s = time.process_time()
     exchange.run(seconds * MS_PER_S)
-    spent_s = time.process_time() - started_s
+    processor_s = time.process_time() - started_s
     per_host = count * seconds
     return (
         exchange.sent_bytes / per_host,
         exchange.messages / per_host,
-        100 * spent_s / per_host,
+        100 * processor_s / per_host,
     )
 
 
 def full_probe_bytes():
-    """Return the size of a probe with as much news as one message takes."""
+    """Return the size of a probe with the maximum number of updates."""
     updates = [MemberUpdate(member=item, revision=3) for item in make_members(9)]
     probe = Probe(
         number=1_000_000,
@@ -138,7 +139,7 @@
 
 
 class _ConfigurationHost:
-    """Reads the store when the state asks for it, and acknowledges what it takes."""
+    """Reads the store when a read is due, and acknowledges new versions."""
 
     def __init__(self, state, store):
         self.state = state
@@ -164,7 +165,7 @@
 
 
 class _CountingStore:
-    """A row that can be read from ``up_ms`` on, with the reads of each second."""
+    """A stored row, readable from ``up_ms`` on, with counts of its reads per second."""
 
     def __init__(self, up_ms):
         self.row = make_declarations(1, "first")
@@ -192,7 +193,10 @@
 
 
 def measure_restart(count, outage_s):
-    """Return seconds until all hosts are ready after the store, and its reads."""
+    """Return seconds from the store's recovery to all hosts ready, and its reads.
+
+    The reads are the highest number in one second, and the total.
+    """
     exchange, store = _start_configuration(count, outage_s * MS_PER_S)
     states = [host.state for host in exchange.hosts.values()]
     waiting = set(range(count))
@@ -213,7 +217,10 @@
 
 
 def measure_change(count):
-    """Return seconds until a change is everywhere, and steady bytes a second."""
+    """Return propagation seconds, steady bytes a second and extra bytes of a change.
+
+    The extra bytes are those of one host, without the content of the declarations.
+    """
     exchange, store = _start_configuration(count, 0)
     exchange.run(20_000)
     exchange.sent_bytes = 0
@@ -230,7 +237,7 @@
 
 
 def measure_ledger(records):
-    """Return bytes for each record, without and with an answer of 256 bytes."""
+    """Return bytes per record, without and with an answer of 256 bytes."""
     sizes = []
     for answer in (None, b"x" * 256):
         tracemalloc.start()
@@ -254,17 +261,17 @@
 
 
 @click.command()
-@click.option("--seconds", default=30, help="Virtual seconds of steady membership.")
+@click.option("--seconds", default=30, help="Simulated seconds of steady membership.")
 def main(seconds):
     """Measure recovery and steady state of up to 1,300 hosts."""
-    for count in SIZES:
+    for count in HOST_COUNTS:
         rate, messages, share = measure_membership(count, seconds)
         click.echo(
             f"membership hosts={count} bytes_per_s={rate:.0f}"
             f" messages_per_s={messages:.1f} core_percent={share:.3f}"
         )
     click.echo(f"membership full_probe_bytes={full_probe_bytes()}")
-    for count in SIZES:
+    for count in HOST_COUNTS:
         taken_s, steady, extra = measure_change(count)
         click.echo(
             f"configuration hosts={count} everywhere_s={taken_s:.2f}"
--- a/libs/standins/src/hemlockhoist/standins/soak.py
+++ b/libs/standins/src/hemlockhoist/standins/soak.py
@@ -1,7 +1,7 @@
-"""The randomised run: ``make soak SEED=n SECONDS=n``.
+"""Randomised soak test of the decision code: ``make soak SEED=n SECONDS=n``.
 
-Leg (a) draws callers, operators and faults over the decision code of a few hosts on a
-clock of its own; the same seed gives the same steps.
+Generates random caller requests, operator commands and faults against the decision
+code of a few hosts on a virtual clock. The same seed gives the same steps.
 """
 
 import sys
@@ -12,12 +12,12 @@
 from hemlockhoist.standins.randomised import run_seed
 from hemlockhoist.standins.randomised.queue_machine import QUEUE_COVERED, QueueMachine
 
-# One batch alone may draw no call that is repeated after its answer.
+# A single batch may generate no request that is repeated after its answer.
 MIN_BATCHES = 3
 
 
 def print_result(result):
-    """Print what a run did, and the first violation with the steps to it."""
+    """Print the counts of a run and the first violation with the steps before it."""
     tally = result.tally
     click.echo(f"examples={tally.examples} steps={tally.steps}")
     for kind, count in sorted(tally.faults.items()):
@@ -37,7 +37,7 @@
 
 
 def run_all(number, seconds):
-    """Run a seed on the fleet of hosts and on one shard's queue, half the time each."""
+    """Run a seed on the fleet and on the queue of one shard, half the time each."""
     return (
         run_seed(number, seconds / 2, MIN_BATCHES),
         run_seed(number, seconds / 2, MIN_BATCHES, QueueMachine, QUEUE_COVERED),
@@ -46,12 +46,12 @@
 
 @click.command()
 @click.option("--seed", default=1, help="First seed.")
-@click.option("--seconds", default=20.0, help="How long each seed is run for.")
-@click.option("--seeds", default=1, help="How many seeds are run in turn.")
+@click.option("--seconds", default=20.0, help="Run time of each seed.")
+@click.option("--seeds", default=1, help="Number of consecutive seeds to run.")
 def main(seed, seconds, seeds):
-    """Run the decision code of a few hosts under random faults."""
+    """Test the decision code of a few hosts under random faults."""
     started_s = time.perf_counter()
-    red = 0
+    failed = 0
     for number in range(seed, seed + seeds):
         results = run_all(number, seconds)
         is_green = all(result.is_green for result in results)
@@ -62,10 +62,10 @@
         else:
             steps = sum(result.tally.steps for result in results)
             click.echo(f"seed={number} green steps={steps}")
-        red += not is_green
+        failed += not is_green
     elapsed_s = time.perf_counter() - started_s
-    click.echo(f"{seeds - red} seeds green, {red} red, in {elapsed_s:.1f} s")
-    sys.exit(1 if red else 0)
+    click.echo(f"{seeds - failed} seeds green, {failed} red, in {elapsed_s:.1f} s")
+    sys.exit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/libs/standins/src/hemlockhoist/standins/soak_processes.py
+++ b/libs/standins/src/hemlockhoist/standins/soak_processes.py
@@ -1,7 +1,8 @@
-"""The randomised run's leg (b): real processes on loopback under faults.
+"""Randomised soak test of real processes on loopback under faults.
 
-Callers keep sending while faults are drawn; then all is healed, every caller waits
-for its end, and what callers saw is compared with what the upstreams ran.
+Callers send requests while random faults are injected. Then all faults are cleared,
+every request runs to its end, and the outcomes that callers recorded are compared with
+the requests that the upstreams ran.
 """
 
 import asyncio
@@ -23,14 +24,14 @@
 from hemlockhoist.standins.traffic import Traffic, example_callers
 
 WORKERS = 4
-PAUSE_S = (0.2, 1.5)
+FAULT_INTERVAL_S = (0.2, 1.5)
 SETTLE_S = 4.0
-FINISH_LIMIT_S = 90.0
-# The list lags by half a second here and is read five times a second; a freeze of
-# the home adds its length, after which no old grant may be used.
-MAX_LATE_MS = 4_000
-# Properties whose checks run inside a host; the others are judged from outside.
-CHECKED_INSIDE = (
+FINISH_TIMEOUT_S = 90.0
+# The host list lags by half a second in this test and is read five times a second.
+# Freezing a home adds the length of the freeze, after which no old grant may be used.
+MAX_WORK_AFTER_LEAVING_MS = 4_000
+# Properties that are checked inside a host; the others are checked from outside.
+HOST_CHECKED_PROPERTIES = (
     Property.DISPATCHED_AT_MOST_ONCE,
     Property.NON_IDEMPOTENT_RUNS_AT_MOST_ONCE,
     Property.NOT_RUN_IS_TRUE,
@@ -42,14 +43,14 @@
 
 
 class ProcessRun:
-    """One seed's run.
+    """One soak run with one seed.
 
     Parameters
     ==========
     fleet : Fleet
     operator : OperatorClient
     text : str
-        The file of declarations.
+        Content of the declarations file.
     seed : int
     """
 
@@ -65,7 +66,7 @@
         self.steps = 0
 
     async def start(self):
-        """Start all processes and put the declarations in force."""
+        """Start all processes and apply the declarations."""
         fleet = self._fleet
         await fleet.start()
         await asyncio.gather(
@@ -80,7 +81,7 @@
         await asyncio.sleep(SETTLE_S)
 
     async def run(self, seconds):
-        """Send traffic under faults for some seconds; return the findings."""
+        """Send traffic under faults for ``seconds``; return the findings."""
         self.faults = ProcessFaults(self._fleet, self._operator, self._text, self._rng)
         traffic = Traffic.from_config(
             example_callers(self._fleet.host_addresses()),
@@ -91,25 +92,25 @@
         )
         await traffic.start()
         try:
-            await self._disturb(seconds)
+            await self._inject_faults(seconds)
             await self.faults.heal()
             await asyncio.sleep(SETTLE_S)
-            # Whatever was drawn, "not run" is said, and checked, at least here.
+            # Ensures that "not run" is reported, and checked, in every run.
             await self.faults.bad_requests()
-            async with asyncio.timeout(FINISH_LIMIT_S):
+            async with asyncio.timeout(FINISH_TIMEOUT_S):
                 await traffic.finish()
         finally:
             await traffic.close()
         print(tier_table(traffic.records))
         return await self._check(traffic.records)
 
-    async def _disturb(self, seconds):
+    async def _inject_faults(self, seconds):
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         while loop.time() < end_s:
             self.steps += 1
             await self.faults.step()
-            await asyncio.sleep(self._rng.uniform(*PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(*FAULT_INTERVAL_S))
 
     async def _check(self, records):
         members = self._fleet.upstreams()
@@ -117,17 +118,19 @@
             *(self._fleet.run_counts(item) for item in members)
         )
         findings = check_consistency(
-            records, RunCounts(reports), MAX_LATE_MS, unknown_allowed=True
+            records, RunCounts(reports), MAX_WORK_AFTER_LEAVING_MS, unknown_allowed=True
         )
-        found = [str(item) for item in findings]
+        violations = [str(item) for item in findings]
         for address in self._fleet.host_addresses():
             status = await self._operator.status(address)
             for name, count in status["checks"].items():
                 self.checks[name] = self.checks.get(name, 0) + count
             for name, count in status["violations"].items():
-                found.append(f"property {name} broken {count} times at {address}")
-        missing = [p.name for p in CHECKED_INSIDE if not self.checks.get(p.name)]
-        return found + [f"property {name} was never checked" for name in missing]
+                violations.append(f"property {name} broken {count} times at {address}")
+        missing = [
+            p.name for p in HOST_CHECKED_PROPERTIES if not self.checks.get(p.name)
+        ]
+        return violations + [f"property {name} was never checked" for name in missing]
 
 
 async def _run(text, seed, seconds, log_dir):
@@ -158,11 +161,11 @@
 
 
 @click.command()
-@click.option("--seed", default=1, help="Of the faults and the traffic.")
-@click.option("--seconds", default=20.0, help="How long faults are drawn.")
-@click.option("--log-dir", help="Keep the processes' logs in this folder.")
+@click.option("--seed", default=1, help="Seed of the faults and the traffic.")
+@click.option("--seconds", default=20.0, help="How long faults are injected.")
+@click.option("--log-dir", help="Write the processes' logs to this folder.")
 def main(seed, seconds, log_dir):
-    """Run real processes under random faults; exit with 1 on any finding."""
+    """Run real processes under random faults; exit with status 1 on any finding."""
     text = pathlib.Path("examples/declarations.yaml").read_text(encoding="utf-8")
     with (
         tempfile.TemporaryDirectory(prefix="hemlockhoist-soak-") as folder,
--- a/libs/standins/src/hemlockhoist/standins/traffic.py
+++ b/libs/standins/src/hemlockhoist/standins/traffic.py
@@ -1,4 +1,4 @@
-"""Mixed traffic of several callers: chats, lookups and bookings."""
+"""Generates mixed traffic of several callers: chats, lookups and bookings."""
 
 import asyncio
 import random
@@ -9,16 +9,16 @@
 _CHAT_SHARE = 0.6
 _UNSTREAMED_SHARE = 0.15
 _LOOKUP_SHARE = 0.2
-_LONG_SHARE = 0.1
-_SHORT_WORDS = 20
-_LONG_WORDS = 1_500
+_LONG_PROMPT_SHARE = 0.1
+_SHORT_PROMPT_WORDS = 20
+_LONG_PROMPT_WORDS = 1_500
 _MAX_TOKENS = (8, 60)
-_PAUSE_MS = (20, 200)
-_SYSTEM_TEXT = "You answer questions about halls and labels. " * 12
+_THINK_TIME_MS = (20, 200)
+_SYSTEM_PROMPT = "You answer questions about halls and labels. " * 12
 
 
-# Customer, caller key, tier and its first token's target, as in the example's
-# declarations.
+# Customer, caller key, tier and first-token target in milliseconds, as declared in the
+# example declarations.
 EXAMPLE_CALLERS = (
     ("northern-university", "demo-key-large", "interactive", 310),
     ("northern-university", "demo-key-large", "standard", 1_000),
@@ -27,12 +27,12 @@
 
 
 def example_callers(addresses):
-    """Return a ``CallerConfig`` for each of the example's callers.
+    """Return a ``CallerConfig`` for each caller of the example declarations.
 
     Parameters
     ==========
     addresses : tuple of str
-        Hosts to ask first.
+        Hosts to contact first.
     """
     return [
         CallerConfig(
@@ -48,14 +48,14 @@
 
 
 class Traffic:
-    """Sends requests by a number of workers for each caller until it is stopped.
+    """Sends requests with several concurrent workers per caller until stopped.
 
     Parameters
     ==========
     callers : sequence of Caller
     model, service : str
     workers : int
-        For each caller.
+        Number per caller.
     rng : random.Random
     """
 
@@ -80,7 +80,7 @@
 
     @classmethod
     def from_config(cls, configs, model, service, workers=4, seed=1):
-        """Return traffic that has not begun; needs a running loop.
+        """Return traffic that has not been started; needs a running event loop.
 
         Parameters
         ==========
@@ -91,41 +91,42 @@
 
     @property
     def records(self):
-        """All callers' records."""
+        """The records of all callers."""
         return [record for caller in self._callers for record in caller.records]
 
     async def start(self):
-        """Begin to send."""
+        """Start the callers and their workers."""
         for caller in self._callers:
             await caller.start()
             self._tasks += [
-                asyncio.create_task(self._work(caller)) for _ in range(self._workers)
+                asyncio.create_task(self._run_worker(caller))
+                for _ in range(self._workers)
             ]
 
     async def finish(self):
-        """Send nothing new, and wait for the end of each request."""
+        """Send no new requests, and wait until those in progress have ended."""
         self._stopped = True
         await asyncio.gather(*self._tasks)
 
     async def close(self):
-        """Drop what is left."""
+        """Cancel the workers and close the callers."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for caller in self._callers:
             await caller.close()
 
-    async def _work(self, caller):
+    async def _run_worker(self, caller):
         while not self._stopped:
-            await self._send(caller)
-            await asyncio.sleep(self._rng.randint(*_PAUSE_MS) / _MS_PER_S)
+            await self._send_request(caller)
+            await asyncio.sleep(self._rng.randint(*_THINK_TIME_MS) / _MS_PER_S)
 
-    async def _send(self, caller):
+    async def _send_request(self, caller):
         draw = self._rng.random()
         if draw < _CHAT_SHARE:
             stream = self._rng.random() >= _UNSTREAMED_SHARE
             max_tokens = self._rng.randint(*_MAX_TOKENS)
-            await caller.chat(self._model, self._question(), max_tokens, stream)
+            await caller.chat(self._model, self._prompt(), max_tokens, stream)
         elif draw < _CHAT_SHARE + _LOOKUP_SHARE:
             hall = self._rng.randint(1, 20)
             await caller.lookup(self._service, f"/availability?hall={hall}")
@@ -133,9 +134,9 @@
             body = f'{{"hall": {self._rng.randint(1, 20)}}}'.encode()
             await caller.book(self._service, "/bookings", body)
 
-    def _question(self):
-        words = _SHORT_WORDS
-        if self._rng.random() < _LONG_SHARE:
-            words = _LONG_WORDS
+    def _prompt(self):
+        words = _SHORT_PROMPT_WORDS
+        if self._rng.random() < _LONG_PROMPT_SHARE:
+            words = _LONG_PROMPT_WORDS
         own = " ".join(f"{self._rng.getrandbits(16):04x}" for _ in range(words))
-        return _SYSTEM_TEXT + own
+        return _SYSTEM_PROMPT + own
