--- a/libs/standins/src/hemlockhoist/standins/__init__.py
+++ b/libs/standins/src/hemlockhoist/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of outside systems for tests, demo and measurements."""
+"""Stand-ins for external systems, for tests, the demo and measurements."""
--- a/libs/standins/src/hemlockhoist/standins/answers.py
+++ b/libs/standins/src/hemlockhoist/standins/answers.py
@@ -1,35 +1,35 @@
-"""The text that the model engine's stand-in answers, and how prompts are counted.
+"""Generates the answers of the model engine's stand-in and counts prompt tokens.
 
-The answer depends on the prompt and ``max_tokens`` only, so that a test can tell
-whether a caller got the whole answer to its own request.
+An answer depends only on the prompt and ``max_tokens``, so that a test can check
+whether a caller received the complete answer to its own request.
 """
 
 import xxhash
 
 _BYTES_PER_TOKEN = 4
-_WORD_DIGITS = 6
+_PIECE_DIGITS = 6
 
 
 def prompt_text(messages):
-    """Return the prompt of a list of chat messages as one text.
+    """Return the prompt text of a list of chat messages.
 
     Parameters
     ==========
     messages : sequence of dict
-        With ``role`` and ``content``.
+        Each has ``role`` and ``content``.
     """
     return "\n".join(f"{item['role']}: {item['content']}" for item in messages)
 
 
 def count_tokens(text):
-    """Return the number of tokens that the stand-in counts for a text."""
+    """Return the number of tokens of a text, as the stand-in counts them."""
     return len(text.encode()) // _BYTES_PER_TOKEN + 1
 
 
 def block_hashes(text, block_tokens=64):
-    """Return the chained hashes of a prompt's whole leading blocks.
+    """Return the chained hashes of a prompt's complete blocks.
 
-    Each hash is XXH64 of the block's bytes, seeded with the hash before it.
+    Each hash is the XXH64 of the block's bytes, seeded with the previous hash.
 
     Parameters
     ==========
@@ -39,7 +39,7 @@
     Returns
     =======
     tuple of int
-        Shortest prefix first; the last, partial block is left out.
+        Hashes of ever longer prefixes; a last, partial block has none.
     """
     body = text.encode()
     size = block_tokens * _BYTES_PER_TOKEN
@@ -52,12 +52,12 @@
 
 
 def answer_pieces(prompt, max_tokens):
-    """Return the pieces of the answer, one for each token.
+    """Return the pieces of the answer, one per token.
 
     Parameters
     ==========
     prompt : str
-        As ``prompt_text`` gives it.
+        As returned by ``prompt_text``.
     max_tokens : int
     """
     seed = xxhash.xxh64_intdigest(prompt.encode())
@@ -66,11 +66,11 @@
 
 def _piece(index, max_tokens, seed):
     digest = xxhash.xxh64_hexdigest(f"{index}/{max_tokens}".encode(), seed=seed)
-    return digest[:_WORD_DIGITS] + " "
+    return digest[:_PIECE_DIGITS] + " "
 
 
 def expected_answer(prompt, max_tokens):
-    """Return the whole answer to a prompt.
+    """Return the complete answer to a prompt.
 
     Examples
     ========
--- a/libs/standins/src/hemlockhoist/standins/counting.py
+++ b/libs/standins/src/hemlockhoist/standins/counting.py
@@ -1,33 +1,33 @@
-"""Counts what a stand-in ran, and decides which calls a fault hits."""
+"""Counts the requests run by a stand-in and selects those that a fault affects."""
 
 import collections
 
 
 class FractionSampler:
-    """Hits a set share of calls, evenly spread and the same in each run."""
+    """Selects a given fraction of calls, evenly spaced and deterministic."""
 
-    __slots__ = ("_sum",)
+    __slots__ = ("_accumulated",)
 
     def __init__(self):
-        self._sum = 0.0
+        self._accumulated = 0.0
 
     def is_selected(self, share):
-        """Return whether this call is hit.
+        """Return whether this call is selected.
 
         Parameters
         ==========
         share : float
-            0 to 1.
+            Fraction of calls to select, from 0 to 1.
         """
-        self._sum += share
-        if self._sum >= 1.0 - 1e-9:
-            self._sum -= 1.0
+        self._accumulated += share
+        if self._accumulated >= 1.0 - 1e-9:
+            self._accumulated -= 1.0
             return True
         return False
 
 
 class RunCounter:
-    """How often each request was begun and finished."""
+    """Counts how often each request was begun and how it ended."""
 
     __slots__ = ("begun", "cancelled", "failed", "finished", "rejected")
 
@@ -39,7 +39,7 @@
         self.cancelled = collections.Counter()
 
     def as_json(self):
-        """Return the counts as plain data; ``runs`` tells how often each began."""
+        """Return the counts as plain data; ``runs`` counts how often each began."""
         return {
             "runs": dict(self.begun),
             "finished": dict(self.finished),
--- a/libs/standins/src/hemlockhoist/standins/delayed_value.py
+++ b/libs/standins/src/hemlockhoist/standins/delayed_value.py
@@ -1,17 +1,17 @@
-"""A value that readers see some time after it was set."""
+"""A value that becomes visible to readers some time after it was set."""
 
 import collections
 
 
 class DelayedValue:
-    """Keeps a value's history, and shows it as it was a lag ago.
+    """Keeps the history of a value and returns it as it was ``lag_ms`` ago.
 
     Parameters
     ==========
     value : object
     now_ms : int
     lag_ms : int
-        May be set at any time.
+        May be changed at any time.
     """
 
     __slots__ = ("_history", "lag_ms")
@@ -21,9 +21,9 @@
         self.lag_ms = lag_ms
 
     def set(self, value, now_ms):
-        """Set the value; readers see it ``lag_ms`` later."""
+        """Set the value, which becomes visible after ``lag_ms``."""
         self._history.append((now_ms, value))
-        # Entries that even the longest lag in use hides are of no more interest.
+        # Drops entries that a newer visible entry hides; they are no longer read.
         while len(self._history) > 2 and self._visible(self._history[1], now_ms):
             self._history.popleft()
 
@@ -37,7 +37,7 @@
         return seen[1]
 
     def latest(self):
-        """Return the value as it was last set."""
+        """Return the value set last."""
         return self._history[-1][1]
 
     def _visible(self, entry, now_ms):
--- a/libs/standins/src/hemlockhoist/standins/engine_config.py
+++ b/libs/standins/src/hemlockhoist/standins/engine_config.py
@@ -1,4 +1,4 @@
-"""Speeds and limits of model engines, for four generations of hardware."""
+"""Speeds and limits of model engines for four hardware generations."""
 
 import msgspec
 
@@ -9,22 +9,22 @@
     Parameters
     ==========
     generation : str
-        Hardware generation, for display.
+        Name of the hardware generation, for display.
     max_running : int
-        Sequences in a batch.
+        Maximum number of sequences in a batch.
     max_context_tokens : int
-        KV cache for running sequences, prompt and output together.
+        Size of the KV cache for running sequences, prompt and output together.
     prefill_chunk_tokens : int
-        Prompt tokens in one step.
+        Maximum number of prompt tokens in one step.
     base_step_us, step_us_per_sequence, step_ns_per_context_token : int
-        Time of a decode step.
+        Components of the duration of a decode step.
     prefill_us_per_token : int
-        Added for each prompt token that is not in the prefix cache.
+        Added to the step for each prompt token that is not in the prefix cache.
     cache_blocks, block_tokens : int
-        Size of the prefix cache, and of a block.
+        Size of the prefix cache in blocks, and of a block in tokens.
     report_tokens : bool
-        Whether ``advance`` reports each token; without, only the first and the end,
-        and a step costs the same whatever the batch.
+        Whether ``advance`` reports each token. If false, it reports only the first
+        token and the end, and its cost per step does not depend on the batch size.
     """
 
     generation: str = "g3"
@@ -40,7 +40,7 @@
     report_tokens: bool = True
 
 
-# Four generations, each about one and a half times as fast as the one before.
+# Each generation is about one and a half times as fast as the previous one.
 GENERATIONS = {
     "g1": EngineConfig(
         generation="g1",
--- a/libs/standins/src/hemlockhoist/standins/measure_control.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_control.py
@@ -1,7 +1,7 @@
-"""What control costs a host: processor, memory and bytes without any request.
+"""Measures the control cost of a host: processor, memory and bytes without requests.
 
-Fleets of growing size stand idle on loopback, with the upstreams of today's larger
-deployment and the shipped settings. Run:
+Runs idle fleets of growing size on loopback, with the upstreams of today's larger
+deployment and the polling intervals of ``POLL_SETTINGS``. Run:
 ``python -m hemlockhoist.standins.measure_control``.
 """
 
@@ -22,8 +22,8 @@
 ENGINES = 6
 SERVICES = 4
 SETTLE_S = 8.0
-WATCH_S = 15.0
-SHIPPED = {
+MEASURE_S = 15.0
+POLL_SETTINGS = {
     "HEMLOCKHOIST_HOST_LIST_POLL_MS": "1000",
     "HEMLOCKHOIST_CONFIG_POLL_MS": "1000",
     "HEMLOCKHOIST_LOAD_POLL_MS": "1000",
@@ -31,17 +31,17 @@
 
 
 class ControlCost:
-    """What one host spent over the time watched.
+    """Resources used by one host during the measurement.
 
     Parameters
     ==========
     core_permille : float
         Processor time in thousandths of one core.
     sent_bytes, received_bytes : float
-        To and from peers, a second.
+        Bytes per second to and from peers.
     memory_kib : int
     homes : int
-        Pools that the host was home of.
+        Number of pools whose home the host was.
     """
 
     __slots__ = (
@@ -60,16 +60,16 @@
         self.homes = homes
 
 
-async def _watch(fleet, operator):
+async def _measure_hosts(fleet, operator):
     hosts = list(fleet.hosts.values())
-    before = [await _read(operator, host) for host in hosts]
-    await asyncio.sleep(WATCH_S)
-    after = [await _read(operator, host) for host in hosts]
+    before = [await _read_counters(operator, host) for host in hosts]
+    await asyncio.sleep(MEASURE_S)
+    after = [await _read_counters(operator, host) for host in hosts]
     return [
         ControlCost(
-            core_permille=(now[0] - then[0]) / WATCH_S,
-            sent_bytes=(now[1] - then[1]) / WATCH_S,
-            received_bytes=(now[2] - then[2]) / WATCH_S,
+            core_permille=(now[0] - then[0]) / MEASURE_S,
+            sent_bytes=(now[1] - then[1]) / MEASURE_S,
+            received_bytes=(now[2] - then[2]) / MEASURE_S,
             memory_kib=resident_kib(host.pid),
             homes=now[3],
         )
@@ -77,16 +77,16 @@
     ]
 
 
-async def _read(operator, host):
+async def _read_counters(operator, host):
     status = await operator.status(host.address)
     own = status["peer_address"]
     homes = sum(pool["home"] == own for pool in status["pools"])
-    spent_ms = processor_ms(host.pid)
-    return spent_ms, status["peer_bytes_sent"], status["peer_bytes_received"], homes
+    used_ms = processor_ms(host.pid)
+    return used_ms, status["peer_bytes_sent"], status["peer_bytes_received"], homes
 
 
-async def _measure(size, text, log_dir):
-    config = FleetConfig(hosts=size, log_dir=log_dir, host_settings=SHIPPED)
+async def _measure_fleet(size, text, log_dir):
+    config = FleetConfig(hosts=size, log_dir=log_dir, host_settings=POLL_SETTINGS)
     fleet = Fleet.from_config(config)
     try:
         await fleet.start_session()
@@ -100,7 +100,7 @@
         )
         await operator.apply(parse_declarations(text.encode()), 0, "measurement")
         await asyncio.sleep(SETTLE_S)
-        return await _watch(fleet, operator)
+        return await _measure_hosts(fleet, operator)
     finally:
         await fleet.close()
 
@@ -123,7 +123,7 @@
 
 @click.command()
 def main():
-    """Measure the control cost of idle fleets."""
+    """Measure the control cost of hosts in idle fleets."""
     text = pathlib.Path("examples/declarations.yaml").read_text(encoding="utf-8")
     rows = []
     with (
@@ -131,7 +131,7 @@
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
         for size in HOST_COUNTS:
-            costs = runner.run(_measure(size, text, folder))
+            costs = runner.run(_measure_fleet(size, text, folder))
             _print_row(size, costs)
             rows.append((size, costs))
     for name in ("core_permille", "sent_bytes", "memory_kib"):
--- a/libs/standins/src/hemlockhoist/standins/measure_path.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_path.py
@@ -1,8 +1,8 @@
-"""What a request and a streamed token cost one host, over loopback.
+"""Measures the processor cost of a request and of a streamed token at one host.
 
-One host that is its own home stands before engines' stand-ins. The same load goes
-through the host and straight to an engine; the host's processor time comes from
-``/proc``. Run: ``python -m hemlockhoist.standins.measure_path``.
+One host, which is its own home, forwards requests to stand-ins of engines on loopback.
+The same load is sent through the host and directly to an engine; the host's processor
+time is read from ``/proc``. Run: ``python -m hemlockhoist.standins.measure_path``.
 """
 
 import asyncio
@@ -21,8 +21,8 @@
 
 MODEL = "assistant"
 CALLER_KEY = "demo-key-large"
-TOKENS = (1, 25, 50, 100, 200)
-STREAMS = 24
+TOKEN_COUNTS = (1, 25, 50, 100, 200)
+CONCURRENT_STREAMS = 24
 ENGINES = 4
 ROUNDS = 3
 SETTLE_S = 4.0
@@ -33,7 +33,7 @@
 def processor_ms(pid):
     """Return the processor time that a process has used, in milliseconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    # The two fields left of the closing bracket are gone.
+    # The index is reduced by the two fields before the closing bracket.
     ticks = int(fields[_UTIME - 2]) + int(fields[_STIME - 2])
     return 1000 * ticks / _TICKS_PER_S
 
@@ -47,7 +47,7 @@
 
 
 def fit_line(points):
-    """Return intercept, slope and largest residual of a least-squares line.
+    """Return intercept, slope and largest residual of a least-squares fit.
 
     Parameters
     ==========
@@ -59,7 +59,7 @@
 
 
 class ChatLoad:
-    """Sends streamed chats to one address, a fixed number at a time.
+    """Sends streamed chats to one address with fixed concurrency.
 
     Parameters
     ==========
@@ -87,13 +87,15 @@
     async def run(self, tokens, requests):
         """Send ``requests`` chats of ``tokens`` tokens each."""
         left = iter(range(requests))
-        await asyncio.gather(*(self._work(tokens, left) for _ in range(STREAMS)))
+        await asyncio.gather(
+            *(self._run_worker(tokens, left) for _ in range(CONCURRENT_STREAMS))
+        )
 
-    async def _work(self, tokens, left):
+    async def _run_worker(self, tokens, left):
         for _ in left:
-            await self._send(tokens)
+            await self._send_chat(tokens)
 
-    async def _send(self, tokens):
+    async def _send_chat(self, tokens):
         self._number += 1
         body = {
             "model": MODEL,
@@ -126,10 +128,14 @@
         connector=aiohttp.TCPConnector(limit=0)
     ) as session:
         points = []
-        for tokens in TOKENS:
-            requests = max(STREAMS * 4, 1200 // tokens)
-            direct = await _round(session, engine.address, engine.pid, tokens, requests)
-            through = await _round(session, host.address, host.pid, tokens, requests)
+        for tokens in TOKEN_COUNTS:
+            requests = max(CONCURRENT_STREAMS * 4, 1200 // tokens)
+            direct = await _measure_load(
+                session, engine.address, engine.pid, tokens, requests
+            )
+            through = await _measure_load(
+                session, host.address, host.pid, tokens, requests
+            )
             cost_ms, rate, load = through
             points.append((tokens, cost_ms))
             print(
@@ -154,10 +160,10 @@
     )
 
 
-async def _round(session, address, pid, tokens, requests):
-    """Return processor ms a request, requests a second, and the load's records."""
+async def _measure_load(session, address, pid, tokens, requests):
+    """Return processor milliseconds per request, requests per second, and the load."""
     load = ChatLoad(session, address)
-    await load.run(tokens, STREAMS)
+    await load.run(tokens, CONCURRENT_STREAMS)
     costs, rates = [], []
     loop = asyncio.get_running_loop()
     for _ in range(ROUNDS):
@@ -191,9 +197,9 @@
 
 
 @click.command()
-@click.option("--log-dir", help="Keep the processes' logs in this folder.")
+@click.option("--log-dir", help="Write the processes' logs to this folder.")
 def main(log_dir):
-    """Measure the request path of one host."""
+    """Measure the cost of the request path of one host."""
     with (
         tempfile.TemporaryDirectory(prefix="hemlockhoist-path-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
--- a/libs/standins/src/hemlockhoist/standins/measure_versions.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_versions.py
@@ -1,7 +1,7 @@
-"""Measure how version moves end: good ones in time, bad ones taken back.
+"""Measures how version moves end: good versions in time, bad ones rolled back.
 
 Usage: ``python -m hemlockhoist.standins.measure_versions [--seeds N]``. Runs the
-decision code on a virtual clock against pure models of upstreams; no sockets.
+decision code on a virtual clock against simulated upstreams, without sockets.
 """
 
 import argparse
@@ -37,7 +37,7 @@
 
 
 class MoveResult(msgspec.Struct, kw_only=True):
-    """How one move of one seeded version ended."""
+    """Result of one move of one seeded version."""
 
     kind: VersionKind
     deployment: str
@@ -48,23 +48,23 @@
     new_non_idempotent: int = 0
     bad_requests: int = 0
     bad_non_idempotent: int = 0
-    after_requests: int = 0
-    after_non_idempotent: int = 0
-    began_ms: int = -1
+    requests_after_first_bad: int = 0
+    non_idempotent_after_first_bad: int = 0
+    first_bad_grant_ms: int = -1
     last_bad_grant_ms: int = -1
     late_reported: int = 0
     reason: str = ""
 
     @property
     def exposed_ms(self):
-        """From the first bad answer's grant to the version's last grant."""
-        if self.began_ms < 0:
+        """Milliseconds from the grant of the first bad answer to the last grant."""
+        if self.first_bad_grant_ms < 0:
             return 0
-        return self.last_bad_grant_ms - self.began_ms
+        return self.last_bad_grant_ms - self.first_bad_grant_ms
 
 
 class ControllerDriver:
-    """The product's controller, with a store that always answers."""
+    """Drives the product's controller with a store that is always available."""
 
     def __init__(self, scenario):
         self.log = InvariantLog(fatal=True)
@@ -84,12 +84,12 @@
 
     @property
     def rolled_back(self):
-        """Whether the version has been taken back."""
+        """Whether the version has been rolled back."""
         return self.policy.verdict is not None
 
     @property
     def reason(self):
-        """Why, with figures."""
+        """Reason of the rollback with its figures; empty without rollback."""
         return self.policy.verdict.reason if self.rolled_back else ""
 
     def finished(self, now_ms):
@@ -97,7 +97,7 @@
         return self.policy.row.state is MoveState.FINISHED
 
     def tick(self, now_ms):
-        """Let the controller work, and write its row; return how often it was late."""
+        """Tick the controller and store its row; return the number of late events."""
         events = self.policy.tick(now_ms)
         wanted = self.policy.wanted_row(now_ms, fencing=1)
         if wanted is not None:
@@ -106,7 +106,7 @@
 
 
 class BaselineDriver:
-    """A baseline."""
+    """Drives a baseline policy."""
 
     reason = ""
 
@@ -115,7 +115,7 @@
 
     @property
     def rolled_back(self):
-        """Whether the version has been taken back."""
+        """Whether the version has been rolled back."""
         return self.policy.rolled_back
 
     def finished(self, now_ms):
@@ -123,12 +123,12 @@
         return self.policy.finished(now_ms)
 
     def tick(self, now_ms):
-        """Do nothing: a baseline goes by the clock."""
+        """Return 0: a baseline needs no ticks and never reports to be late."""
         return 0
 
 
 def new_driver(policy, scenario):
-    """Return the driver of the policy of that name."""
+    """Return the driver for the named policy."""
     if policy == "hemlockhoist":
         return ControllerDriver(scenario)
     kind = FixedSteps if policy == "fixed steps" else FixedThreshold
@@ -136,7 +136,7 @@
 
 
 class MeasuredMove:
-    """One move: requests are granted and answered until the time is up."""
+    """Simulates one move: grants and answers requests until the time window ends."""
 
     def __init__(self, policy, kind, seed):
         self.scenario = VersionScenario(kind, seed)
@@ -144,11 +144,11 @@
         self.result = MoveResult(kind=kind, deployment=self.scenario.deployment.name)
         replicas = self.scenario.deployment.replicas
         self.in_flight = {"v1": [0] * replicas, "v2": [0] * replicas}
-        self.answers = []
+        self.pending_answers = []
         self.next_tick_ms = 0
 
     def execute(self):
-        """Run the move to its end; return the result."""
+        """Run the move to its end and return the result."""
         for sequence, (now_ms, route) in enumerate(self.scenario.arrivals()):
             self._advance(now_ms)
             if self.driver.rolled_back:
@@ -161,17 +161,19 @@
 
     def _advance(self, now_ms):
         while True:
-            answer_ms = self.answers[0][0] if self.answers else now_ms + 1
+            answer_ms = (
+                self.pending_answers[0][0] if self.pending_answers else now_ms + 1
+            )
             until_ms = min(answer_ms, self.next_tick_ms)
             if until_ms > now_ms:
                 return
             if answer_ms <= self.next_tick_ms:
-                self._answer(heapq.heappop(self.answers))
+                self._complete(heapq.heappop(self.pending_answers))
             else:
                 self._tick(self.next_tick_ms)
                 self.next_tick_ms += TICK_MS
             if self.driver.rolled_back:
-                self._note_taken_back(until_ms)
+                self._record_rollback(until_ms)
                 return
 
     def _tick(self, now_ms):
@@ -179,7 +181,7 @@
         if self.result.finished_ms < 0 and self.driver.finished(now_ms):
             self.result.finished_ms = now_ms
 
-    def _note_taken_back(self, now_ms):
+    def _record_rollback(self, now_ms):
         if self.result.rolled_back_ms < 0:
             self.result.rolled_back_ms = now_ms
             self.result.reason = self.driver.reason
@@ -196,45 +198,45 @@
         )
         version = self.driver.policy.candidates(request, ("v1", "v2"), now_ms)[0]
         loads = self.in_flight[version]
-        upstream = self._place(version, loads, sequence)
+        upstream = self._select_upstream(version, loads, sequence)
         self.driver.policy.on_grant(request, version, now_ms, f"{version}-{upstream}")
-        found = self.scenario.answer(version, upstream, route, loads[upstream], now_ms)
+        drawn = self.scenario.answer(version, upstream, route, loads[upstream], now_ms)
         loads[upstream] += 1
-        self._count(version, request, found[3], now_ms)
-        answer = (now_ms + found[2], sequence, request, version, upstream, found)
-        heapq.heappush(self.answers, answer)
+        self._count_grant(version, request, drawn[3], now_ms)
+        answer = (now_ms + drawn[2], sequence, request, version, upstream, drawn)
+        heapq.heappush(self.pending_answers, answer)
 
-    def _place(self, version, loads, sequence):
-        """Return the least loaded upstream that is not set apart."""
-        apart = getattr(self.driver.policy, "excluded_upstreams", ())
+    def _select_upstream(self, version, loads, sequence):
+        """Return the least loaded upstream that is not excluded."""
+        excluded = getattr(self.driver.policy, "excluded_upstreams", ())
         best = None
         for i in range(len(loads)):
-            place = (i + sequence) % len(loads)
-            if f"{version}-{place}" in apart:
+            candidate = (i + sequence) % len(loads)
+            if f"{version}-{candidate}" in excluded:
                 continue
-            if best is None or loads[place] < loads[best]:
-                best = place
+            if best is None or loads[candidate] < loads[best]:
+                best = candidate
         return best
 
-    def _count(self, version, request, was_bad, now_ms):
+    def _count_grant(self, version, request, was_bad, now_ms):
         result = self.result
         result.requests += 1
         if version != "v2":
             return
-        if was_bad and result.began_ms < 0:
-            result.began_ms = now_ms
+        if was_bad and result.first_bad_grant_ms < 0:
+            result.first_bad_grant_ms = now_ms
         result.new_requests += 1
         result.new_non_idempotent += not request.idempotent
         result.bad_requests += was_bad
         result.bad_non_idempotent += was_bad and not request.idempotent
         result.last_bad_grant_ms = now_ms
-        if result.began_ms >= 0:
-            result.after_requests += 1
-            result.after_non_idempotent += not request.idempotent
+        if result.first_bad_grant_ms >= 0:
+            result.requests_after_first_bad += 1
+            result.non_idempotent_after_first_bad += not request.idempotent
 
-    def _answer(self, answer):
-        now_ms, _, request, version, upstream, found = answer
-        is_failed, first_ms, total_ms, _ = found
+    def _complete(self, answer):
+        now_ms, _, request, version, upstream, drawn = answer
+        is_failed, first_ms, total_ms, _ = drawn
         self.in_flight[version][upstream] -= 1
         outcome = Outcome(
             kind=OutcomeKind.FAILED if is_failed else OutcomeKind.SUCCESS,
@@ -248,30 +250,31 @@
 
 
 def run_batch(policy, kind, seeds):
-    """Return the results of one policy on versions of one kind."""
+    """Return the results of one policy for versions of one kind."""
     return [MeasuredMove(policy, kind, seed).execute() for seed in seeds]
 
 
 def run_all(policies, kinds, count, first_seed, workers):
-    """Return results by policy and kind, worked out side by side."""
+    """Return results by policy and kind, computed in parallel."""
     size = 25
     jobs = {}
-    found = {(policy, kind): [] for policy in policies for kind in kinds}
+    results = {(policy, kind): [] for policy in policies for kind in kinds}
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-        for policy, kind in found:
-            # The baselines' figures are far off: a sixth of the seeds shows them.
+        for policy, kind in results:
+            # The results of the baselines differ so much that a sixth of the seeds
+            # suffices.
             seed_count = count if policy == POLICIES[0] else max(1, count // 6)
             last = first_seed + seed_count
             for start in range(first_seed, last, size):
                 seeds = range(start, min(start + size, last))
                 jobs[pool.submit(run_batch, policy, kind, seeds)] = (policy, kind)
         for job in concurrent.futures.as_completed(jobs):
-            found[jobs[job]] += job.result()
-    return found
+            results[jobs[job]] += job.result()
+    return results
 
 
 def quantiles(values):
-    """Return median and 95th percentile as text."""
+    """Return the median and the 95th percentile as text."""
     if not values:
         return "-"
     ordered = sorted(values)
@@ -304,53 +307,53 @@
 
 
 def good_row(policy, kind, results):
-    """Return a row of the table of good versions."""
+    """Return a row of the table for good versions."""
     count = len(results)
     ended = [item.finished_ms / 1000 for item in results if item.finished_ms >= 0]
-    back = sum(item.rolled_back_ms >= 0 for item in results)
-    late = [item for item in results if _is_held(item)]
-    told = sum(item.late_reported > 0 for item in late)
+    rolled_back = sum(item.rolled_back_ms >= 0 for item in results)
+    late = [item for item in results if _is_unfinished(item)]
+    reported = sum(item.late_reported > 0 for item in late)
     return (
         kind.value,
         policy,
         count,
-        _part(len(ended), count),
-        _part(back, count),
-        f"{told} of {len(late)}",
+        _proportion(len(ended), count),
+        _proportion(rolled_back, count),
+        f"{reported} of {len(late)}",
         quantiles(ended),
     )
 
 
 def bad_row(policy, kind, results):
-    """Return a row of the table of bad versions."""
-    shown = [item for item in results if item.began_ms >= 0]
-    back = [item for item in shown if item.rolled_back_ms >= 0]
-    passed = [item for item in shown if _is_passed(item)]
+    """Return a row of the table for bad versions."""
+    shown = [item for item in results if item.first_bad_grant_ms >= 0]
+    rolled_back = [item for item in shown if item.rolled_back_ms >= 0]
+    accepted = [item for item in shown if _is_accepted(item)]
     return (
         kind.value,
         policy,
         len(shown),
-        _part(len(back), len(shown)),
-        sum(map(_is_held, shown)),
-        len(passed),
-        quantiles([item.after_requests for item in shown]),
-        quantiles([item.after_non_idempotent for item in shown]),
+        _proportion(len(rolled_back), len(shown)),
+        sum(map(_is_unfinished, shown)),
+        len(accepted),
+        quantiles([item.requests_after_first_bad for item in shown]),
+        quantiles([item.non_idempotent_after_first_bad for item in shown]),
         quantiles([item.bad_requests for item in shown]),
-        quantiles([item.bad_requests for item in passed]),
-        quantiles([item.exposed_ms / 1000 for item in back]),
+        quantiles([item.bad_requests for item in accepted]),
+        quantiles([item.exposed_ms / 1000 for item in rolled_back]),
     )
 
 
-def _is_held(item):
+def _is_unfinished(item):
     return item.finished_ms < 0 and item.rolled_back_ms < 0
 
 
-def _is_passed(item):
+def _is_accepted(item):
     return item.finished_ms >= 0 and item.rolled_back_ms < 0
 
 
-def _part(part, whole):
-    """Return a share with the range that the number of trials leaves it (95 %)."""
+def _proportion(part, whole):
+    """Return a proportion in percent with its 95 % confidence interval (Wilson)."""
     count = max(1, whole)
     share = part / count
     z2 = _NORMAL_95**2
@@ -362,7 +365,7 @@
 
 
 def main():
-    """Run the measurement and print its tables."""
+    """Run the measurement and print the tables."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=201)
     parser.add_argument("--first-seed", type=int, default=1)
@@ -372,18 +375,18 @@
     options = parser.parse_args()
     policies = [options.policy] if options.policy else POLICIES
     started = time.perf_counter()
-    found = run_all(
+    results_by_case = run_all(
         policies, tuple(VersionKind), options.seeds, options.first_seed, options.workers
     )
-    print_tables(found, policies)
-    print(f"{sum(map(len, found.values()))} moves", end=", ")
+    print_tables(results_by_case, policies)
+    print(f"{sum(map(len, results_by_case.values()))} moves", end=", ")
     print(f"{time.perf_counter() - started:.0f} s")
     if options.reasons:
-        print_reasons(found)
+        print_reasons(results_by_case)
 
 
-def print_tables(found, policies):
-    """Print the tables of good and of bad versions."""
+def print_tables(results_by_case, policies):
+    """Print the tables for good and for bad versions."""
     for head, kinds, row in (
         (GOOD_HEAD, GOOD_KINDS, good_row),
         (BAD_HEAD, BAD_KINDS, bad_row),
@@ -392,7 +395,7 @@
         _print_row(["---"] * len(head))
         for kind in kinds:
             for policy in policies:
-                _print_row(row(policy, kind, found[policy, kind]))
+                _print_row(row(policy, kind, results_by_case[policy, kind]))
         print()
 
 
@@ -400,9 +403,9 @@
     print("| " + " | ".join(map(str, cells)) + " |")
 
 
-def print_reasons(found):
-    """Print the wrong verdicts, one line each."""
-    for (policy, kind), results in found.items():
+def print_reasons(results_by_case):
+    """Print the wrong results of the product's policy, one per line."""
+    for (policy, kind), results in results_by_case.items():
         if policy != "hemlockhoist":
             continue
         for item in results:
--- a/libs/standins/src/hemlockhoist/standins/operator_client.py
+++ b/libs/standins/src/hemlockhoist/standins/operator_client.py
@@ -1,4 +1,4 @@
-"""An operator's commands, by the hosts' HTTP surface."""
+"""Client for the operator requests of the hosts' HTTP API."""
 
 import uuid
 
@@ -6,18 +6,18 @@
 
 
 class OperatorRequestFailed(Exception):
-    """A host refused an operator's command."""
+    """A host refused an operator's request."""
 
 
 class OperatorClient:
-    """Applies declarations, moves versions and reads what is in force.
+    """Applies declarations, starts version moves and reads host status.
 
     Parameters
     ==========
     session : aiohttp.ClientSession
     key : str
     addresses : callable
-        Returns the hosts' addresses; the first that answers is used.
+        Returns the hosts' addresses; requests go to the first one.
     """
 
     __slots__ = ("_addresses", "_headers", "_session")
@@ -29,11 +29,11 @@
 
     @classmethod
     def from_config(cls, session, key, addresses):
-        """Return a client; the session stays its owner's."""
+        """Return a client; the caller remains responsible for closing the session."""
         return cls(session, key, addresses)
 
     async def apply(self, declarations, read_version, author):
-        """Apply declarations on the version read; return the version made.
+        """Apply declarations based on ``read_version``; return the new version.
 
         Parameters
         ==========
@@ -60,13 +60,13 @@
         Parameters
         ==========
         order : dict
-            As ``POST /-/moves`` takes it, without the move's id.
+            Body of ``POST /-/moves`` without the move's id.
         """
         body = {"move_id": uuid.uuid4().hex, **order}
         return await self._call("POST", "/-/moves", body)
 
     async def moves(self):
-        """Return the latest move of each pool."""
+        """Return the most recent move of each pool."""
         return (await self._call("GET", "/-/moves"))["moves"]
 
     async def _call(self, method, path, body=None):
--- a/libs/standins/src/hemlockhoist/standins/prefix_cache.py
+++ b/libs/standins/src/hemlockhoist/standins/prefix_cache.py
@@ -1,10 +1,10 @@
-"""A bounded cache of prompt prefixes, by block hash: no input or output."""
+"""A bounded cache of prompt prefixes, keyed by block hash; it performs no I/O."""
 
 import collections
 
 
 class PrefixCache:
-    """Remembers block hashes; the least recently used block goes first.
+    """Caches block hashes; evicts the least recently used block first.
 
     Parameters
     ==========
@@ -21,12 +21,12 @@
         return len(self._blocks)
 
     def match(self, hashes):
-        """Return how many leading blocks are cached, and mark them as used.
+        """Return the number of leading blocks that are cached; mark them as used.
 
         Parameters
         ==========
         hashes : sequence of int
-            Chained hashes, shortest prefix first.
+            Chained block hashes, shortest prefix first.
         """
         count = 0
         for block in hashes:
@@ -37,7 +37,7 @@
         return count
 
     def store(self, hashes):
-        """Cache the blocks; return the hashes added and the hashes evicted."""
+        """Cache the blocks; return the hashes added and those evicted."""
         kept = hashes[: self._max_blocks]
         stored = tuple(block for block in kept if block not in self._blocks)
         for block in stored:
@@ -49,6 +49,6 @@
         return stored, tuple(removed)
 
     def _touch(self, hashes):
-        # Longest prefix first: a block is of no use once a shorter one is evicted.
+        # Longest prefix first, as a block is useless once a shorter one is evicted.
         for block in reversed(hashes):
             self._blocks.move_to_end(block)
--- a/libs/standins/src/hemlockhoist/standins/process_faults.py
+++ b/libs/standins/src/hemlockhoist/standins/process_faults.py
@@ -227,7 +227,7 @@
             return
         if response.status < 400 or ran != "not run":
             raise AssertionError(
-                f"invalid request to {path}: status {response.status}, {ran}"
+                f"{path}: invalid request got status {response.status}, {ran}"
             )
 
     async def _set_platform_faults(self, faults):
--- a/libs/standins/src/hemlockhoist/standins/serving.py
+++ b/libs/standins/src/hemlockhoist/standins/serving.py
@@ -1,4 +1,4 @@
-"""Run a stand-in's HTTP application as a process of its own."""
+"""Serves a stand-in's HTTP application, as a process or inside a test."""
 
 import asyncio
 import contextlib
@@ -7,19 +7,19 @@
 import uvloop
 from aiohttp import web
 
-# A stand-in that is told to stop ends its streams at once: nothing is drained here.
+# Stand-ins do not drain: open streams are closed as soon as they stop.
 _SHUTDOWN_TIMEOUT_S = 0.2
 
 
 class Server:
-    """An HTTP application on one TCP address.
+    """Serves an HTTP application on one TCP address.
 
     Parameters
     ==========
     app : aiohttp.web.Application
     ip : str
     port : int
-        0 lets the kernel choose.
+        0 for a port chosen by the kernel.
     """
 
     __slots__ = ("_app", "_reopen", "_runner", "_site", "ip", "port")
@@ -34,7 +34,7 @@
 
     @classmethod
     def from_config(cls, app, listen="127.0.0.1:0"):
-        """Return a server that is not listening yet.
+        """Return a server that has not been started.
 
         Parameters
         ==========
@@ -47,16 +47,16 @@
 
     @property
     def address(self):
-        """``IP:port``, once started."""
+        """``IP:port``; available once started."""
         return f"{self.ip}:{self.port}"
 
     @property
     def url(self):
-        """``http://IP:port``, once started."""
+        """``http://IP:port``; available once started."""
         return f"http://{self.address}"
 
     async def start(self):
-        """Listen, and learn the port that the kernel chose."""
+        """Start listening and store the port chosen by the kernel."""
         self._runner = web.AppRunner(
             self._app, access_log=None, shutdown_timeout=_SHUTDOWN_TIMEOUT_S
         )
@@ -65,7 +65,7 @@
         self.port = self._runner.addresses[0][1]
 
     async def close(self):
-        """Stop listening and end the connections."""
+        """Stop listening and close the connections."""
         if self._reopen is not None:
             self._reopen.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -73,7 +73,7 @@
         await self._runner.cleanup()
 
     async def refuse_connections_for(self, duration_ms):
-        """Refuse new connections for a while; end those that wait for a request.
+        """Refuse new connections for a time; close the idle ones.
 
         Parameters
         ==========
@@ -97,12 +97,12 @@
 
 @contextlib.asynccontextmanager
 async def serving(standin):
-    """Serve a stand-in inside this process, for the body of an ``async with``.
+    """Serve a stand-in in this process for the body of an ``async with``.
 
     Parameters
     ==========
     standin : object
-        With ``application()`` and a ``server`` attribute.
+        Has ``application()`` and a ``server`` attribute.
     """
     standin.server = Server.from_config(standin.application())
     await standin.server.start()
@@ -125,12 +125,12 @@
 
 
 def run(build, listen):
-    """Serve until SIGTERM or SIGINT, after a line ``listening address=IP:port``.
+    """Print ``listening address=IP:port`` and serve until SIGTERM or SIGINT.
 
     Parameters
     ==========
     build : callable
-        Takes the listening address and returns a ``Server``; called in the loop.
+        Takes the listen address and returns a ``Server``; called in the event loop.
     listen : str
         ``IP:port``.
     """
--- a/libs/standins/src/hemlockhoist/standins/version_baselines.py
+++ b/libs/standins/src/hemlockhoist/standins/version_baselines.py
@@ -1,20 +1,20 @@
-"""Simpler ways to move versions, kept to compare with."""
+"""Simple version policies, as baselines for comparison."""
 
 import random
 
 from hemlockhoist.decisions import OutcomeKind, VersionPolicy
 
-_SHARES = (0.01, 0.1, 0.25, 0.5, 1.0)
+_TRAFFIC_SHARES = (0.01, 0.1, 0.25, 0.5, 1.0)
 
 
 class FixedSteps(VersionPolicy):
-    """Widens by time alone, and never looks back.
+    """Increases the traffic share by time alone and never rolls back.
 
     Parameters
     ==========
     end_ms : int
     seed : int
-        Shares are drawn.
+        Seed of the random choice between the versions.
     """
 
     __slots__ = ("_end_ms", "_random", "rolled_back")
@@ -29,22 +29,22 @@
         return not self.rolled_back and self._share(now_ms) >= 1
 
     def candidates(self, request, versions, now_ms):
-        """Return the version that the draw falls on."""
+        """Return a version drawn according to the current traffic share."""
         is_new = not self.rolled_back and self._random.random() < self._share(now_ms)
         return ("v2",) if is_new else ("v1",)
 
     def _share(self, now_ms):
-        step = int(now_ms / self._end_ms * len(_SHARES) * 1.05)
-        return _SHARES[min(step, len(_SHARES) - 1)]
+        step = int(now_ms / self._end_ms * len(_TRAFFIC_SHARES) * 1.05)
+        return _TRAFFIC_SHARES[min(step, len(_TRAFFIC_SHARES) - 1)]
 
 
 class FixedThreshold(FixedSteps):
-    """Widens by time, and takes back above a fixed rate of failures.
+    """Increases the traffic share by time and rolls back above a fixed failure rate.
 
-    Looks at the latest 100 answers of the new version once there are 20.
+    The rate is that of the latest 100 answers of the new version, once there are 20.
     """
 
-    __slots__ = ("_latest",)
+    __slots__ = ("_recent_failures",)
 
     LIMIT = 0.05
     WINDOW = 100
@@ -52,14 +52,17 @@
 
     def __init__(self, end_ms, seed):
         super().__init__(end_ms, seed)
-        self._latest = []
+        self._recent_failures = []
 
     def on_outcome(self, request, version, outcome, now_ms, upstream_id=""):
-        """Count a failure of the new version."""
+        """Record an answer of the new version and roll back above the failure limit."""
         if version != "v2":
             return
-        self._latest.append(outcome.kind is not OutcomeKind.SUCCESS)
-        del self._latest[: -self.WINDOW]
-        count = len(self._latest)
-        if count >= self.MIN_ANSWERS and sum(self._latest) > self.LIMIT * count:
+        self._recent_failures.append(outcome.kind is not OutcomeKind.SUCCESS)
+        del self._recent_failures[: -self.WINDOW]
+        count = len(self._recent_failures)
+        if (
+            count >= self.MIN_ANSWERS
+            and sum(self._recent_failures) > self.LIMIT * count
+        ):
             self.rolled_back = True
--- a/libs/standins/src/hemlockhoist/standins/version_models.py
+++ b/libs/standins/src/hemlockhoist/standins/version_models.py
@@ -1,4 +1,4 @@
-"""Pure models of upstreams, versions and traffic, for the measurement of moves."""
+"""Simulated upstreams, versions and traffic for the measurement of version moves."""
 
 import enum
 import math
@@ -10,7 +10,7 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """A route, its part of the traffic, and the median of its answers."""
+    """A route with its traffic share and the median duration of its answers."""
 
     name: str
     idempotent: bool
@@ -19,10 +19,11 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """A pool at today's size.
+    """A pool of today's size.
 
-    ``first_token_fraction`` is 0 for plain services; ``latency_doubling_load`` is the number of requests
-    in flight per upstream that doubles its latency.
+    ``first_token_fraction`` is the part of an answer's duration before its first token,
+    and 0 for plain services. ``latency_doubling_load`` is the number of requests in
+    flight per upstream that doubles its latency.
     """
 
     name: str
@@ -36,7 +37,7 @@
 
     @property
     def pool(self):
-        """The pool's declaration."""
+        """The declaration of the pool."""
         is_model = self.first_token_fraction > 0
         calls = tuple(
             model.IdempotentCall(method=route.name.split()[0])
@@ -93,7 +94,7 @@
 
 
 class VersionKind(enum.Enum):
-    """What is wrong with a new version, if anything."""
+    """Defect of a new version, if any."""
 
     GOOD = "good"
     GOOD_THIN = "good, little traffic"
@@ -118,14 +119,14 @@
     VersionKind.GOOD_ONE_BAD_UPSTREAM,
 )
 BAD_KINDS = tuple(kind for kind in VersionKind if kind not in GOOD_KINDS)
-_THIN_KINDS = frozenset({VersionKind.GOOD_THIN, VersionKind.THIN})
-_THIN_FACTOR = 0.1
+_LOW_TRAFFIC_KINDS = frozenset({VersionKind.GOOD_THIN, VersionKind.THIN})
+_LOW_TRAFFIC_FACTOR = 0.1
 BASELINE_FAILURE_RATE = 0.004
 _HANG_MS = 30_000
 
 
 class VersionScenario:
-    """One seeded version on one deployment: traffic and answers.
+    """Simulates the traffic and the answers of a seeded version on one deployment.
 
     Parameters
     ==========
@@ -134,13 +135,13 @@
     """
 
     __slots__ = (
-        "_fail",
-        "_from_s",
-        "_load",
+        "_defect_load",
+        "_defect_route",
+        "_defect_start_s",
+        "_failure_rate",
+        "_outage_start_s",
         "_random",
-        "_route",
-        "_slow",
-        "_trouble_s",
+        "_slowdown",
         "deployment",
         "kind",
         "rate_per_s",
@@ -152,17 +153,17 @@
         self.seed = seed
         self.deployment = DEPLOYMENTS[seed % len(DEPLOYMENTS)]
         self._random = random.Random(f"{kind.name}:{seed}")
-        thin = _THIN_FACTOR if kind in _THIN_KINDS else 1.0
-        self.rate_per_s = self.deployment.rate_per_s * thin
-        self._fail = BASELINE_FAILURE_RATE
-        self._slow = 1.0
-        self._from_s = 0.0
-        self._load = 0.0
-        self._route = None
-        self._trouble_s = self.deployment.window_s * self._random.uniform(0.1, 0.7)
-        self._spoil()
-
-    def _spoil(self):
+        traffic_factor = _LOW_TRAFFIC_FACTOR if kind in _LOW_TRAFFIC_KINDS else 1.0
+        self.rate_per_s = self.deployment.rate_per_s * traffic_factor
+        self._failure_rate = BASELINE_FAILURE_RATE
+        self._slowdown = 1.0
+        self._defect_start_s = 0.0
+        self._defect_load = 0.0
+        self._defect_route = None
+        self._outage_start_s = self.deployment.window_s * self._random.uniform(0.1, 0.7)
+        self._draw_defect()
+
+    def _draw_defect(self):
         draw = self._random.uniform
         kind, window_s = self.kind, self.deployment.window_s
         if kind in (
@@ -170,27 +171,27 @@
             VersionKind.FAILS_LATER,
             VersionKind.THIN,
         ):
-            self._fail = draw(0.5, 1.0)
+            self._failure_rate = draw(0.5, 1.0)
         if kind in (VersionKind.SLOW_AT_ONCE, VersionKind.SLOW_LATER):
-            self._slow = draw(2.0, 4.0)
+            self._slowdown = draw(2.0, 4.0)
         if kind in (VersionKind.FAILS_LATER, VersionKind.SLOW_LATER):
-            self._from_s = window_s * draw(0.2, 0.9)
+            self._defect_start_s = window_s * draw(0.2, 0.9)
         if kind in (VersionKind.UNDER_LOAD, VersionKind.ONE_ROUTE):
-            self._spoil_somehow(draw)
+            self._draw_failure_or_slowness(draw)
         if kind is VersionKind.UNDER_LOAD:
-            self._load = self._full_load() * draw(0.8, 1.4)
+            self._defect_load = self._full_load() * draw(0.8, 1.4)
         if kind is VersionKind.ONE_ROUTE:
-            self._route = self._random.choice(self.deployment.routes).name
+            self._defect_route = self._random.choice(self.deployment.routes).name
         if kind is VersionKind.FAILS_5:
-            self._fail = 0.05
+            self._failure_rate = 0.05
         if kind is VersionKind.FAILS_20:
-            self._fail = 0.2
+            self._failure_rate = 0.2
 
-    def _spoil_somehow(self, draw):
+    def _draw_failure_or_slowness(self, draw):
         if self._random.random() < 0.5:
-            self._fail = draw(0.5, 1.0)
+            self._failure_rate = draw(0.5, 1.0)
         else:
-            self._slow = draw(2.0, 4.0)
+            self._slowdown = draw(2.0, 4.0)
 
     def _full_load(self):
         routes = self.deployment.routes
@@ -198,53 +199,59 @@
         return self.rate_per_s * mean_ms * 1.15 / 1000 / self.deployment.replicas
 
     def arrivals(self):
-        """Yield the time in milliseconds and the route of each request."""
+        """Yield the arrival time in milliseconds and the route of each request."""
         routes = self.deployment.routes
         weights = [route.weight for route in routes]
         window_s = self.deployment.window_s
         at_s = 0.0
         while True:
-            wave = 1 + 0.4 * math.sin(2 * math.pi * (at_s / window_s * 3))
-            burst = 2.0 if at_s % 120 < 6 else 1.0
-            at_s += self._random.expovariate(self.rate_per_s * wave * burst)
+            periodic_factor = 1 + 0.4 * math.sin(2 * math.pi * (at_s / window_s * 3))
+            burst_factor = 2.0 if at_s % 120 < 6 else 1.0
+            at_s += self._random.expovariate(
+                self.rate_per_s * periodic_factor * burst_factor
+            )
             if at_s >= window_s:
                 return
             yield int(at_s * 1000), self._random.choices(routes, weights)[0]
 
     def answer(self, version, upstream, route, in_flight, now_ms):
-        """Return failure, first token and total in ms, and whether it was bad."""
-        is_spoilt = version == "v2" and self._is_spoilt(route, in_flight, now_ms)
-        if is_spoilt and self.kind is VersionKind.HANGS:
+        """Return failure, first-token and total ms, and whether the defect showed."""
+        is_defect_active = version == "v2" and self._is_defect_active(
+            route, in_flight, now_ms
+        )
+        if is_defect_active and self.kind is VersionKind.HANGS:
             return True, -1, _HANG_MS, True
-        fail = self._fail if is_spoilt else BASELINE_FAILURE_RATE
-        slow = self._slow if is_spoilt else 1.0
+        failure_rate = self._failure_rate if is_defect_active else BASELINE_FAILURE_RATE
+        slowdown = self._slowdown if is_defect_active else 1.0
         if self.kind is VersionKind.GOOD_ONE_BAD_UPSTREAM:
-            fail = 0.8 if (version, upstream) == ("v2", 0) else BASELINE_FAILURE_RATE
+            failure_rate = (
+                0.8 if (version, upstream) == ("v2", 0) else BASELINE_FAILURE_RATE
+            )
         if self.kind is VersionKind.GOOD_COMMON_TROUBLE:
-            fail, slow = self._trouble(fail, slow, now_ms)
+            failure_rate, slowdown = self._apply_outage(failure_rate, slowdown, now_ms)
         deployment = self.deployment
-        slow *= 1 + in_flight / deployment.latency_doubling_load
+        slowdown *= 1 + in_flight / deployment.latency_doubling_load
         draw = self._random.lognormvariate
-        total_ms = route.median_ms * slow * draw(0, deployment.sigma)
-        is_failed = self._random.random() < fail
+        total_ms = route.median_ms * slowdown * draw(0, deployment.sigma)
+        is_failed = self._random.random() < failure_rate
         if is_failed:
             total_ms *= 0.3
         first_ms = -1
         if deployment.first_token_fraction and not is_failed:
             first_ms = int(total_ms * deployment.first_token_fraction)
-        was_bad = is_spoilt and (is_failed or self._slow > 1)
+        was_bad = is_defect_active and (is_failed or self._slowdown > 1)
         return is_failed, first_ms, max(1, int(total_ms)), was_bad
 
-    def _is_spoilt(self, route, in_flight, now_ms):
-        if self.kind in GOOD_KINDS or now_ms < self._from_s * 1000:
+    def _is_defect_active(self, route, in_flight, now_ms):
+        if self.kind in GOOD_KINDS or now_ms < self._defect_start_s * 1000:
             return False
-        if self._route is not None and route.name != self._route:
+        if self._defect_route is not None and route.name != self._defect_route:
             return False
-        return in_flight >= self._load
+        return in_flight >= self._defect_load
 
-    def _trouble(self, fail, slow, now_ms):
-        """A dependency of both versions is slow and fails for a minute."""
-        since_s = now_ms / 1000 - self._trouble_s
+    def _apply_outage(self, failure_rate, slowdown, now_ms):
+        """Apply a one-minute outage of a dependency that both versions share."""
+        since_s = now_ms / 1000 - self._outage_start_s
         if 0 <= since_s < 60:
             return 0.3, 3.0
-        return fail, slow
+        return failure_rate, slowdown
