--- a/libs/standins/src/hemlockhoist/standins/delayed_value.py
+++ b/libs/standins/src/hemlockhoist/standins/delayed_value.py
@@ -29,12 +29,12 @@
 
     def get(self, now_ms):
         """Return the value as it was ``lag_ms`` ago."""
-        seen = self._history[0]
+        visible = self._history[0]
         for entry in self._history:
             if not self._visible(entry, now_ms):
                 break
-            seen = entry
-        return seen[1]
+            visible = entry
+        return visible[1]
 
     def latest(self):
         """Return the value set last."""
--- a/libs/standins/src/hemlockhoist/standins/process_faults.py
+++ b/libs/standins/src/hemlockhoist/standins/process_faults.py
@@ -188,11 +188,11 @@
         await self._set_upstream_faults(pool, {"refuse_ms": 2_000})
 
     async def drop_calls_after_running(self):
-        """Let a service lose its answers after running."""
+        """Make a service drop the connection of calls after running them."""
         await self._set_upstream_faults(SERVICE, {"drop_after": 2})
 
     async def drop_calls_before_running(self):
-        """Make a service drop the connection of calls without running them."""
+        """Make a service drop the connection of calls before running them."""
         await self._set_upstream_faults(SERVICE, {"drop_before": 2})
 
     async def fail_calls(self):
--- a/libs/standins/src/hemlockhoist/standins/soak.py
+++ b/libs/standins/src/hemlockhoist/standins/soak.py
@@ -12,7 +12,8 @@
 from hemlockhoist.standins.randomised import run_seed
 from hemlockhoist.standins.randomised.queue_machine import QUEUE_COVERED, QueueMachine
 
-# A single batch may generate no request that is repeated after its answer.
+# A single batch may generate no request that is repeated after its answer, and so
+# leave a property unchecked.
 MIN_BATCHES = 3
 
 
--- a/libs/standins/src/hemlockhoist/standins/tests/test_binary.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_binary.py
@@ -20,17 +20,17 @@
 }
 
 
-def tree_of_processes(pid):
-    """Return the ids of a process and of all that it started."""
+def process_tree(pid):
+    """Return the ids of a process and of all its descendants."""
     found = [pid]
     for task in os.listdir(f"/proc/{pid}/task"):
         children = pathlib.Path(f"/proc/{pid}/task/{task}/children").read_text()
         for child in children.split():
-            found += tree_of_processes(int(child))
+            found += process_tree(int(child))
     return found
 
 
-def open_files(pid):
+def open_file_names(pid):
     names = []
     for entry in os.scandir(f"/proc/{pid}/fd"):
         # A socket may be closed between the two calls.
@@ -48,7 +48,7 @@
             check=True,
             capture_output=True,
         )
-        # A copy: another run may build anew meanwhile.
+        # Tests use a copy, as another run may rebuild the binary meanwhile.
         cls.folder = tempfile.mkdtemp()
         cls.binary = shutil.copy2(WORKSPACE / "build" / "hemlockhoist", cls.folder)
         cls.root = tempfile.mkdtemp(dir=MEMORY_FOLDER)
@@ -59,9 +59,9 @@
         shutil.rmtree(cls.root)
 
     def environment(self, **variables):
-        """Return an environment in which every place to write is looked at."""
-        places = {"HOME": self.folder, "TMPDIR": self.folder}
-        return {**places, "HEMLOCKHOIST_ROOT": self.root, **KEYS, **variables}
+        """Return an environment whose writable folders are all checked by the tests."""
+        folders = {"HOME": self.folder, "TMPDIR": self.folder}
+        return {**folders, "HEMLOCKHOIST_ROOT": self.root, **KEYS, **variables}
 
     def run_binary(self, *words, **variables):
         return subprocess.run(
@@ -74,20 +74,20 @@
             check=False,
         )
 
-    def test_a_command_runs_and_writes_to_the_root_only(self):
-        """The command works without the workspace; nothing is left elsewhere."""
+    def test_command_writes_only_below_its_root(self):
+        """The command runs without the workspace and leaves no files elsewhere."""
         result = self.run_binary("codes", "205")
         self.assertEqual(result.returncode, 0, result.stderr)
         self.assertIn("deadline_passed", result.stdout)
         self.assertEqual(os.listdir(self.folder), ["hemlockhoist"])
         self.assertTrue(os.listdir(self.root))
 
-    def test_a_root_on_a_disk_is_refused(self):
+    def test_root_on_disk_is_refused(self):
         """
-        The variable names a folder on a disk, which hosts do not have, or the
-        archive tool's own variable names one. Unpacked there, the program would
-        fail at a late import once the disk is gone. It ends at once, says what to
-        set, and has written nothing.
+        Guards against unpacking to a disk, which hosts do not have: a late import
+        would fail once the disk is gone. If HEMLOCKHOIST_ROOT names a folder on a disk,
+        whatever SHIV_ROOT of the archive tool names, the program exits at once, names
+        the variable to set and writes nothing.
         """
         disk = os.path.join(self.folder, "disk")
         for variables in (
@@ -99,13 +99,13 @@
             self.assertIn("Set HEMLOCKHOIST_ROOT", result.stderr)
             self.assertFalse(os.path.exists(disk))
 
-    def test_the_archive_tools_variables_have_no_effect(self):
-        """A variable that would start another module is taken out."""
+    def test_shiv_variables_have_no_effect(self):
+        """Variables of the archive tool shiv, such as its entry point, are ignored."""
         result = self.run_binary("codes", "205", SHIV_ENTRY_POINT="this")
         self.assertIn("deadline_passed", result.stdout)
 
-    async def test_a_host_is_one_process_without_io_uring(self):
-        """A running host has no child, no io_uring, and stops gracefully."""
+    async def test_host_is_one_process_without_io_uring(self):
+        """A running host has no child process and no io_uring, and stops gracefully."""
         group = ProcessGroup.from_config()
         self.addAsyncCleanup(group.close)
         platform = await group.start("platform", "hemlockhoist.standins.platform")
@@ -124,15 +124,15 @@
         try:
             line = host.stdout.readline()
             self.assertTrue(line.startswith("listening address="), line)
-            self.assertEqual(tree_of_processes(host.pid), [host.pid])
-            files = open_files(host.pid)
+            self.assertEqual(process_tree(host.pid), [host.pid])
+            files = open_file_names(host.pid)
             self.assertFalse([name for name in files if "io_uring" in name])
             address = line.split()[1].removeprefix("address=")
             status = self.run_binary("status", "--host", address)
             self.assertEqual(status.returncode, 0, status.stderr)
             self.assertIn("peer_key: ***", status.stdout)
             self.assertNotIn(KEYS["HEMLOCKHOIST_PEER_KEY"], status.stdout)
-            self.assertEqual(tree_of_processes(host.pid), [host.pid])
+            self.assertEqual(process_tree(host.pid), [host.pid])
             host.send_signal(signal.SIGTERM)
             self.assertEqual(host.wait(30), 0)
         finally:
--- a/libs/standins/src/hemlockhoist/standins/tests/test_consistency.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_consistency.py
@@ -18,9 +18,9 @@
     return [finding.problem for finding in found]
 
 
-class VerdictTests(unittest.TestCase):
-    def test_nothing_wrong(self):
-        """Whole answers, true refusals and one run for each booking: no finding."""
+class ConsistencyTests(unittest.TestCase):
+    def test_consistent_records_give_no_finding(self):
+        """Whole answers, true refusals and one run per booking give no finding."""
         records = [
             _record(Seen.WHOLE, key="a"),
             _record(Seen.REFUSED, key="b"),
@@ -29,25 +29,25 @@
         ]
         self.assertEqual(_problems(records, {"a": 1, "r": 1, "c": 1}, [2_999]), [])
 
-    def test_doubled(self):
-        """A key that ran at two upstreams, or twice at one, is found."""
+    def test_request_run_twice_is_found(self):
+        """A key that ran at two upstreams or twice at one is found."""
         self.assertEqual(_problems([], {"a": 2}), ["run twice"])
 
-    def test_confirmed_without_a_run(self):
-        """A booking that its caller was told of and no service ran is lost."""
+    def test_confirmed_booking_without_a_run_is_found(self):
+        """A booking that was confirmed to its caller but never ran is found."""
         records = [_record(Seen.WHOLE, key="a")]
         self.assertEqual(_problems(records), ["confirmed, and run 0 times"])
 
-    def test_untrue_refusal(self):
-        """A refusal that says "not run" of something that ran is found."""
+    def test_refusal_of_a_request_that_ran_is_found(self):
+        """A refusal reported as "not run" is found if the request ran."""
         refusal = Refusal(503, 200, "not run", "r", 1_000, "")
         chat = _record(Seen.WHOLE, Kind.CHAT, refusals=[refusal])
         booking = _record(Seen.REFUSED, key="a")
         found = _problems([chat, booking], {"r": 1, "a": 1})
         self.assertEqual(found, ["refused as not run, and ran"] * 2)
 
-    def test_bad_ends(self):
-        """Cut, wrong, failed and lost requests are found; so is work too late."""
+    def test_bad_outcomes_and_late_work_are_found(self):
+        """Cut, wrong and lost requests and work after leaving are found."""
         records = [
             _record(Seen.CUT, Kind.CHAT),
             _record(Seen.WRONG, Kind.LOOKUP),
--- a/libs/standins/src/hemlockhoist/standins/tests/test_whole_path.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_end_to_end.py
@@ -13,8 +13,8 @@
 _SERVICE = "reservations"
 
 
-class _Path:
-    """One host, one engine and one service, as processes, and a caller."""
+class _SingleHostFleet:
+    """Runs one host, one engine and one service as processes, and a caller."""
 
     def __init__(self):
         self.config = FleetConfig(hosts=1, hosts_lag_ms=0)
@@ -47,21 +47,21 @@
         await self.fleet.close()
 
 
-class WholePathTests(unittest.TestCase):
-    """The processes serve all tests: a start takes longer than a test."""
+class EndToEndTests(unittest.TestCase):
+    """Shares the processes among all tests, as their start takes longer than a test."""
 
     @classmethod
     def setUpClass(cls):
         cls.runner = asyncio.Runner()
         cls.addClassCleanup(cls.runner.close)
-        cls.path = _Path()
-        cls.addClassCleanup(lambda: cls.runner.run(cls.path.close()))
-        cls.runner.run(cls.path.start())
-        (cls.engine,) = cls.path.fleet.upstreams(_MODEL)
-        (cls.service,) = cls.path.fleet.upstreams(_SERVICE)
-        cls.fleet, cls.caller = cls.path.fleet, cls.path.caller
-
-    async def _assert_whole(self, stream=True):
+        cls.processes = _SingleHostFleet()
+        cls.addClassCleanup(lambda: cls.runner.run(cls.processes.close()))
+        cls.runner.run(cls.processes.start())
+        (cls.engine,) = cls.processes.fleet.upstreams(_MODEL)
+        (cls.service,) = cls.processes.fleet.upstreams(_SERVICE)
+        cls.fleet, cls.caller = cls.processes.fleet, cls.processes.caller
+
+    async def _assert_complete_answer(self, stream=True):
         record = await self.caller.chat(_MODEL, "second", 8, stream)
         self.assertIs(record.seen, Seen.WHOLE, record)
         self.assertEqual((record.attempts, record.resends), (1, 0))
@@ -69,30 +69,30 @@
         found = check_consistency([record], RunCounts(reports), 3_000, False)
         self.assertEqual(found, [])
 
-    def test_crossed_answers(self):
+    def test_answers_of_another_request_are_detected(self):
         """
-        An engine crosses two answers: the whole of one, or from some piece on. The
-        caller would read another request's answer. The host sees it by the ids on
-        head and pieces, and fetches the right pieces from the engine.
+        Guards against passing on another request's answer when an engine confuses two
+        answers, entirely or from some piece on. The host detects it by the ids in the
+        head and the pieces, and fetches the right pieces from the engine.
         """
-        self.runner.run(self._crossed_answers())
+        self.runner.run(self._answers_of_another_request())
 
-    async def _crossed_answers(self):
+    async def _answers_of_another_request(self):
         for at_piece in (0, 3):
             for stream in (True, False):
                 faults = {"cross_streams": 1, "cross_at_piece": at_piece}
                 await self.fleet.set_faults(self.engine, faults)
-                await self._assert_whole(stream)
+                await self._assert_complete_answer(stream)
 
-    def test_broken_streams(self):
+    def test_broken_streams_are_resumed(self):
         """
-        The connection to an engine breaks in the middle of an answer, before its
-        first piece, or again and again; at the resume the engine repeats a piece or
-        skips one. The caller sees one whole answer, and the engine one run.
+        Guards against cut or repeated output when the connection to an engine breaks
+        during an answer, before its first piece, or repeatedly, and the resumed stream
+        repeats or skips a piece. The caller gets one whole answer of one run.
         """
-        self.runner.run(self._broken_streams())
+        self.runner.run(self._resume_broken_streams())
 
-    async def _broken_streams(self):
+    async def _resume_broken_streams(self):
         for pieces, times, shift in (3, 1, 0), (0, 1, 0), (2, 3, -1), (3, 1, 2):
             faults = {
                 "break_streams": times,
@@ -101,17 +101,17 @@
                 "resume_shift": shift,
             }
             await self.fleet.set_faults(self.engine, faults)
-            await self._assert_whole()
+            await self._assert_complete_answer()
 
-    def test_booking_whose_answer_is_lost(self):
+    def test_lost_booking_answer_is_unknown_and_not_run_again(self):
         """
-        A service books a hall and its connection breaks before the answer. Nobody
-        can tell the caller that it ran; a second try under the same key must not
-        book again, and says the same.
+        Guards against a second booking when a service runs the first and its connection
+        breaks before the answer. The outcome is unknown; a retry with the same key must
+        not run the booking again, and reports the same.
         """
-        self.runner.run(self._booking_whose_answer_is_lost())
+        self.runner.run(self._lose_booking_answer())
 
-    async def _booking_whose_answer_is_lost(self):
+    async def _lose_booking_answer(self):
         await self.fleet.set_faults(self.service, {"drop_after": 1})
         record = await self.caller.book(_SERVICE, "/bookings", b"hall 3")
         self.assertIs(record.seen, Seen.UNKNOWN)
@@ -125,14 +125,14 @@
         runs = await self.fleet.run_counts(self.service)
         self.assertEqual(runs["runs"][record.key], 1)
 
-    def test_refusal_of_connections(self):
+    def test_refused_connection_is_reported_as_not_run(self):
         """
-        An upstream takes no connection for a while. Nothing was sent, so that the
-        refusal "not run" is true, the caller comes back, and the call runs once.
+        While an upstream refuses connections, nothing is sent, so the refusal "not run"
+        is true. The caller retries and the call runs once.
         """
-        self.runner.run(self._refusal_of_connections())
+        self.runner.run(self._refuse_connections())
 
-    async def _refusal_of_connections(self):
+    async def _refuse_connections(self):
         await self.fleet.set_faults(self.service, {"refuse_ms": 500})
         record = await self.caller.book(_SERVICE, "/bookings", b"hall 3")
         self.assertIs(record.seen, Seen.WHOLE)
--- a/libs/standins/src/hemlockhoist/standins/tests/test_host_process.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_host_process.py
@@ -35,7 +35,7 @@
 
 
 class HostCase(unittest.IsolatedAsyncioTestCase):
-    """One host and stand-ins of all it talks to, in this process."""
+    """Runs one host and the stand-ins of its peers in this process."""
 
     async def asyncSetUp(self):
         os.environ["HEMLOCKHOIST_TEST"] = "1"
@@ -110,7 +110,7 @@
         }
 
     async def _call(self, method, path, headers=None, body=None):
-        """Return status, result code, what it says ran, and the body."""
+        """Return status, result code, the X-Request-Ran header and the body."""
         data = json.dumps(body) if isinstance(body, dict) else body
         url = f"http://{self.host.context.identity.address}{path}"
         async with self.session.request(
@@ -124,15 +124,15 @@
     def _runs(self):
         return list(self.service.runs.begun.values())
 
-    async def _key(self, own_part):
+    async def _key_headers(self, caller_part):
         _, _, _, text = await self._call("GET", "/v1/hosts", _CALLER)
         prefix = json.loads(text)["key_prefix"]
-        return {**_CALLER, "Idempotency-Key": f"{prefix}.{own_part}"}
+        return {**_CALLER, "Idempotency-Key": f"{prefix}.{caller_part}"}
 
 
 class TraceTests(HostCase):
-    async def test_one_span_for_each_hop_under_the_callers_trace(self):
-        """Caller, grant, home and upstream spans share the caller's trace id."""
+    async def test_one_span_per_hop_in_the_callers_trace(self):
+        """Caller, grant, home and upstream spans have the caller's trace id."""
         headers = {**_CALLER, "traceparent": _TRACEPARENT}
         status, *_ = await self._call("POST", _CHAT, headers, _QUESTION)
         self.assertEqual(status, 200)
@@ -152,8 +152,8 @@
         self.assertEqual((found, ran), (int(code), "not run"), text)
         self.assertGreaterEqual(status, 400)
 
-    async def test_each_bad_request_has_its_number_and_runs_nothing(self):
-        """Malformed, unknown, oversized and unauthorised requests are told apart."""
+    async def test_each_bad_request_has_its_result_code_and_is_not_run(self):
+        """Malformed, unknown, oversized or unauthorised requests get distinct codes."""
         c = ResultCode
         chats = (
             (c.UNKNOWN_KEY, {}, _QUESTION),
@@ -183,8 +183,8 @@
                 await self._assert_refused(*case, body=b"")
         self.assertEqual(sum(self._runs()), 0)
 
-    async def test_a_wrong_key_learns_nothing(self):
-        """A missing and a wrong key get the same answer, whatever they ask for."""
+    async def test_wrong_key_gets_the_same_answer_for_any_model(self):
+        """A missing and a wrong key get the same answer, whatever the model."""
         answers = set()
         for headers in ({}, {"Authorization": "Bearer x"}):
             for model in ("assistant", "none"):
@@ -194,8 +194,8 @@
                 answers.add((status, code, message))
         self.assertEqual(len(answers), 1)
 
-    async def test_a_body_that_trickles_is_refused_in_time(self):
-        """A caller that sends its body too slowly loses its connection, not a host."""
+    async def test_slow_body_is_refused_in_time(self):
+        """A request whose body arrives too slowly is refused at the body time-out."""
 
         async def trickle():
             yield b'{"model": '
@@ -205,8 +205,8 @@
             ResultCode.BODY_TOO_SLOW, "POST", _CHAT, _CALLER, trickle()
         )
 
-    async def test_an_unknown_stream_can_not_be_resumed(self):
-        """A made-up token, and another customer's, are refused alike."""
+    async def test_unknown_stream_can_not_be_resumed(self):
+        """A forged token, an altered one and another customer's are refused alike."""
         url = f"http://{self.host.context.identity.address}{_CHAT}"
         body = json.dumps({**_QUESTION, "stream": True})
         async with self.session.post(url, headers=_CALLER, data=body) as response:
@@ -222,9 +222,9 @@
 
 
 class BookingTests(HostCase):
-    async def test_a_repeat_gets_the_answer_and_another_body_does_not(self):
-        """One key runs once; with another body it is refused."""
-        headers = await self._key("b1")
+    async def test_repeated_key_returns_the_answer_only_for_the_same_body(self):
+        """A key runs once; the same key with another body is refused."""
+        headers = await self._key_headers("b1")
         first = await self._call("POST", _BOOKINGS, headers, {"hall": 7})
         again = await self._call("POST", _BOOKINGS, headers, {"hall": 7})
         self.assertEqual(first, again)
@@ -232,9 +232,9 @@
         self.assertEqual(code, ResultCode.KEY_REUSED)
         self.assertEqual(self._runs(), [1])
 
-    async def test_two_at_once_run_once(self):
-        """A client sends a booking twice in the same moment; one of them runs."""
-        headers = await self._key("b2")
+    async def test_concurrent_duplicates_run_once(self):
+        """Of several identical bookings sent concurrently only one runs."""
+        headers = await self._key_headers("b2")
         answers = await asyncio.gather(
             *(self._call("POST", _BOOKINGS, headers, {"hall": 7}) for _ in range(5))
         )
@@ -242,13 +242,13 @@
         codes = {code for _, code, _, _ in answers}
         self.assertLessEqual(codes, {ResultCode.OK, ResultCode.IN_PROGRESS})
 
-    async def test_a_caller_that_hangs_up_in_the_middle_of_a_booking(self):
+    async def test_caller_disconnects_during_a_booking(self):
         """
-        A secretary closes the window while her booking runs. It runs to its end, and
-        her next try with the same key gets its answer instead of a second booking.
+        Guards against a second booking after the caller disconnects during the first.
+        The first runs to its end, and a retry with the same key returns its answer.
         """
         self.service.faults.slow_ms = 400
-        headers = await self._key("b3")
+        headers = await self._key_headers("b3")
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await self._call("POST", _BOOKINGS, headers, {"hall": 7})
@@ -259,10 +259,11 @@
 
 
 class DrainTests(HostCase):
-    async def test_fault_while_handing_the_ledger_over_does_not_stop_the_drain(self):
+    async def test_error_in_the_ledger_handover_does_not_stop_the_drain(self):
         """
-        A host is told to leave, and handing its ledger over meets a fault. It had
-        said that it leaves, took no new pools, and stayed until it was killed.
+        Guards against a drain that never ends because the ledger handover raised an
+        error. The host had announced that it leaves, accepted no new pools, and kept
+        running until it was killed.
         """
 
         async def fail(service, successor):
@@ -277,9 +278,9 @@
 
 
 class ReadinessTests(HostCase):
-    async def test_host_without_declarations_refuses_callers(self):
-        """A host that starts while the table service is out is not ready."""
-        settings = self._settings().replaced(platform_address=_nowhere())
+    async def test_host_without_declarations_is_not_ready(self):
+        """A host that starts during an outage of the table service is not ready."""
+        settings = self._settings().replaced(platform_address=_closed_address())
         host = HostProcess(settings)
         await host.start()
         self.addAsyncCleanup(host.close)
@@ -290,7 +291,7 @@
         self.assertEqual(int(code), ResultCode.NOT_READY)
 
 
-def _nowhere():
+def _closed_address():
     endpoint = Settings.from_values(
         {
             "platform_address": "127.0.0.1:1",
--- a/libs/standins/src/hemlockhoist/standins/tests/test_launcher.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_launcher.py
@@ -29,8 +29,8 @@
         await self.group.close()
         self.folder.cleanup()
 
-    async def test_standins_as_processes(self):
-        """Each stand-in tells its address, answers there, and stops by SIGTERM."""
+    async def test_standins_run_as_processes(self):
+        """Each stand-in reports its address, answers there and stops on SIGTERM."""
         for name, path in (
             ("platform", "/hosts"),
             ("engine", "/load"),
@@ -45,15 +45,15 @@
             self.assertFalse([x for x in _open_files(process.pid) if "io_uring" in x])
             self.assertEqual(await process.stop(), 0)
 
-    async def test_kill(self):
-        """A killed process ends by the signal, and is not running any more."""
+    async def test_killed_process_ends_by_the_signal(self):
+        """A killed process has ended by the signal and is no longer running."""
         process = await self.group.start("service", _STANDINS + "service")
         await process.kill()
         self.assertFalse(process.running)
         self.assertEqual(await process.wait(1), -signal.SIGKILL)
 
-    async def test_process_that_does_not_start(self):
-        """The error of a process that ends at once shows what it wrote."""
+    async def test_process_that_fails_at_start(self):
+        """The error of a process that exits at start contains its standard error."""
         with self.assertRaises(StartFailed) as caught:
             await self.group.start("bad", _STANDINS + "service", "--no-such-option")
         self.assertIn("No such option", str(caught.exception))
--- a/libs/standins/src/hemlockhoist/standins/tests/test_operator_commands.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_operator_commands.py
@@ -22,10 +22,10 @@
     "HEMLOCKHOIST_HOST_LIST_POLL_MS": "200",
     "HEMLOCKHOIST_ADDRESS_TTL_MS": "1000",
 }
-COMMAND_LIMIT_S = 60
+COMMAND_TIMEOUT_S = 60
 
 
-class Answer:
+class CommandResult:
     def __init__(self, exit_code, stdout, stderr):
         self.exit_code = exit_code
         self.stdout = stdout.decode()
@@ -35,8 +35,8 @@
         return f"{self.exit_code}\n{self.stdout}\n{self.stderr}"
 
 
-class Statsd(asyncio.DatagramProtocol):
-    """Keeps the lines of all packets."""
+class StatsdReceiver(asyncio.DatagramProtocol):
+    """Receives StatsD packets and stores their lines."""
 
     def __init__(self):
         self.address = ""
@@ -47,7 +47,7 @@
 
 
 class OperatorCommandTests(unittest.IsolatedAsyncioTestCase):
-    """The command against host processes and the platform's stand-in."""
+    """Runs the command against host processes and the platform's stand-in."""
 
     async def asyncSetUp(self):
         self.group = ProcessGroup.from_config()
@@ -72,23 +72,23 @@
             for number in range(HOSTS)
         )
         self.hosts = await asyncio.gather(*starts)
-        self.addAsyncCleanup(self.end, *self.hosts)
-        await self.list_hosts()
+        self.addAsyncCleanup(self.kill_hosts, *self.hosts)
+        await self.publish_hosts()
 
     async def start_statsd(self):
         loop = asyncio.get_running_loop()
         transport, metrics = await loop.create_datagram_endpoint(
-            Statsd, local_addr=("127.0.0.1", 0)
+            StatsdReceiver, local_addr=("127.0.0.1", 0)
         )
         self.addCleanup(transport.close)
         metrics.address = "{}:{}".format(*transport.get_extra_info("sockname"))
         return metrics
 
-    async def end(self, *hosts):
-        # A graceful stop is looked at by one test; the others need not wait for it.
+    async def kill_hosts(self, *hosts):
+        # One test checks the graceful stop; the others need not wait for it.
         await asyncio.gather(*(host.kill() for host in hosts))
 
-    async def list_hosts(self):
+    async def publish_hosts(self):
         members = [
             {
                 "id": host.name,
@@ -99,23 +99,23 @@
             for host in self.hosts
         ]
         url = self.platform.url + "/-/hosts"
-        async with self.session.put(url, json={"members": members}) as answer:
-            answer.raise_for_status()
-        # Commands may come while hosts still look for one another; what these tests
-        # look at begins when they have found each other.
-        async with asyncio.timeout(COMMAND_LIMIT_S):
+        async with self.session.put(url, json={"members": members}) as response:
+            response.raise_for_status()
+        # Commands are accepted while the hosts still discover each other. The tests
+        # start once every host is known.
+        async with asyncio.timeout(COMMAND_TIMEOUT_S):
             while True:
-                status = json.loads((await self.ask("status", "--json")).stdout)
+                status = json.loads((await self.run_command("status", "--json")).stdout)
                 if len(status["hosts"]) == HOSTS:
                     return
                 await asyncio.sleep(0.1)
 
     async def set_faults(self, **faults):
         url = self.platform.url + "/-/faults"
-        async with self.session.post(url, json=faults) as answer:
-            answer.raise_for_status()
+        async with self.session.post(url, json=faults) as response:
+            response.raise_for_status()
 
-    async def ask(self, *words):
+    async def run_command(self, *words):
         environment = {
             **os.environ,
             "HEMLOCKHOIST_OPERATOR_KEY": SETTINGS["HEMLOCKHOIST_OPERATOR_KEY"],
@@ -128,15 +128,15 @@
             stderr=asyncio.subprocess.PIPE,
             env=environment,
         )
-        async with asyncio.timeout(COMMAND_LIMIT_S):
+        async with asyncio.timeout(COMMAND_TIMEOUT_S):
             stdout, stderr = await process.communicate()
-        return Answer(process.returncode, stdout, stderr)
+        return CommandResult(process.returncode, stdout, stderr)
 
-    def lines_of(self, name):
+    def metric_lines(self, name):
         prefix = f"hemlockhoist.{name}"
         return [line for line in self.metrics.lines if line.startswith(prefix)]
 
-    def edited(self, old, new):
+    def edited_example(self, old, new):
         text = EXAMPLE.read_text()
         self.assertIn(old, text)
         folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -144,100 +144,110 @@
         file.write_text(text.replace(old, new, 1))
         return file
 
-    async def test_a_change_comes_into_force_on_every_host(self):
-        """Apply names every host; a second author gets a conflict by name."""
-        answer = await self.ask("declare", "apply", EXAMPLE, "--json")
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
-        report = json.loads(answer.stdout)
+    async def test_change_comes_into_force_on_every_host(self):
+        """Apply lists every host; a conflict names the author of the other change."""
+        result = await self.run_command("declare", "apply", EXAMPLE, "--json")
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
+        report = json.loads(result.stdout)
         self.assertEqual((report["version"], len(report["in_force_on"])), (1, HOSTS))
-        mine = self.edited("stable_version: v1", "stable_version: v2")
-        answer = await self.ask("declare", "apply", mine, "--author", "two")
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
-        late = self.edited("weight: 1", "weight: 2")
-        answer = await self.ask("declare", "apply", late, "--read-version", "1")
-        self.assertEqual(answer.exit_code, ExitCode.CONFLICT, answer)
-        self.assertIn("changed by two", answer.stderr)
-        history = json.loads((await self.ask("declare", "history", "--json")).stdout)
+        edited_file = self.edited_example("stable_version: v1", "stable_version: v2")
+        result = await self.run_command(
+            "declare", "apply", edited_file, "--author", "two"
+        )
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
+        late = self.edited_example("weight: 1", "weight: 2")
+        result = await self.run_command("declare", "apply", late, "--read-version", "1")
+        self.assertEqual(result.exit_code, ExitCode.CONFLICT, result)
+        self.assertIn("changed by two", result.stderr)
+        history = json.loads(
+            (await self.run_command("declare", "history", "--json")).stdout
+        )
         authors = [entry["author"] for entry in history["entries"]]
         self.assertEqual(authors, ["two", "one"])
 
-    async def test_an_evacuated_domain_is_in_force_and_shown(self):
-        """An operator empties a zone, and can not see whether it is in force."""
+    async def test_evacuated_domain_is_shown_by_status(self):
+        """Guards against an evacuation that an operator can not see to be in force."""
         reason = "Its power is replaced until Friday."
-        mine = self.edited(
+        edited_file = self.edited_example(
             "exceptions:\n",
             "exceptions:\n  - kind: failure_domain\n    name: coast-a\n"
             f"    field: evacuated\n    value: true\n    reason: {reason}\n",
         )
-        answer = await self.ask("declare", "apply", mine)
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
-        status = json.loads((await self.ask("status", "--json")).stdout)
+        result = await self.run_command("declare", "apply", edited_file)
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
+        status = json.loads((await self.run_command("status", "--json")).stdout)
         self.assertEqual(status["evacuated_domains"], {"coast-a": reason})
 
-    async def test_the_stores_answer_is_lost(self):
+    async def test_lost_store_answer_does_not_duplicate_the_change(self):
         """
-        The table service takes the write and its answer is lost. Applied again, the
-        change would be a second version or a conflict with itself. The command ends
-        well, with one version and one entry of history.
+        Guards against a change applied twice when the table service performs the write
+        but its answer is lost: a retry would make a second version or a conflict with
+        itself. The command succeeds, with one version and one history entry.
         """
         await self.set_faults(lose_answers=1)
-        answer = await self.ask("declare", "apply", EXAMPLE, "--json")
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
-        self.assertEqual(json.loads(answer.stdout)["version"], 1)
-        history = json.loads((await self.ask("declare", "history", "--json")).stdout)
+        result = await self.run_command("declare", "apply", EXAMPLE, "--json")
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
+        self.assertEqual(json.loads(result.stdout)["version"], 1)
+        history = json.loads(
+            (await self.run_command("declare", "history", "--json")).stdout
+        )
         self.assertEqual(len(history["entries"]), 1)
 
-    async def test_the_store_is_down(self):
+    async def test_store_outage_refuses_changes_and_still_shows_declarations(self):
         """
-        The table service is down. What is in force is still shown, and a change is
-        refused as not accepted; once the service is back, the same command works.
+        While the table service is down, the declarations in force are still shown and
+        a change is refused. Once the service is back, the same command succeeds.
         """
-        await self.ask("declare", "apply", EXAMPLE)
+        await self.run_command("declare", "apply", EXAMPLE)
         await self.set_faults(outage=True)
-        shown = json.loads((await self.ask("declare", "show", "--json")).stdout)
+        shown = json.loads((await self.run_command("declare", "show", "--json")).stdout)
         self.assertEqual(shown["version"], 1)
-        changed = self.edited("weight: 1", "weight: 2")
-        answer = await self.ask("declare", "apply", changed)
-        self.assertEqual(answer.exit_code, ExitCode.REFUSED, answer)
-        self.assertIn("error 600", answer.stderr)
+        changed = self.edited_example("weight: 1", "weight: 2")
+        result = await self.run_command("declare", "apply", changed)
+        self.assertEqual(result.exit_code, ExitCode.REFUSED, result)
+        self.assertIn("error 600", result.stderr)
         await self.set_faults()
-        answer = await self.ask("declare", "apply", changed)
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
+        result = await self.run_command("declare", "apply", changed)
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
 
-    async def test_moves_are_ordered_and_cancelled(self):
-        """A move is started once, a second one is a conflict, and one is cancelled."""
-        await self.ask("declare", "apply", EXAMPLE)
+    async def test_moves_are_started_and_cancelled(self):
+        """A repeated start is idempotent, a second move conflicts, one is cancelled."""
+        await self.run_command("declare", "apply", EXAMPLE)
         words = ("assistant", "v2", "--by", "+1h", "--reason", "For the test.")
-        answer = await self.ask("move", "start", *words, "--json")
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
-        move = json.loads(answer.stdout)
+        result = await self.run_command("move", "start", *words, "--json")
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
+        move = json.loads(result.stdout)
         self.assertEqual((move["from_version"], move["state"]), ("v1", "running"))
-        again = await self.ask("move", "start", *words, "--move-id", move["move_id"])
-        self.assertEqual(again.exit_code, ExitCode.OK, again)
-        async with asyncio.timeout(COMMAND_LIMIT_S):
-            while not self.lines_of("moves.started"):
+        repeated = await self.run_command(
+            "move", "start", *words, "--move-id", move["move_id"]
+        )
+        self.assertEqual(repeated.exit_code, ExitCode.OK, repeated)
+        async with asyncio.timeout(COMMAND_TIMEOUT_S):
+            while not self.metric_lines("moves.started"):
                 await asyncio.sleep(0.1)
-        other = await self.ask("move", "start", *words)
+        other = await self.run_command("move", "start", *words)
         self.assertEqual(other.exit_code, ExitCode.CONFLICT, other)
         reason = ("--reason", "It was the wrong one.")
-        answer = await self.ask("move", "cancel", move["move_id"], *reason)
-        self.assertIn("CANCELLED", answer.stdout, answer)
-        answer = await self.ask("move", "status", "assistant", "--wait-ms", "5000")
-        self.assertEqual(answer.exit_code, ExitCode.NOT_MOVED, answer)
+        result = await self.run_command("move", "cancel", move["move_id"], *reason)
+        self.assertIn("CANCELLED", result.stdout, result)
+        result = await self.run_command(
+            "move", "status", "assistant", "--wait-ms", "5000"
+        )
+        self.assertEqual(result.exit_code, ExitCode.NOT_MOVED, result)
         started = ["hemlockhoist.moves.started.assistant:1|c"]
-        self.assertEqual(self.lines_of("moves.started"), started)
-        self.assertTrue(self.lines_of("declarations.version:1|g"))
+        self.assertEqual(self.metric_lines("moves.started"), started)
+        self.assertTrue(self.metric_lines("declarations.version:1|g"))
 
-    async def test_a_host_is_drained(self):
-        """Drain waits for the host's end; the others go on and no longer name it."""
-        await self.ask("declare", "apply", EXAMPLE)
+    async def test_drain_waits_for_the_host_to_stop(self):
+        """Drain waits for the host's exit; the other hosts no longer list it."""
+        await self.run_command("declare", "apply", EXAMPLE)
         leaving = self.hosts.pop()
         words = ("--host", leaving.address, "--wait-ms", "30000", "--json")
-        answer = await self.ask("host", "drain", *words)
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
-        self.assertTrue(json.loads(answer.stdout)["stopped"])
+        result = await self.run_command("host", "drain", *words)
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
+        self.assertTrue(json.loads(result.stdout)["stopped"])
         self.assertEqual(await leaving.wait(10), 0)
-        changed = self.edited("weight: 1", "weight: 2")
-        answer = await self.ask("declare", "apply", changed, "--json")
-        self.assertEqual(answer.exit_code, ExitCode.OK, answer)
-        self.assertEqual(len(json.loads(answer.stdout)["in_force_on"]), HOSTS - 1)
+        changed = self.edited_example("weight: 1", "weight: 2")
+        result = await self.run_command("declare", "apply", changed, "--json")
+        self.assertEqual(result.exit_code, ExitCode.OK, result)
+        self.assertEqual(len(json.loads(result.stdout)["in_force_on"]), HOSTS - 1)
--- a/libs/standins/src/hemlockhoist/standins/tests/test_planned_stops.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_planned_stops.py
@@ -13,7 +13,7 @@
 _DECLARATIONS = pathlib.Path("examples/declarations.yaml")
 _MODEL = "assistant"
 _SERVICE = "reservations"
-_STOP_LIMIT_S = 30
+_STOP_TIMEOUT_S = 30
 _SETTLE_S = 3
 
 
@@ -54,11 +54,11 @@
 
 
 class RollingReplacementTests(_FleetCase):
-    async def test_every_host_is_replaced_and_no_request_is_cut(self):
+    async def test_rolling_replacement_cuts_no_request(self):
         """
-        Operators replace all hosts one by one under load. Each is told to stop, and
-        told again a moment later, as impatient supervisors do. Callers that hold its
-        address and have streams, bookings and queued requests open notice nothing.
+        Guards against requests cut by a rolling replacement of all hosts under load.
+        Each host gets SIGTERM twice, as some supervisors send it. Callers that use the
+        host's address, with open streams, bookings and queued requests, are unaffected.
         """
         traffic = Traffic.from_config([self._config()], _MODEL, _SERVICE, 8)
         await traffic.start()
@@ -69,7 +69,7 @@
             await asyncio.sleep(_SETTLE_S)
             process = self.fleet.hosts[f"host-{number}"]
             stop = asyncio.create_task(
-                self.fleet.stop_host(f"host-{number}", _STOP_LIMIT_S)
+                self.fleet.stop_host(f"host-{number}", _STOP_TIMEOUT_S)
             )
             await asyncio.sleep(0.3)
             process.signal(signal.SIGTERM)
@@ -84,11 +84,11 @@
     hosts = 2
     host_settings = {"HEMLOCKHOIST_TEST": "1", "HEMLOCKHOIST_DRAIN_LIMIT_MS": "1000"}
 
-    async def test_stream_left_at_the_drain_limit_goes_on_at_another_host(self):
+    async def test_stream_open_at_the_drain_limit_continues_at_another_host(self):
         """
-        A long answer streams through a host that has a second left to stop. At the
-        limit its caller is told where to go on, and reads the rest at the other host:
-        one whole answer, dispatched once. An unstreamed answer is waited for.
+        Guards against streams cut at the drain limit, here one second. The caller is
+        redirected and reads the rest from the other host: one complete answer, which
+        was dispatched once. The host waits for unstreamed answers.
         """
         callers = [Caller.from_config(self._config()) for _ in range(2)]
         for caller in callers:
@@ -101,7 +101,7 @@
             for n, caller in enumerate(callers * 6)
         ]
         await asyncio.sleep(1)
-        self.assertEqual(await self.fleet.stop_host("host-1", _STOP_LIMIT_S), 0)
+        self.assertEqual(await self.fleet.stop_host("host-1", _STOP_TIMEOUT_S), 0)
         records = await asyncio.gather(*chats)
         self.assertEqual(await self._findings(records), [])
         self.assertEqual({record.seen for record in records}, {Seen.WHOLE})
--- a/libs/standins/src/hemlockhoist/standins/tests/test_readme.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_readme.py
@@ -7,14 +7,14 @@
 
 _ROOT = pathlib.Path(__file__).resolve().parents[6]
 _FIRST_LINE = "    . build/demo.env"
-_NEXT_HEADING = "## More commands"
+_END_HEADING = "## More commands"
 _TIMEOUT_S = 60
 
 
 def _shell_lines():
-    """Return the lines that README has a newcomer paste beside a demo left up."""
+    """Return the shell lines of README that are run beside ``demo --keep``."""
     text = (_ROOT / "README.md").read_text(encoding="utf-8")
-    part = text[text.index(_FIRST_LINE) : text.index(_NEXT_HEADING)]
+    part = text[text.index(_FIRST_LINE) : text.index(_END_HEADING)]
     return "".join(
         line[4:] + "\n" for line in part.splitlines() if line.startswith("    ")
     )
@@ -39,8 +39,8 @@
         self.demo.send_signal(signal.SIGINT)
         self.demo.communicate(timeout=_TIMEOUT_S)
 
-    def test_pasted_lines(self):
-        """The lines work as they stand; pasted again, the booking gets its answer."""
+    def test_pasted_lines_work_and_can_be_repeated(self):
+        """The lines work unchanged; repeated, the booking gets the same answer."""
         while "Interrupt to stop" not in (line := self.demo.stdout.readline()):
             self.assertTrue(line, "the demo ended")
         answers = []
--- a/libs/standins/src/hemlockhoist/standins/tests/test_tls.py
+++ b/libs/standins/src/hemlockhoist/standins/tests/test_tls.py
@@ -21,7 +21,7 @@
 
 
 def write_certificate(folder):
-    """Write a certificate for 127.0.0.1 that signs itself, and its key."""
+    """Write a self-signed certificate for 127.0.0.1 and its key."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "test")])
     now = datetime.datetime.now(datetime.UTC)
@@ -80,8 +80,8 @@
             check=False,
         )
 
-    async def test_a_command_checks_the_hosts_certificate(self):
-        """HTTPS works with the certificate's file, and only with that one."""
+    async def test_command_verifies_the_hosts_certificate(self):
+        """HTTPS works only with the CA file of the host's certificate."""
         result = self.status("--ca-file", self.cert_file)
         self.assertEqual(result.returncode, ExitCode.OK, result.stderr)
         other = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -91,7 +91,7 @@
         self.assertIn("certificate verify failed", result.stderr)
 
     async def test_plain_http_is_not_served(self):
-        """Without the option the command gets no answer, and says which one to use."""
+        """Without the CA file the command fails and names the option to use."""
         result = self.status()
         self.assertEqual(result.returncode, ExitCode.UNREACHABLE, result.stderr)
         self.assertIn("--ca-file", result.stderr)
