--- a/libs/standins/src/hemlockhoist/standins/measure_versions.py
+++ b/libs/standins/src/hemlockhoist/standins/measure_versions.py
@@ -57,7 +57,7 @@
 
     @property
     def exposed_ms(self):
-        """Milliseconds from the first bad answer's grant to the version's last grant."""
+        """Time from the first bad answer's grant to the version's last grant."""
         if self.first_bad_grant_ms < 0:
             return 0
         return self.last_bad_grant_ms - self.first_bad_grant_ms
