--- a/libs/standins/src/hemlockhoist/standins/callers/table.py
+++ b/libs/standins/src/hemlockhoist/standins/callers/table.py
@@ -1,6 +1,6 @@
-"""A table of what callers saw, for each tier."""
+"""Table of request outcomes by tier."""
 
-from hemlockhoist.standins.callers.records import Seen
+from hemlockhoist.standins.callers.records import CallOutcome
 
 _COLUMNS = (
     "tier",
@@ -22,7 +22,7 @@
 
 
 def percentile(values, share):
-    """Return the value below which ``share`` of the values lie; -1 without values.
+    """Return the quantile of the values at ``share``; -1 without values.
 
     Parameters
     ==========
@@ -37,31 +37,38 @@
 
 
 def tier_row(tier, records):
-    """Return one tier's values in the order of the columns."""
-    counts = {seen: sum(item.seen is seen for item in records) for seen in Seen}
-    firsts = [item.first_ms for item in records if item.first_ms >= 0]
-    totals = [item.total_ms for item in records if item.seen is Seen.WHOLE]
+    """Return the cells of a tier's row in the order of the columns."""
+    counts = {
+        outcome: sum(item.outcome is outcome for item in records)
+        for outcome in CallOutcome
+    }
+    first_output_times = [
+        item.first_output_ms for item in records if item.first_output_ms >= 0
+    ]
+    total_times = [
+        item.total_ms for item in records if item.outcome is CallOutcome.WHOLE
+    ]
     return (
         tier,
         len(records),
-        counts[Seen.WHOLE],
+        counts[CallOutcome.WHOLE],
         sum(item.in_time for item in records),
-        counts[Seen.REFUSED],
-        counts[Seen.UNKNOWN],
-        counts[Seen.FAILED],
-        counts[Seen.CUT],
-        counts[Seen.WRONG],
+        counts[CallOutcome.REFUSED],
+        counts[CallOutcome.UNKNOWN],
+        counts[CallOutcome.FAILED],
+        counts[CallOutcome.CUT],
+        counts[CallOutcome.WRONG],
         sum(item.resumes > 0 for item in records),
         sum(item.moves > 0 for item in records),
         sum(item.resends > 0 for item in records),
-        percentile(firsts, 0.5),
-        percentile(firsts, 0.95),
-        percentile(totals, 0.95),
+        percentile(first_output_times, 0.5),
+        percentile(first_output_times, 0.95),
+        percentile(total_times, 0.95),
     )
 
 
 def tier_table(records):
-    """Return the table as text, one line for each tier.
+    """Return the table as text, with one line for each tier.
 
     Parameters
     ==========
--- a/libs/standins/src/hemlockhoist/standins/randomised/faults.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/faults.py
@@ -1,72 +1,72 @@
-"""The faults that a step may bring to the world, each by its kind."""
+"""The faults that a step may inject into the simulated fleet, by name."""
 
 
 def kill(machine, number, _other, _seed):
-    """A host process dies; the last one is spared."""
-    if number not in machine.world.hosts or len(machine.world.hosts) < 2:
+    """Kill a host process, unless it is the last one."""
+    if number not in machine.fleet.hosts or len(machine.fleet.hosts) < 2:
         return False
     machine.kill(number, "host killed")
     return True
 
 
 def restart(machine, number, _other, _seed):
-    """A host process starts at its old address."""
-    if number in machine.world.hosts:
+    """Start a host process at its previous address."""
+    if number in machine.fleet.hosts:
         return False
-    machine.world.start(number)
+    machine.fleet.start(number)
     return True
 
 
 def freeze(machine, number, _other, _seed):
-    """A host process stands still."""
-    host = machine.awake(number)
+    """Suspend a host process."""
+    host = machine.running_host(number)
     if host is None:
         return False
     machine.tally.fault("host frozen")
-    machine.world.freeze(host)
+    machine.fleet.freeze(host)
     return True
 
 
-def wake(machine, number, _other, _seed):
-    """A host process that stood still goes on."""
-    host = machine.world.hosts.get(number)
+def resume(machine, number, _other, _seed):
+    """Resume a suspended host process."""
+    host = machine.fleet.hosts.get(number)
     if host is None or not host.is_frozen:
         return False
-    machine.world.wake(host)
+    machine.fleet.resume(host)
     return True
 
 
-def cut(machine, number, other, _seed):
-    """Messages from one host to another are lost; not those the other way."""
+def cut_link(machine, number, other, _seed):
+    """Drop messages from one host to another, in this direction only."""
     if number == other:
         return False
     machine.tally.fault("one-way cut")
-    machine.world.link.cuts.add((f"h{number}", f"h{other}"))
+    machine.fleet.link.cuts.add((f"h{number}", f"h{other}"))
     return True
 
 
-def heal(machine, _number, _other, _seed):
-    """All cuts end."""
-    machine.world.link.cuts.clear()
+def heal_links(machine, _number, _other, _seed):
+    """End all cuts."""
+    machine.fleet.link.cuts.clear()
     return True
 
 
-def disorder(machine, _number, _other, seed):
-    """Messages are delayed, doubled, lost and overtaken from now on."""
-    machine.tally.fault("disordered links")
-    machine.world.link.disorder(seed)
+def impair_links(machine, _number, _other, seed):
+    """Delay, duplicate, drop and reorder messages from now on."""
+    machine.tally.fault("impaired links")
+    machine.fleet.link.impair(seed)
     return True
 
 
-def calm(machine, _number, _other, _seed):
-    """Messages arrive in order again."""
-    machine.world.link.calm()
+def restore_links(machine, _number, _other, _seed):
+    """Deliver new messages immediately and in order again."""
+    machine.fleet.link.restore()
     return True
 
 
 def store_fails(machine, number, other, _seed):
-    """The store goes down, loses the answers of writes, or a replica lags."""
-    store = machine.world.store
+    """Stop the store, lose its answers to writes, or make its reads stale."""
+    store = machine.fleet.store
     if number == 0:
         machine.tally.fault("store outage")
         store.is_up = False
@@ -75,14 +75,14 @@
         store.loses_answers = True
     else:
         machine.tally.fault("store replica lags")
-        store.serves_former = True
+        store.serves_stale = True
     return True
 
 
 def store_recovers(machine, _number, _other, _seed):
-    """The store answers again, up to date."""
-    store = machine.world.store
-    store.is_up, store.loses_answers, store.serves_former = True, False, False
+    """Let the store answer reads and writes with current data again."""
+    store = machine.fleet.store
+    store.is_up, store.loses_answers, store.serves_stale = True, False, False
     return True
 
 
@@ -92,14 +92,15 @@
         kill,
         restart,
         freeze,
-        wake,
-        cut,
-        heal,
-        disorder,
-        calm,
+        resume,
+        cut_link,
+        heal_links,
+        impair_links,
+        restore_links,
         store_fails,
         store_recovers,
     )
 }
-# Hosts come back as often as they go, so that most of the run has callers to serve.
-KINDS = (*FAULTS, "restart", "wake", "heal", "disorder")
+# Restarts, resumptions and healed links are listed twice, so that hosts recover as
+# often as they fail and callers are served during most of the run.
+FAULT_KINDS = (*FAULTS, "restart", "resume", "heal_links", "impair_links")
--- a/libs/standins/src/hemlockhoist/standins/soak.py
+++ b/libs/standins/src/hemlockhoist/standins/soak.py
@@ -10,7 +10,10 @@
 import click
 
 from hemlockhoist.standins.randomised import run_seed
-from hemlockhoist.standins.randomised.queue_machine import QUEUE_COVERED, QueueMachine
+from hemlockhoist.standins.randomised.queue_machine import (
+    QUEUE_PROPERTIES,
+    QueueMachine,
+)
 
 # A single batch may generate no request that is repeated after its answer, and so
 # leave a property unchecked.
@@ -41,7 +44,7 @@
     """Run a seed on the fleet and on the queue of one shard, half the time each."""
     return (
         run_seed(number, seconds / 2, MIN_BATCHES),
-        run_seed(number, seconds / 2, MIN_BATCHES, QueueMachine, QUEUE_COVERED),
+        run_seed(number, seconds / 2, MIN_BATCHES, QueueMachine, QUEUE_PROPERTIES),
     )
 
 
