--- a/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/tests/test_backoff.py
@@ -7,7 +7,8 @@
 
 class BackoffTests(unittest.TestCase):
     def test_failures_spread_and_stay_bounded(self):
-        """
+        """Guards against simultaneous reads that bring a recovered store down again.
+
         A store recovers from an outage while a thousand hosts wait for it. With equal
         delays it would get a thousand reads at once and fail again.
         """
@@ -33,12 +34,12 @@
     def test_budget_bounds_retries(self):
         """A hundred first attempts allow ten retries; elapsed time allows more."""
         budget = RetryBudget(share_permille=100, max_retries=5, refill_ms=10_000)
-        while budget.try_retry(0):
+        while budget.acquire(0):
             pass
         retries = 0
         for _ in range(100):
             budget.on_attempt(0)
-            retries += budget.try_retry(0)
+            retries += budget.acquire(0)
         self.assertEqual(retries, 10)
-        self.assertFalse(budget.try_retry(5_000))
-        self.assertTrue(budget.try_retry(15_000))
+        self.assertFalse(budget.acquire(5_000))
+        self.assertTrue(budget.acquire(15_000))
--- a/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
+++ b/libs/decisions/src/hemlockhoist/decisions/entry/tests/test_attempts.py
@@ -30,13 +30,15 @@
         st.integers(1, 5),
         st.integers(0, 5),
     )
-    def test_booking_that_may_have_run_is_not_sent_again(self, end, sends, unsent):
-        """A hall is booked twice.
+    def test_booking_that_may_have_run_is_not_sent_again(
+        self, end, sent_count, unsent_count
+    ):
+        """Guards against booking a hall twice.
 
         The first replica runs the booking and the connection breaks before its answer;
         then the second replica runs it again.
         """
-        step = next_step(end, BOOKING, True, sends, unsent)
+        step = next_step(end, BOOKING, True, sent_count, unsent_count)
         self.assertIs(step, Step.FAIL)
 
     def test_booking_that_did_not_run_is_sent_to_another_replica(self):
@@ -57,7 +59,7 @@
         self.assertIs(last, Step.FAIL)
 
     def test_refused_retry_of_a_lookup_that_ran_is_not_reported_as_not_run(self):
-        """A caller is told that its lookup did not run although an attempt did.
+        """Guards against reporting "not run" although an attempt ran.
 
         The first attempt breaks off after the replica ran it, and the second replica
         reports that it did not run its own: only that attempt is known not to have run.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/admission.py
@@ -13,12 +13,12 @@
 DEFAULT_MAX_QUEUED = 256
 # Time constant of the measured rate of granted work by tier.
 RATE_WINDOW_MS = 5_000
-# A tier is assumed to get at least this fraction of the slots. The measured load of
-# the tiers above it is short-lived, and clients that are told never to retry would not
-# do so when that load falls.
+# A tier is assumed to get at least this fraction of the slots. The measured load of the
+# tiers above it is short-lived, and a client that got the longest Retry-After because
+# of it would not retry when that load falls.
 MIN_SLOT_FRACTION = 0.05
 # Where even an idle pool cannot meet the first token target, only the deadline counts:
-# this fraction of the time to the deadline may be spent waiting.
+# a request may wait for this fraction of the time to it.
 LATE_WAIT_FRACTION = 0.25
 # A tier is refused for lack of slots only if no lower tier was assigned one for this
 # long. Otherwise a top tier that needs almost all slots would be refused for being late
@@ -140,9 +140,9 @@
         if ahead_ms <= 0:
             return 0.0
         left = slots - self._load.slots_above(rank, now_ms)
-        # At least one slot is counted. Failure: after a home has moved, two of three
-        # upstreams leave and the third fails, so no slot is left while requests wait;
-        # the division by zero made each submit end as an internal error.
+        # At least one slot is counted. Failure prevented: after a home has moved, two
+        # of three upstreams leave and the third fails, so no slot is left while
+        # requests wait; the division by zero made each submit end as an internal error.
         return ahead_ms / max(MIN_SLOT_FRACTION * max(1, slots), left)
 
     def refusal_code(self, request, queue, slots, estimate, now_ms):
@@ -182,8 +182,8 @@
     """Return the latest time at which a request can be granted and still be answered.
 
     Callers of streams disconnect long before their deadline if nothing has arrived.
-    Failure: in a burst, requests were queued for slots that they got after their
-    callers had disconnected; they ended unanswered instead of with a retry time.
+    Failure prevented: in a burst, requests were queued for slots that they got after
+    their callers had disconnected; they ended unanswered instead of with a retry time.
     """
     hold_ms = estimate.hold_ms(request) if estimate.has_samples else 0.0
     by_deadline_ms = request.deadline_ms - MIN_HOLD_FRACTION * hold_ms
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -11,7 +11,7 @@
     TakenBack,
     Widened,
 )
-from hemlockhoist.decisions.versions.halts import HaltSet
+from hemlockhoist.decisions.versions.halts import HaltReasons
 from hemlockhoist.decisions.versions.lanes import LaneTable
 from hemlockhoist.decisions.versions.move import (
     FULL_PERMILLE,
@@ -32,7 +32,7 @@
 # A home whose clock jumps by this much was suspended, and peers may have halted the
 # version meanwhile. It grants the new version nothing until a peer or the store has
 # reported the state of the move.
-PAUSE_LIMIT_MS = 3_000
+SUSPENSION_LIMIT_MS = 3_000
 # Interval between planning rounds. Planning costs more than recording one answer, and
 # only few answers arrive in between.
 PLAN_INTERVAL_MS = 1_000
@@ -75,7 +75,7 @@
         self._watch_ms = watch_ms
         self._unix_offset_ms = unix_offset_ms
         self._invariants = invariants
-        self._halts = HaltSet()
+        self._halts = HaltReasons()
         self._events = []
         self._row = None
         self._last_time_ms = now_ms
@@ -98,7 +98,7 @@
         ==========
         pool : hemlockhoist.declarations.Pool
         move : Move or None
-            Row from the table service or from a peer's announcement.
+            Row from the store or from a peer's announcement.
         now_ms, unix_ms : int
             Time on the home's clock, and the Unix time at the same moment.
         invariants : hemlockhoist.base.InvariantLog, optional
@@ -168,7 +168,7 @@
             lane.record_old_grant()
 
     def on_adopt(self, request, version, now_ms, upstream_id=""):
-        """Count an in-flight grant that a former home issued."""
+        """Count an in-flight grant that a previous home issued."""
         if not self._is_counted(version):
             return
         self._evaluator.loads.count_grant(version, upstream_id, now_ms)
@@ -248,7 +248,7 @@
         return self._wider_row(now_ms, fencing)
 
     def observe_row(self, row, now_ms):
-        """Apply a row from the table service or from a peer.
+        """Apply a row from the store or from a peer.
 
         Ignores rows of an older move, rows that would return a final state to running,
         and smaller shares under an older lease, as announcements of peers arrive late
@@ -258,11 +258,11 @@
             return
         self._is_stale = False
         self._last_time_ms = now_ms
-        former = self._row
-        if former is None or row.move_id != former.move_id:
-            if former is None or row.started_unix_ms > former.started_unix_ms:
+        previous = self._row
+        if previous is None or row.move_id != previous.move_id:
+            if previous is None or row.started_unix_ms > previous.started_unix_ms:
                 self._begin_move(row, now_ms)
-        elif is_newer(row, former):
+        elif is_newer(row, previous):
             self._apply_row(row, now_ms)
 
     def announcement(self):
@@ -358,7 +358,7 @@
         self._halt_if_rolled_back(now_ms)
 
     def _apply_row(self, row, now_ms):
-        former, self._row = self._row, row
+        previous, self._row = self._row, row
         for lane in self._lanes.apply_row(row, now_ms):
             self._emit(
                 Widened,
@@ -368,7 +368,7 @@
                 idempotent=lane.idempotent,
                 share_permille=lane.share_permille,
             )
-        if row.state is not former.state:
+        if row.state is not previous.state:
             self._end_move(row, now_ms)
 
     def _end_move(self, row, now_ms):
@@ -394,8 +394,8 @@
     def _may_widen(self, fencing):
         """Return whether the host's lease permits larger shares.
 
-        A holder that was paused past its lease has an older fencing token than the
-        row, or has not yet learned what happened during the pause.
+        A holder that was suspended past its lease has an older fencing token than the
+        row, or has not yet learned what happened during the suspension.
         """
         if fencing is None or self._is_stale:
             return False
@@ -421,7 +421,7 @@
         return widen_move(self._row, self._row.move_id, tuple(known.values()), fencing)
 
     def _record_time(self, now_ms):
-        if now_ms - self._last_time_ms > PAUSE_LIMIT_MS:
+        if now_ms - self._last_time_ms > SUSPENSION_LIMIT_MS:
             self._is_stale = True
         self._last_time_ms = max(self._last_time_ms, now_ms)
 
--- a/libs/entry/src/hemlockhoist/entry/moves.py
+++ b/libs/entry/src/hemlockhoist/entry/moves.py
@@ -10,8 +10,8 @@
     get_logger,
 )
 from hemlockhoist.decisions.entry import (
-    HaltedVersions,
-    OrderState,
+    HaltedOrders,
+    MoveOrderState,
     WithheldVersionPolicy,
     live_versions,
     order_state,
@@ -25,13 +25,13 @@
     cancel_move,
     start_move,
 )
-from hemlockhoist.host.moves import IDLE_TICK_MS, MoveService
+from hemlockhoist.host.moves import IDLE_TICK_INTERVAL_MS, MoveService
 
 _log = get_logger("entry.moves")
 
 ORDER_CHECK_INTERVAL_MS = 200
-# Pause after a failure of the store before an order is started or reported again. An
-# order has a time limit of some seconds, of which a longer pause would be a large part.
+# Delay after a failure of the store before an order is started or reported again. An
+# order has a time limit of some seconds, of which a longer delay would be a large part.
 RETRY_DELAY_MS = 500
 # Fraction of an order's duration by which all requests are to be on the new version. In
 # the remaining time the old version's last responses end and the result is reported to
@@ -49,7 +49,7 @@
 # Duration of the lease on a pool's moves. An order has to finish within seconds, and a
 # new home widens nothing before its predecessor's lease has expired.
 LEASE_MS = 2_000
-_FINAL_STATES = frozenset({OrderState.COMPLETED, OrderState.ROLLED_BACK})
+_FINAL_STATES = frozenset({MoveOrderState.COMPLETED, MoveOrderState.ROLLED_BACK})
 
 
 def trial_bound(bounds):
@@ -94,7 +94,7 @@
         super().__init__(context, rows, send)
         self._orders = {}
         self._received_ms = {}
-        self._halted = HaltedVersions()
+        self._halted = HaltedOrders()
         self._reported = {}
         self._retry_due_ms = 0
         self._task = PeriodicTask(self._check_interval_ms, self._follow_orders)
@@ -203,7 +203,7 @@
 
     def _check_interval_ms(self):
         is_pending = any(self._may_have_move(pool) for pool in self._orders)
-        return ORDER_CHECK_INTERVAL_MS if is_pending else IDLE_TICK_MS
+        return ORDER_CHECK_INTERVAL_MS if is_pending else IDLE_TICK_INTERVAL_MS
 
     async def _follow_orders(self):
         if self._context.clock.now_ms() < self._retry_due_ms:
@@ -222,8 +222,8 @@
         """Start an order's move, or report its state to the operators.
 
         Failure prevented: a host becomes home just after the end of a move, and knows
-        only an earlier announcement of the preceding home. Operators to whom the end
-        was reported would then be told that the move is in progress. The store is
+        only an earlier announcement of the previous home. Operators to whom the end was
+        reported would then be informed that the move is in progress. The store is
         therefore read before the first report.
         """
         if not self._has_reported(order) and not await self._read(
@@ -252,7 +252,7 @@
         if not versions[order.to_version]:
             return None
         if not previous:
-            await self._report_state(order, OrderState.COMPLETED)
+            await self._report_state(order, MoveOrderState.COMPLETED)
             return None
         return await self._update_row(
             order.pool, lambda row: self._started_row(row, order, previous)
--- a/libs/entry/src/hemlockhoist/entry/process.py
+++ b/libs/entry/src/hemlockhoist/entry/process.py
@@ -164,8 +164,10 @@
         self.status = await self._open(StatusServer(context))
         self._caller_server = await self._open(CallerServer(context, self._listener))
         await self._open(PeriodicTask(self._tick_ms, self._tick))
-        await self._open(PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held))
-        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._report_gauges))
+        await self._open(
+            PeriodicTask(HELD_REPORT_INTERVAL_MS, self._report_held_grants)
+        )
+        await self._open(PeriodicTask(GAUGE_INTERVAL_MS, self._update_gauges))
         _log.info(
             "host_started", host=self.settings.name, address=context.identity.address
         )
@@ -348,11 +350,11 @@
         context.gate.set_share(share)
         context.homes.set_share(share)
 
-    def _report_held(self):
+    def _report_held_grants(self):
         pools = [pool.name for pool in self.context.declarations.pools]
         self.context.grants.send_held_ids(pools)
 
-    def _report_gauges(self):
+    def _update_gauges(self):
         context, metrics = self.context, self.context.metrics
         metrics.gauge(REQUESTS_OPEN, context.open_requests)
         metrics.gauge(HOSTS_LIVE, len(context.fleet.live_hosts()))
@@ -418,20 +420,20 @@
 
 
 async def _main(settings, make_platform, listener, writer):
-    limit = LogRateLimiter(Clock.from_running_loop().now_ms)
-    configure_logs("info", writer, limit, {"host": settings.name}, cache_loggers=True)
+    limiter = LogRateLimiter(Clock.from_running_loop().now_ms)
+    configure_logs("info", writer, limiter, {"host": settings.name}, cache_loggers=True)
     boot_clock = SuspendAwareClock.from_system()
     platform = make_platform(settings, boot_clock)
     host = EntryProcess(settings, platform, boot_clock, listener)
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, host.begin_drain)
-    loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("reload_asked"))
+    loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("reload_requested"))
     try:
         await host.start()
         report = PeriodicTask(
             DROPPED_REPORT_INTERVAL_MS,
-            lambda: _report_dropped_lines(limit, writer, host.context.metrics),
+            lambda: _report_dropped_lines(limiter, writer, host.context.metrics),
         )
         await report.start()
         await host.finished.wait()
@@ -440,12 +442,12 @@
         await host.close()
 
 
-def _report_dropped_lines(limit, writer, metrics):
+def _report_dropped_lines(limiter, writer, metrics):
     """Report the number of dropped log lines, so that a gap is visible as such."""
-    left_out, dropped = limit.take_dropped_by_event(), writer.take_dropped()
-    if left_out or dropped:
-        metrics.count(LOG_LINES_DROPPED, value=sum(left_out.values()) + dropped)
-        _log.warning("lines_left_out", **left_out, unread=dropped)
+    dropped_by_event, dropped = limiter.take_dropped_by_event(), writer.take_dropped()
+    if dropped_by_event or dropped:
+        metrics.count(LOG_LINES_DROPPED, value=sum(dropped_by_event.values()) + dropped)
+        _log.warning("lines_left_out", **dropped_by_event, unread=dropped)
 
 
 def run(settings, make_platform, listener=None):
--- a/libs/host/src/hemlockhoist/host/dispatcher.py
+++ b/libs/host/src/hemlockhoist/host/dispatcher.py
@@ -90,6 +90,15 @@
     Parameters
     ==========
     guard : SendGuard
+
+    Attributes
+    ==========
+    kind : OutcomeKind
+        Set by the sender of the request; ``NOT_SENT`` until then.
+    first_ms : int or None
+        Time on the host's clock at which the answer began; None before.
+    output_tokens, cached_tokens : int
+        Counts for the outcome.
     """
 
     __slots__ = ("cached_tokens", "first_ms", "guard", "kind", "output_tokens")
@@ -179,7 +188,7 @@
                 return await self._run_attempt(work, hold, consume, on_dispatch)
             except Refused as error:
                 kind = _OUTCOME_KINDS.get(error.code, OutcomeKind.FAILED)
-                if not budget.take(kind, attempt, self._clock.now_ms()):
+                if not budget.acquire(kind, attempt, self._clock.now_ms()):
                     raise
                 _log.warning(
                     "dispatch_retried",
--- a/libs/host/src/hemlockhoist/host/home.py
+++ b/libs/host/src/hemlockhoist/host/home.py
@@ -81,7 +81,7 @@
         """Handle the start of a home at this host, which queries ``hosts``."""
 
     def on_usage_report(self, host, held, now_ms):
-        """Handle an entry host's report of usage under an earlier home.
+        """Handle an entry host's report of usage under a previous home.
 
         Parameters
         ==========
@@ -106,7 +106,7 @@
         The pool's declaration and the tiers that the scheduler was built from.
     traces : Traces
     metrics : Metrics, optional
-    gate : Gate, optional
+    gate : AllowAllGate, optional
         Refuses requests before they reach the scheduler.
     reconnect : callable, optional
         ``reconnect(host_id)`` replaces the connection to a host that missed a reply.
@@ -191,8 +191,9 @@
     def on_host_joined(self, host_id):
         """Query a host that was not known before for the grants that it holds.
 
-        Failure: a home that has just started knows only half of the fleet. The grants
-        that the other half holds, and its customers' usage, would never be counted.
+        Failure prevented: a home that has just started knows only half of the fleet.
+        The grants that the other half holds, and its customers' usage, would never be
+        counted.
         """
         if host_id not in self._queried_hosts:
             self._queried_hosts.add(host_id)
@@ -210,10 +211,10 @@
     def on_predecessor_closed(self):
         """Query all hosts again, since the previous home has only now closed.
 
-        Failure: hosts disagree for a second on which of two hosts is home, and both
-        admit requests against customers' quotas. What the previous home admitted after
-        this one had sent its queries would never be counted, and a customer at its
-        quota would get that much on top.
+        Failure prevented: hosts disagree for a second on which of two hosts is home,
+        and both admit requests against customers' quotas. What the previous home
+        admitted after this one had sent its queries would never be counted, and a
+        customer at its quota would get that much on top.
         """
         self._pending_hosts = set(self._queried_hosts)
         self._query_holders(self._clock.now_ms())
@@ -351,7 +352,7 @@
             self._metrics.count(WASTED_TOKENS, self.pool, wasted)
 
     def on_held_grants(self, sender, message):
-        """Adopt the grants of an earlier home that an entry host still holds."""
+        """Adopt the grants of a previous home that an entry host still holds."""
         if message.home_incarnation != self._identity.incarnation:
             return
         now_ms = self._clock.now_ms()
@@ -484,7 +485,7 @@
         )
         entry_host = decision.request.entry_host
         # A grant without a wait appears in the entry host's log line of the attempt.
-        # With a hundred upstreams, logging took a fifth of a grant's CPU time.
+        # With a hundred upstreams, logging took a fifth of a grant's processor time.
         if has_waited:
             self._log_granted(decision)
         self._granted[grant.request_id] = (grant, entry_host)
--- a/libs/host/src/hemlockhoist/host/server.py
+++ b/libs/host/src/hemlockhoist/host/server.py
@@ -24,7 +24,7 @@
 HOSTS_PATH = "/v1/hosts"
 OPERATORS_PREFIX = "/-/"
 # A new host usually has its declarations within 1 s to 2 s, from the store or a peer.
-NOT_READY_RETRY_MS = 2_000
+NOT_READY_RETRY_AFTER_MS = 2_000
 # Idle connections are kept open for this long; a leaving host closes them after the
 # response instead.
 KEEP_ALIVE_S = 60.0
@@ -150,7 +150,7 @@
             return error_response(BadRequest("", code), request_id)
         except Exception as error:
             # An internal error says nothing about whether the request ran, so the code
-            # must not tell the caller that it did not.
+            # must not state that it did not.
             _log.error("request_failed", request=request_id, exc_info=True)
             code = ResultCode.INTERNAL_ERROR
             return error_response(HemlockhoistError(repr(error), code), request_id)
@@ -158,13 +158,13 @@
     def _check_ready(self, request):
         """Refuse callers until this host's declarations are known to be current.
 
-        Without them a valid key can not be distinguished from an invalid one, and a
+        Without them a valid key cannot be distinguished from an invalid one, and a
         caller with a valid key would receive an error that it must not retry.
         """
         if request.path.startswith(OPERATORS_PREFIX):
             return
         if not self._context.configuration.is_ready():
-            raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_MS)
+            raise Refused("", ResultCode.NOT_READY, NOT_READY_RETRY_AFTER_MS)
 
     def _check_not_dispatched(self, request_id, error):
         if error.info.ran is not Ran.NO:
