--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/assignment.py
@@ -39,7 +39,6 @@
 
     __slots__ = (
         "_admission",
-        "_upstreams",
         "_grants",
         "_incarnation",
         "_invariants",
@@ -50,6 +49,7 @@
         "_queue",
         "_round_number",
         "_sequence",
+        "_upstreams",
     )
 
     def __init__(
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/overtaking.py
@@ -11,7 +11,7 @@
     overtaking_budget : OvertakingBudget
     """
 
-    __slots__ = ("_upstreams", "_overtaking_budget", "_queue")
+    __slots__ = ("_overtaking_budget", "_queue", "_upstreams")
 
     def __init__(self, queue, upstreams, overtaking_budget):
         self._queue = queue
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/scheduler.py
@@ -40,12 +40,12 @@
         "_client_retries",
         "_estimate",
         "_experiments",
-        "_upstreams",
         "_grants",
         "_overtaking",
         "_policy",
         "_queue",
         "_shedder",
+        "_upstreams",
     )
 
     def __init__(
--- a/libs/host/src/hemlockhoist/host/fleet.py
+++ b/libs/host/src/hemlockhoist/host/fleet.py
@@ -39,11 +39,11 @@
     __slots__ = (
         "_connection_checks",
         "_context",
+        "_handled_version",
         "_introduced",
         "_live",
         "_live_version",
         "_membership",
-        "_handled_version",
         "_stable",
         "_stable_version",
         "_task",
--- a/libs/standins/src/hemlockhoist/standins/engine_model.py
+++ b/libs/standins/src/hemlockhoist/standins/engine_model.py
@@ -109,7 +109,9 @@
     ========
     >>> from hemlockhoist.standins.engine_model import EngineConfig, EngineModel
     >>> model = EngineModel.from_config(EngineConfig(report_tokens=False))
-    >>> model.submit("a", prompt_tokens=100, output_tokens=3, prefix_hashes=(), now_ms=0)
+    >>> model.submit(
+    ...     "a", prompt_tokens=100, output_tokens=3, prefix_hashes=(), now_ms=0
+    ... )
     >>> [(event.kind.value, event.at_ms) for event in model.advance(1000)]
     [('first_token', 19), ('finished', 46)]
     """
