--- a/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
+++ b/libs/decisions/src/hemlockhoist/decisions/configuration/acknowledgements.py
@@ -1,4 +1,4 @@
-"""Acknowledgements of the hosts that have a version in force.
+"""Acknowledgements by hosts of the configuration version they have in force.
 
 Each host reports to one of a few collectors, so that no collector receives the reports
 of all hosts. The summary of a collector lists the first few hosts that lag.
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/experiments.py
@@ -86,7 +86,7 @@
         )
 
     def client_retries(self):
-        """Return the recognition of client retries, or one that recognises none."""
+        """Return the tracker of client retries, or one that recognises none."""
         return (
             NoClientRetries()
             if Mechanism.CLIENT_RETRIES in self.disabled
--- a/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
+++ b/libs/decisions/src/hemlockhoist/decisions/scheduling/queue.py
@@ -5,9 +5,9 @@
 from sortedcontainers import SortedKeyList, SortedList
 
 # The requests of one customer are ordered by arrival time plus this multiple of their
-# predicted time, as these differ a hundredfold: a short request overtakes a long one,
-# and a long one is overtaken only by those that arrive within this multiple of its own
-# time after it, so it cannot starve.
+# predicted time, because predicted times differ a hundredfold: a short request
+# overtakes a long one. A long one is overtaken only by requests that arrive within this
+# multiple of its own predicted time, so it cannot starve.
 SHORT_FIRST_FACTOR = 2.0
 
 
--- a/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
+++ b/libs/decisions/src/hemlockhoist/decisions/versions/controller.py
@@ -27,7 +27,7 @@
 from hemlockhoist.decisions.versions.trial import UNBOUNDED
 
 # How long the new version is observed after the end of the move, while traffic can
-# still go back to the old one.
+# still be returned to the old one.
 WATCH_MS = 600_000
 # A home whose clock jumps by this much was suspended, and peers may have halted the
 # version meanwhile. It grants the new version nothing until a peer or the store has
--- a/libs/entry/src/hemlockhoist/entry/feeds.py
+++ b/libs/entry/src/hemlockhoist/entry/feeds.py
@@ -11,21 +11,22 @@
 _log = get_logger("entry.feeds")
 
 # Longest wait of a query. A response without changes is sent after this time, so that
-# a frozen or disconnected reader is detected by its silence, early enough to learn from
-# the store itself in time that an upstream leaves.
+# a frozen or disconnected reader is detected by its silence, early enough for this host
+# to learn from the store itself in time that an upstream leaves.
 RELAYED_WAIT_MS = 1_000
 # Transit time allowed for a query on top of its wait.
 TRANSIT_ALLOWANCE_MS = 300
 # Retry interval of this host while neither it nor the readers reach the store. Readers
-# retry all the time, and report when the store is back.
+# retry continuously, and report when the store is back.
 STORE_RETRY_INTERVAL_MS = 1_000
-# A failed reader is not queried for this long; the next reader or the store is.
+# How long a failed reader is skipped; the next reader or the store is read instead.
 READER_BACKOFF_MS = 4_000
 # Limit on waiting for the list of hosts, from which a starting host learns the readers.
 # The list is read within some tens of milliseconds if the store answers.
 INTRODUCED_WAIT_MS = 500
-# Before the first read of a table, for which callers wait: limits on waiting for the
-# list of hosts and then for a reader. A live reader answers within a round trip or two.
+# Limits on waiting for the list of hosts, and then for a reader, before the first read
+# of a table. They are short because callers wait for that read, and a live reader
+# answers within a round trip or two.
 FIRST_LIST_WAIT_MS = 100
 FIRST_READER_WAIT_MS = 60
 READER_CHECK_INTERVAL_MS = 5
@@ -40,6 +41,7 @@
 class FeedStore(RowStore):
     """Reads tables from the store, or from another host that reads it.
 
+    Hosts that read the store themselves and relay their readings are called readers.
     Writes always go to the store.
 
     Parameters
@@ -153,7 +155,8 @@
             copy.apply(reading)
             self._answer_waiting_queries(table)
         elif table in self._relayed and self.is_reader:
-            # A copy that missed changes relayed by others meanwhile cannot be used.
+            # The copy is missing, or lacks changes that other readers relayed to this
+            # host meanwhile: read the whole table.
             await self._read_own_table(table)
         return reading
 
@@ -270,7 +273,7 @@
     # Queries from other hosts.
 
     def on_query(self, sender, message):
-        """Answer at once if there are changes, else after the next reading."""
+        """Answer at once if there are changes, else after a reading or a timeout."""
         copy = self._copies.get(message.table)
         if copy is None or not self._is_current():
             self._send_failure(sender, message)
--- a/libs/entry/src/hemlockhoist/entry/stream.py
+++ b/libs/entry/src/hemlockhoist/entry/stream.py
@@ -12,7 +12,8 @@
 US_PER_MS = 1_000
 # Silence after which a resumable stream is abandoned at its upstream. It detects an
 # upstream that no longer sends anything, which nothing else shows while callers wait. A
-# shorter limit would abandon an upstream that computes a long prompt beside the stream.
+# shorter limit would abandon an upstream that is computing another request's long
+# prompt.
 MIN_STALL_MS = 1_500
 GAP_FACTOR = 2
 # Time for the event loop to read what is buffered in its sockets.
@@ -25,7 +26,7 @@
 
 
 class StallWatchdog:
-    """Closes an upstream's response after too long a silence.
+    """Closes an upstream's response that has been silent for too long.
 
     Failure prevented: this host is suspended. When it resumes, the time limit has
     passed while the events received meanwhile are still unread, and the stream would be
@@ -39,8 +40,8 @@
         Initial limit; None disables the watchdog.
     clock : Clock
     may_resume : callable, optional
-        Whether the stream could resume at another upstream. If not, it keeps waiting:
-        the response may still arrive, and closing it gains nothing.
+        Whether the stream could resume at another upstream. If not, the response is
+        kept open: it may still arrive, and closing it gains nothing.
     """
 
     __slots__ = (
@@ -80,7 +81,7 @@
             self._in_grace_period = False
 
     def classify_error(self, error):
-        """Return the error to raise for a failed read: a timeout if this closed it."""
+        """Return the error to raise for a failed read; a timeout if it had stalled."""
         if not self._in_grace_period or self._clock.now_ms() < self._due_ms:
             return error
         text = "the upstream sent no data within the stall limit"
@@ -246,8 +247,8 @@
     def median_event_us(self):
         """Return the median time between this upstream's events, or -1.
 
-        The median excludes long gaps, which are caused by prompts computed beside this
-        stream and do not reflect the engine's speed.
+        The median excludes long gaps, which occur while the engine computes prompts of
+        other requests and do not reflect its speed.
         """
         if not self._event_gaps_us:
             return -1
--- a/libs/host/src/hemlockhoist/host/grants.py
+++ b/libs/host/src/hemlockhoist/host/grants.py
@@ -38,16 +38,16 @@
 RESEND_MS = 120
 # Interval at which a queued request is sent again, to check that it is still queued.
 QUEUED_RESEND_MS = 1_000
-# Requests without a reply, after which the home is reported as unresponsive: it is
-# frozen, partitioned or dead, and the next home should take over the pool. A single
-# message may simply be lost.
+# Number of requests without a reply after which the home is reported as unresponsive:
+# it is frozen, partitioned or dead, and the next home should take over the pool. A
+# single message may simply be lost.
 MAX_UNANSWERED = 2
-# Consecutive requests without a reply from any home, after which the entry host turns
-# to its own standby home. With RESEND_MS, a caller then waits less than half a second
-# for a home that is frozen or partitioned, whatever state other hosts see it in.
+# Number of consecutive requests without a reply from any home after which the entry
+# host turns to its own standby home. With RESEND_MS, a caller then waits less than half
+# a second for a home that is frozen or partitioned, whatever its state at other hosts.
 STANDBY_AFTER_TIMEOUTS = 3
-# Longest time without a reply from any home. Membership detects a dead host within
-# about two seconds, and the next home replies at once.
+# Time without a reply from any home after which a request is refused. Membership
+# detects a dead host within about two seconds, and the next home replies at once.
 HOME_TIMEOUT_MS = 5_000
 # Delay between a NotHome reply and the next request: the hosts' views of the fleet
 # converge within one or two probes.
@@ -74,8 +74,8 @@
     is_cold: bool = False
 
 
-# Put into a waiter's inbox to have its request sent again at once: the home that it
-# queried is home no longer, or this host refuses its requests.
+# Put into a waiter's inbox in place of a reply to have its request checked and sent
+# again at once: the home of its pool has changed, or this host refuses its requests.
 _RESEND = object()
 
 
@@ -168,7 +168,7 @@
         self._started_ms = clock.now_ms()
         self._waiters = {}
         self._held = {}
-        # By grant: the homes that count it, as it was reported to them on takeover.
+        # For each grant id, the homes to which the grant was reported on takeover.
         self._claiming_homes = {}
         self._refusal = None
 
@@ -363,7 +363,7 @@
         self._notify_homes(hold, message)
 
     def report_outdated(self, hold, error):
-        """Report to the home what it did not know of the upstream that it granted.
+        """Report to the home that issued a grant why the grant is outdated.
 
         Failure prevented: a home with outdated state keeps granting an upstream that no
         host may send to.
@@ -451,10 +451,10 @@
     def report_held(self, pool, home_incarnation, home):
         """Return the grants held here, in reply to a new home's query.
 
-        Failure prevented: a home is killed and starts again at its address. Mistaken
-        for the process that had counted the usage itself, it gets no report of it and
-        grants a customer its quota once more. So homes are distinguished by
-        incarnation, not by host.
+        Failure prevented: a home is killed and starts again at its address. If it were
+        mistaken for the previous process, which counted the usage itself, it would get
+        no report of that usage and grant a customer its quota once more. So homes are
+        distinguished by incarnation, not by host.
 
         Parameters
         ==========
--- a/libs/host/src/hemlockhoist/host/process.py
+++ b/libs/host/src/hemlockhoist/host/process.py
@@ -1,4 +1,4 @@
-"""The host process: starts its parts, joins the fleet, drains and closes."""
+"""The host process: starts its components, joins the fleet, drains and closes."""
 
 import asyncio
 import contextlib
@@ -94,7 +94,7 @@
         self._upstreams = ()
 
     async def start(self):
-        """Start all parts; the host serves requests when this returns."""
+        """Start all components; the host serves requests when this returns."""
         clock = Clock.from_running_loop()
         invariants = InvariantLog(fatal=TEST_VARIABLE in os.environ)
         incarnation = new_incarnation()
@@ -111,7 +111,7 @@
         context.traces = await self._open(self._traces(bus.address))
         transport = await self._open(self._transport())
         tables = TableClient.from_config(transport)
-        self._create_parts(context, tables)
+        self._create_components(context, tables)
         await self._start_serving(context, tables)
         message_router.open(context)
         await self._open(context.fleet)
@@ -164,8 +164,8 @@
         config = PlatformConfig(url=f"http://{self.settings.platform_address}")
         return PlatformTransport.from_config(config)
 
-    def _create_parts(self, context, tables):
-        """Create the parts that do not need the address of this host."""
+    def _create_components(self, context, tables):
+        """Create the components that do not need the address of this host."""
         clock, send = context.clock, context.bus.send
         context.declarations = Declarations()
         context.callers = CallerDirectory(context.declarations)
@@ -219,13 +219,13 @@
         )
         context.fleet = Fleet.from_context(context)
 
-    async def _open(self, part):
-        await part.start()
-        self._exit_stack.push_async_callback(part.close)
-        return part
+    async def _open(self, component):
+        await component.start()
+        self._exit_stack.push_async_callback(component.close)
+        return component
 
     async def close(self):
-        """Stop all parts in the reverse order of their start."""
+        """Stop all components in the reverse order of their start."""
         await self._exit_stack.aclose()
 
     def _on_host_list(self, members):
--- a/libs/messages/src/hemlockhoist/messages/membership.py
+++ b/libs/messages/src/hemlockhoist/messages/membership.py
@@ -10,7 +10,7 @@
 class Health(enum.IntEnum):
     """Health of a host according to probes.
 
-    Of two updates with equal revisions the higher value applies.
+    Of two updates with equal revisions, the one with the higher value applies.
     """
 
     ALIVE = 0
--- a/libs/messages/src/hemlockhoist/messages/moves.py
+++ b/libs/messages/src/hemlockhoist/messages/moves.py
@@ -8,7 +8,7 @@
 class VersionHalted(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """States that a version is bad: no host grants or dispatches to it any more.
+    """Reports that a version was found bad and no host may grant or dispatch to it.
 
     Halts are grow-only: only a new move with another ``move_id`` can use the version.
     """
@@ -22,9 +22,9 @@
 class MoveAnnounced(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """The home's current state of a pool's move, for the next home of the pool.
+    """Reports the current state of a pool's move to the pool's next home.
 
-    ``row`` is the encoded move record as stored in the store.
+    ``row`` is the encoded move record, as kept in the store.
     """
 
     pool: str
@@ -34,7 +34,7 @@
 class StreamTaken(
     msgspec.Struct, frozen=True, kw_only=True, tag=code_of, array_like=True
 ):
-    """States that a caller resumed a stream at the sender.
+    """Reports that a caller resumed a stream at the sender.
 
     The host that served the stream before must not cancel the request.
     """
--- a/libs/standins/src/hemlockhoist/standins/randomised/link.py
+++ b/libs/standins/src/hemlockhoist/standins/randomised/link.py
@@ -10,14 +10,14 @@
 
 
 class Link:
-    """Delivers messages immediately and in order; impaired, it delays or loses them.
+    """Delivers messages immediately and in order, until ``impair`` is called.
 
     Parameters
     ==========
     tally : Tally
     """
 
-    __slots__ = ("_sent_count", "_rng", "_tally", "cuts", "messages")
+    __slots__ = ("_rng", "_sent_count", "_tally", "cuts", "messages")
 
     def __init__(self, tally):
         self.messages = []
